--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -10,7 +10,7 @@
 use crate::ports::{Batch, Records, Reply, Store, StoreError, Table};
 use crate::telemetry::events;
 use bytes::Bytes;
-use sesamegap_policy::agreement::timelines::{Timelines, Verdict};
+use sesamegap_policy::agreement::timelines::{TimelineTracker, Verdict};
 use sesamegap_policy::quarantine;
 use sesamegap_wire::{LogPosition, Moment, Timeline, VmId};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    timelines: Timelines,
+    timelines: TimelineTracker,
     /// When an answer on which nothing is built was last logged.
     told: Option<Moment>,
 }
--- a/crates/sesamegap-policy/src/agreement/timelines.rs
+++ b/crates/sesamegap-policy/src/agreement/timelines.rs
@@ -36,12 +36,12 @@
 
 /// The timelines that were stated so far.
 #[derive(Debug, Default)]
-pub struct Timelines {
+pub struct TimelineTracker {
     present: Timeline,
     stated: bool,
 }
 
-impl Timelines {
+impl TimelineTracker {
     /// The present timeline; the lowest one until an answer states any.
     pub fn present(&self) -> Timeline {
         self.present
--- a/crates/sesamegap-policy/tests/agreement/timelines.rs
+++ b/crates/sesamegap-policy/tests/agreement/timelines.rs
@@ -1,10 +1,10 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sesamegap_policy::agreement::timelines::{Stated, Timelines, Verdict};
+use sesamegap_policy::agreement::timelines::{Stated, TimelineTracker, Verdict};
 use sesamegap_wire::{LogPosition, Offset, Timeline};
 
 #[test]
 fn a_store_that_states_no_timeline_has_one() {
-    let mut timelines = Timelines::default();
+    let mut timelines = TimelineTracker::default();
     assert_eq!(timelines.hear(Stated::Missing), Verdict::Present);
     assert_eq!(timelines.present(), Timeline(0));
 }
@@ -12,7 +12,7 @@
 /// Guards against views built on an answer of which nobody knows where it belongs.
 #[test]
 fn an_answer_that_states_none_where_one_was_stated_is_unknown() {
-    let mut timelines = Timelines::default();
+    let mut timelines = TimelineTracker::default();
     assert_eq!(timelines.hear(Stated::At(Timeline(0))), Verdict::Present);
     assert_eq!(timelines.hear(Stated::Missing), Verdict::Unknown);
     assert_eq!(timelines.hear(Stated::Malformed), Verdict::Unknown);
@@ -22,7 +22,7 @@
 /// Guards against a late answer of before a restoration that takes a view back.
 #[test]
 fn a_late_answer_of_a_former_timeline_is_known_as_such() {
-    let mut timelines = Timelines::default();
+    let mut timelines = TimelineTracker::default();
     timelines.hear(Stated::At(Timeline(4)));
     assert_eq!(
         timelines.hear(Stated::At(Timeline(6))),
@@ -69,7 +69,7 @@
     log: Vec<u32>,
     timeline: Timeline,
     written: u32,
-    timelines: Timelines,
+    timelines: TimelineTracker,
     view: Vec<u32>,
     next: LogPosition,
     under_way: Vec<Answer>,
