--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -7,7 +7,7 @@
 use http::HeaderMap;
 use http::header::HeaderName;
 use serde::{Deserialize, Serialize};
-use sesamegap_policy::agreement::timelines::{Stated, Verdict};
+use sesamegap_policy::agreement::timelines::{ReportedTimeline, Verdict};
 use sesamegap_policy::quarantine;
 use sesamegap_wire::{
     Fence, Incarnation, LogPosition, Offset, TeamId, Timeline, Tokens, UpstreamId, VmId,
@@ -174,7 +174,7 @@
 #[derive(Debug, Clone)]
 pub struct Reply<T> {
     /// What the answer states of its timeline; unset if there was no answer.
-    pub stated: Option<Stated>,
+    pub stated: Option<ReportedTimeline>,
     /// What it brought.
     pub outcome: Result<T, StoreError>,
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -9,7 +9,7 @@
     OrderAnswer, Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreError,
     Table, Weights,
 };
-use sesamegap_policy::agreement::timelines::Stated;
+use sesamegap_policy::agreement::timelines::ReportedTimeline;
 use sesamegap_policy::quarantine;
 use sesamegap_wire::{Incarnation, Offset, Timeline, Tokens, UpstreamId, VmId, WeightsVersion};
 use smol_str::SmolStr;
@@ -249,7 +249,7 @@
 
     fn reply<T>(&self, outcome: Result<T, StoreError>) -> Reply<T> {
         let timeline = *self.timeline.lock().unwrap();
-        let stated = timeline.map_or(Stated::Missing, Stated::At);
+        let stated = timeline.map_or(ReportedTimeline::Missing, ReportedTimeline::At);
         Reply {
             stated: Some(stated),
             outcome,
--- a/crates/sesamegap-policy/src/agreement/timelines.rs
+++ b/crates/sesamegap-policy/src/agreement/timelines.rs
@@ -12,7 +12,7 @@
 
 /// What an answer says of its timeline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stated {
+pub enum ReportedTimeline {
     /// It states one.
     At(Timeline),
     /// It states none.
@@ -48,10 +48,10 @@
     }
 
     /// Takes in what an answer states.
-    pub fn hear(&mut self, stated: Stated) -> Verdict {
+    pub fn hear(&mut self, stated: ReportedTimeline) -> Verdict {
         match stated {
-            Stated::At(timeline) if timeline < self.present => Verdict::Former(timeline),
-            Stated::At(timeline) => {
+            ReportedTimeline::At(timeline) if timeline < self.present => Verdict::Former(timeline),
+            ReportedTimeline::At(timeline) => {
                 self.stated = true;
                 let former = std::mem::replace(&mut self.present, timeline);
                 if former < timeline {
@@ -61,8 +61,8 @@
                 }
             }
             // A store that never states a timeline has only one.
-            Stated::Missing if !self.stated => Verdict::Present,
-            Stated::Missing | Stated::Malformed => Verdict::Unknown,
+            ReportedTimeline::Missing if !self.stated => Verdict::Present,
+            ReportedTimeline::Missing | ReportedTimeline::Malformed => Verdict::Unknown,
         }
     }
 }
--- a/crates/sesamegap-policy/tests/agreement/timelines.rs
+++ b/crates/sesamegap-policy/tests/agreement/timelines.rs
@@ -1,11 +1,11 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sesamegap_policy::agreement::timelines::{Stated, TimelineTracker, Verdict};
+use sesamegap_policy::agreement::timelines::{ReportedTimeline, TimelineTracker, Verdict};
 use sesamegap_wire::{LogPosition, Offset, Timeline};
 
 #[test]
 fn a_store_that_states_no_timeline_has_one() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.hear(Stated::Missing), Verdict::Present);
+    assert_eq!(timelines.hear(ReportedTimeline::Missing), Verdict::Present);
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -13,9 +13,9 @@
 #[test]
 fn an_answer_that_states_none_where_one_was_stated_is_unknown() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.hear(Stated::At(Timeline(0))), Verdict::Present);
-    assert_eq!(timelines.hear(Stated::Missing), Verdict::Unknown);
-    assert_eq!(timelines.hear(Stated::Malformed), Verdict::Unknown);
+    assert_eq!(timelines.hear(ReportedTimeline::At(Timeline(0))), Verdict::Present);
+    assert_eq!(timelines.hear(ReportedTimeline::Missing), Verdict::Unknown);
+    assert_eq!(timelines.hear(ReportedTimeline::Malformed), Verdict::Unknown);
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -23,13 +23,13 @@
 #[test]
 fn a_late_answer_of_a_former_timeline_is_known_as_such() {
     let mut timelines = TimelineTracker::default();
-    timelines.hear(Stated::At(Timeline(4)));
+    timelines.hear(ReportedTimeline::At(Timeline(4)));
     assert_eq!(
-        timelines.hear(Stated::At(Timeline(6))),
+        timelines.hear(ReportedTimeline::At(Timeline(6))),
         Verdict::Risen(Timeline(4))
     );
     assert_eq!(
-        timelines.hear(Stated::At(Timeline(5))),
+        timelines.hear(ReportedTimeline::At(Timeline(5))),
         Verdict::Former(Timeline(5))
     );
     assert_eq!(timelines.present(), Timeline(6));
@@ -112,9 +112,9 @@
     /// A reader that is not told takes every answer that joins its offset.
     fn take(&mut self, (from, timeline, records): Answer, told: bool) {
         let stated = if told {
-            Stated::At(timeline)
+            ReportedTimeline::At(timeline)
         } else {
-            Stated::Missing
+            ReportedTimeline::Missing
         };
         let verdict = self.timelines.hear(stated);
         let present = self.timelines.present();
