--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -150,7 +150,7 @@
         };
         let (verdict, present) = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-            let verdict = state.timelines.hear(stated);
+            let verdict = state.timelines.observe(stated);
             (verdict, state.timelines.present())
         };
         match verdict {
--- a/crates/sesamegap-policy/src/agreement/timelines.rs
+++ b/crates/sesamegap-policy/src/agreement/timelines.rs
@@ -48,7 +48,7 @@
     }
 
     /// Takes in what an answer states.
-    pub fn hear(&mut self, stated: ReportedTimeline) -> Verdict {
+    pub fn observe(&mut self, stated: ReportedTimeline) -> Verdict {
         match stated {
             ReportedTimeline::At(timeline) if timeline < self.present => Verdict::Former(timeline),
             ReportedTimeline::At(timeline) => {
--- a/crates/sesamegap-policy/tests/agreement/timelines.rs
+++ b/crates/sesamegap-policy/tests/agreement/timelines.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_store_that_states_no_timeline_has_one() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.hear(ReportedTimeline::Missing), Verdict::Present);
+    assert_eq!(timelines.observe(ReportedTimeline::Missing), Verdict::Present);
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -13,9 +13,9 @@
 #[test]
 fn an_answer_that_states_none_where_one_was_stated_is_unknown() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.hear(ReportedTimeline::At(Timeline(0))), Verdict::Present);
-    assert_eq!(timelines.hear(ReportedTimeline::Missing), Verdict::Unknown);
-    assert_eq!(timelines.hear(ReportedTimeline::Malformed), Verdict::Unknown);
+    assert_eq!(timelines.observe(ReportedTimeline::At(Timeline(0))), Verdict::Present);
+    assert_eq!(timelines.observe(ReportedTimeline::Missing), Verdict::Unknown);
+    assert_eq!(timelines.observe(ReportedTimeline::Malformed), Verdict::Unknown);
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -23,13 +23,13 @@
 #[test]
 fn a_late_answer_of_a_former_timeline_is_known_as_such() {
     let mut timelines = TimelineTracker::default();
-    timelines.hear(ReportedTimeline::At(Timeline(4)));
+    timelines.observe(ReportedTimeline::At(Timeline(4)));
     assert_eq!(
-        timelines.hear(ReportedTimeline::At(Timeline(6))),
+        timelines.observe(ReportedTimeline::At(Timeline(6))),
         Verdict::Risen(Timeline(4))
     );
     assert_eq!(
-        timelines.hear(ReportedTimeline::At(Timeline(5))),
+        timelines.observe(ReportedTimeline::At(Timeline(5))),
         Verdict::Former(Timeline(5))
     );
     assert_eq!(timelines.present(), Timeline(6));
@@ -116,7 +116,7 @@
         } else {
             ReportedTimeline::Missing
         };
-        let verdict = self.timelines.hear(stated);
+        let verdict = self.timelines.observe(stated);
         let present = self.timelines.present();
         if self.next.timeline < present {
             self.view.clear();
