--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -7,7 +7,7 @@
 use http::HeaderMap;
 use http::header::HeaderName;
 use serde::{Deserialize, Serialize};
-use sesamegap_policy::agreement::timelines::{ReportedTimeline, Verdict};
+use sesamegap_policy::agreement::timelines::{ReportedTimeline, TimelineStatus};
 use sesamegap_policy::quarantine;
 use sesamegap_wire::{
     Fence, Incarnation, LogPosition, Offset, TeamId, Timeline, Tokens, UpstreamId, VmId,
@@ -144,7 +144,7 @@
     /// The store was restored from a copy: positions that were asked with are of a former timeline.
     Restored(Timeline),
     /// An answer that is not of the present timeline.
-    OffTimeline(Verdict),
+    OffTimeline(TimelineStatus),
     /// No connection.
     Unreached(String),
     /// An append may have been done or may yet be.
--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -10,7 +10,7 @@
 use crate::ports::{Batch, Records, Reply, Store, StoreError, Table};
 use crate::telemetry::events;
 use bytes::Bytes;
-use sesamegap_policy::agreement::timelines::{TimelineTracker, Verdict};
+use sesamegap_policy::agreement::timelines::{TimelineTracker, TimelineStatus};
 use sesamegap_policy::quarantine;
 use sesamegap_wire::{LogPosition, Moment, Timeline, VmId};
 use std::net::SocketAddr;
@@ -154,8 +154,8 @@
             (verdict, state.timelines.present())
         };
         match verdict {
-            Verdict::Present => {}
-            Verdict::Risen(former) => {
+            TimelineStatus::Present => {}
+            TimelineStatus::Risen(former) => {
                 info!(
                     event = events::RESTORED,
                     former = former.0,
@@ -166,7 +166,7 @@
                     std::mem::replace(known, present.max(*known)) < present
                 });
             }
-            Verdict::Former(_) | Verdict::Unknown => {
+            TimelineStatus::Former(_) | TimelineStatus::Unknown => {
                 self.tell(verdict, present);
                 return Err(StoreError::OffTimeline(verdict));
             }
@@ -182,7 +182,7 @@
         }
     }
 
-    fn tell(&self, verdict: Verdict, present: Timeline) {
+    fn tell(&self, verdict: TimelineStatus, present: Timeline) {
         let now = clock::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.told.is_some_and(|at| now.since(at) < TOLD) {
--- a/crates/sesamegap-policy/src/agreement/timelines.rs
+++ b/crates/sesamegap-policy/src/agreement/timelines.rs
@@ -23,7 +23,7 @@
 
 /// What an answer is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum TimelineStatus {
     /// It belongs to the present timeline.
     Present,
     /// It is the first of a newer timeline; the one before was this.
@@ -48,21 +48,21 @@
     }
 
     /// Takes in what an answer states.
-    pub fn observe(&mut self, stated: ReportedTimeline) -> Verdict {
+    pub fn observe(&mut self, stated: ReportedTimeline) -> TimelineStatus {
         match stated {
-            ReportedTimeline::At(timeline) if timeline < self.present => Verdict::Former(timeline),
+            ReportedTimeline::At(timeline) if timeline < self.present => TimelineStatus::Former(timeline),
             ReportedTimeline::At(timeline) => {
                 self.stated = true;
                 let former = std::mem::replace(&mut self.present, timeline);
                 if former < timeline {
-                    Verdict::Risen(former)
+                    TimelineStatus::Risen(former)
                 } else {
-                    Verdict::Present
+                    TimelineStatus::Present
                 }
             }
             // A store that never states a timeline has only one.
-            ReportedTimeline::Missing if !self.stated => Verdict::Present,
-            ReportedTimeline::Missing | ReportedTimeline::Malformed => Verdict::Unknown,
+            ReportedTimeline::Missing if !self.stated => TimelineStatus::Present,
+            ReportedTimeline::Missing | ReportedTimeline::Malformed => TimelineStatus::Unknown,
         }
     }
 }
--- a/crates/sesamegap-policy/tests/agreement/timelines.rs
+++ b/crates/sesamegap-policy/tests/agreement/timelines.rs
@@ -1,11 +1,11 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sesamegap_policy::agreement::timelines::{ReportedTimeline, TimelineTracker, Verdict};
+use sesamegap_policy::agreement::timelines::{ReportedTimeline, TimelineTracker, TimelineStatus};
 use sesamegap_wire::{LogPosition, Offset, Timeline};
 
 #[test]
 fn a_store_that_states_no_timeline_has_one() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.observe(ReportedTimeline::Missing), Verdict::Present);
+    assert_eq!(timelines.observe(ReportedTimeline::Missing), TimelineStatus::Present);
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -13,9 +13,9 @@
 #[test]
 fn an_answer_that_states_none_where_one_was_stated_is_unknown() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.observe(ReportedTimeline::At(Timeline(0))), Verdict::Present);
-    assert_eq!(timelines.observe(ReportedTimeline::Missing), Verdict::Unknown);
-    assert_eq!(timelines.observe(ReportedTimeline::Malformed), Verdict::Unknown);
+    assert_eq!(timelines.observe(ReportedTimeline::At(Timeline(0))), TimelineStatus::Present);
+    assert_eq!(timelines.observe(ReportedTimeline::Missing), TimelineStatus::Unknown);
+    assert_eq!(timelines.observe(ReportedTimeline::Malformed), TimelineStatus::Unknown);
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -26,11 +26,11 @@
     timelines.observe(ReportedTimeline::At(Timeline(4)));
     assert_eq!(
         timelines.observe(ReportedTimeline::At(Timeline(6))),
-        Verdict::Risen(Timeline(4))
+        TimelineStatus::Risen(Timeline(4))
     );
     assert_eq!(
         timelines.observe(ReportedTimeline::At(Timeline(5))),
-        Verdict::Former(Timeline(5))
+        TimelineStatus::Former(Timeline(5))
     );
     assert_eq!(timelines.present(), Timeline(6));
 }
@@ -122,7 +122,7 @@
             self.view.clear();
             self.next = LogPosition::new(present, Offset(0));
         }
-        let fits = verdict != Verdict::Unknown && !matches!(verdict, Verdict::Former(_));
+        let fits = verdict != TimelineStatus::Unknown && !matches!(verdict, TimelineStatus::Former(_));
         if !fits || from != self.next {
             return;
         }
