--- a/crates/sesamegap-policy/src/agreement/claims/age.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/age.rs
@@ -17,12 +17,12 @@
 
 /// For how long keys with a time are honoured.
 #[derive(Debug, Clone, Copy)]
-pub struct KeyLife {
+pub struct KeyValidity {
     retention: Duration,
     skew: Duration,
 }
 
-impl KeyLife {
+impl KeyValidity {
     /// Takes the log's retention and the most by which callers' clocks may differ from ours.
     pub fn new(retention: Duration, skew: Duration) -> Self {
         Self { retention, skew }
--- a/crates/sesamegap-policy/src/agreement/claims/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/mod.rs
@@ -17,7 +17,7 @@
 mod claimant;
 mod fold;
 
-pub use age::{KeyAge, KeyLife};
+pub use age::{KeyAge, KeyValidity};
 pub use claimant::{Appended, Claimant, Step, Verdict};
 pub use fold::{Claims, Standing};
 
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -3,7 +3,7 @@
 use crate::support::{FakeLog, Pick, check, finds_fault, holder};
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, Claims, KeyAge, KeyLife, Standing, Step,
+    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, Claims, KeyAge, KeyValidity, Standing, Step,
     Verdict,
 };
 use sesamegap_wire::{Moment, Offset};
@@ -207,7 +207,7 @@
             made >> 16,
             made & 0xffff
         );
-        let life = KeyLife::new(Duration::from_millis(RETENTION), SKEW);
+        let life = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
         if life.judge(&text, self.log.now) != KeyAge::Fresh {
             return;
         }
@@ -376,7 +376,7 @@
 /// no longer be read, and running it could be the second time.
 #[test]
 fn a_key_older_than_the_log_is_stale() {
-    let life = KeyLife::new(Duration::from_millis(RETENTION), SKEW);
+    let life = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
     let made = 0x0192_0000_0000_u64;
     let text = "01920000-0000-7000-8000-000000000000";
     assert_eq!(life.judge(text, made + 57_000), KeyAge::Fresh);
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -26,7 +26,7 @@
 use runs::Runs;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyLife, Standing, Step, Verdict,
+    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyValidity, Standing, Step, Verdict,
 };
 use sesamegap_policy::agreement::tickets::{Admission, Ticket, Tickets};
 use sesamegap_wire::{RequestId, TeamId};
@@ -61,7 +61,7 @@
     tickets: Mutex<Tickets>,
     claims: SharedClaims,
     appender: Appender,
-    life: KeyLife,
+    life: KeyValidity,
 }
 
 impl Once {
@@ -72,7 +72,7 @@
             tickets: Mutex::new(Tickets::new(me.clone(), timing.keep, TICKETS)),
             claims,
             appender,
-            life: KeyLife::new(timing.retention, SKEW.min(timing.retention / 4)),
+            life: KeyValidity::new(timing.retention, SKEW.min(timing.retention / 4)),
             me,
         }
     }
