--- a/crates/sesamegap-policy/src/agreement/claims/age.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/age.rs
@@ -32,7 +32,7 @@
     ///
     /// A claim is appended after its key was made, so it is kept at least until the key's time
     /// plus the retention. Twice the skew is taken off: once for the caller's clock, once for ours.
-    pub fn judge(&self, key: &str, now: u64) -> KeyAge {
+    pub fn classify(&self, key: &str, now: u64) -> KeyAge {
         let Some(made) = time_of(key) else {
             return KeyAge::Timeless;
         };
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -208,7 +208,7 @@
             made & 0xffff
         );
         let life = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
-        if life.judge(&text, self.log.now) != KeyAge::Fresh {
+        if life.classify(&text, self.log.now) != KeyAge::Fresh {
             return;
         }
         self.minted += 1;
@@ -379,9 +379,9 @@
     let life = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
     let made = 0x0192_0000_0000_u64;
     let text = "01920000-0000-7000-8000-000000000000";
-    assert_eq!(life.judge(text, made + 57_000), KeyAge::Fresh);
-    assert_eq!(life.judge(text, made + 59_000), KeyAge::Stale);
-    assert_eq!(life.judge(text, made - 2_000), KeyAge::Ahead);
-    assert_eq!(life.judge("order-17", made), KeyAge::Timeless);
-    assert_eq!(life.judge("ééééééééé-é-7é-é-ééééé", made), KeyAge::Timeless);
+    assert_eq!(life.classify(text, made + 57_000), KeyAge::Fresh);
+    assert_eq!(life.classify(text, made + 59_000), KeyAge::Stale);
+    assert_eq!(life.classify(text, made - 2_000), KeyAge::Ahead);
+    assert_eq!(life.classify("order-17", made), KeyAge::Timeless);
+    assert_eq!(life.classify("ééééééééé-é-7é-é-ééééé", made), KeyAge::Timeless);
 }
