--- a/crates/sesamegap-policy/src/agreement/claims/age.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/age.rs
@@ -12,7 +12,7 @@
     /// It lies further in the future than clocks may differ.
     Ahead,
     /// It carries no time.
-    Timeless,
+    Untimed,
 }
 
 /// For how long keys with a time are honoured.
@@ -34,7 +34,7 @@
     /// plus the retention. Twice the skew is taken off: once for the caller's clock, once for ours.
     pub fn classify(&self, key: &str, now: u64) -> KeyAge {
         let Some(made) = time_of(key) else {
-            return KeyAge::Timeless;
+            return KeyAge::Untimed;
         };
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         let skew = millis(self.skew);
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -382,6 +382,6 @@
     assert_eq!(life.classify(text, made + 57_000), KeyAge::Fresh);
     assert_eq!(life.classify(text, made + 59_000), KeyAge::Stale);
     assert_eq!(life.classify(text, made - 2_000), KeyAge::Ahead);
-    assert_eq!(life.classify("order-17", made), KeyAge::Timeless);
-    assert_eq!(life.classify("ééééééééé-é-7é-é-ééééé", made), KeyAge::Timeless);
+    assert_eq!(life.classify("order-17", made), KeyAge::Untimed);
+    assert_eq!(life.classify("ééééééééé-é-7é-é-ééééé", made), KeyAge::Untimed);
 }
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -182,7 +182,7 @@
     /// Refuses a key whose claim the log may have dropped already.
     fn check_age(&self, key: &str) -> Result<(), ApiError> {
         match self.life.classify(key, unix_ms()) {
-            KeyAge::Fresh | KeyAge::Timeless => Ok(()),
+            KeyAge::Fresh | KeyAge::Untimed => Ok(()),
             KeyAge::Stale => Err(expired("the key is older than the log keeps claims")),
             KeyAge::Ahead => Err(ApiError::bad(
                 "bad_key",
