--- a/crates/sesamegap-policy/src/agreement/claims/age.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/age.rs
@@ -10,7 +10,7 @@
     /// Its claim may have been dropped by the log, so nobody can tell whether it ran.
     Stale,
     /// It lies further in the future than clocks may differ.
-    Ahead,
+    InFuture,
     /// It carries no time.
     Untimed,
 }
@@ -39,7 +39,7 @@
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         let skew = millis(self.skew);
         if made > now.saturating_add(skew) {
-            return KeyAge::Ahead;
+            return KeyAge::InFuture;
         }
         let life = millis(self.retention).saturating_sub(skew.saturating_mul(2));
         if now.saturating_sub(made) > life {
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -381,7 +381,7 @@
     let text = "01920000-0000-7000-8000-000000000000";
     assert_eq!(life.classify(text, made + 57_000), KeyAge::Fresh);
     assert_eq!(life.classify(text, made + 59_000), KeyAge::Stale);
-    assert_eq!(life.classify(text, made - 2_000), KeyAge::Ahead);
+    assert_eq!(life.classify(text, made - 2_000), KeyAge::InFuture);
     assert_eq!(life.classify("order-17", made), KeyAge::Untimed);
     assert_eq!(life.classify("ééééééééé-é-7é-é-ééééé", made), KeyAge::Untimed);
 }
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -184,7 +184,7 @@
         match self.life.classify(key, unix_ms()) {
             KeyAge::Fresh | KeyAge::Untimed => Ok(()),
             KeyAge::Stale => Err(expired("the key is older than the log keeps claims")),
-            KeyAge::Ahead => Err(ApiError::bad(
+            KeyAge::InFuture => Err(ApiError::bad(
                 "bad_key",
                 "the key's time lies in the future",
             )),
