--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -13,12 +13,12 @@
     /// Wait for the fold to move, then call [`Claimant::look`].
     Wait,
     /// Over.
-    Done(Verdict),
+    Done(ClaimOutcome),
 }
 
 /// How a claim ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// The claim is the first: run the request now.
     Run,
     /// Another life holds the key: ask it, and never run.
@@ -85,9 +85,9 @@
         match claims.standing(&self.key) {
             Standing::Held(claim, _) if claim == self.claim => self.won(now),
             Standing::Held(claim, holder) if *holder == self.holder => {
-                self.end(Verdict::Earlier(claim))
+                self.end(ClaimOutcome::Earlier(claim))
             }
-            Standing::Held(_, holder) => self.end(Verdict::Other(holder.clone())),
+            Standing::Held(_, holder) => self.end(ClaimOutcome::Other(holder.clone())),
             Standing::Free => self.not_seen(now),
         }
     }
@@ -111,7 +111,7 @@
         if now >= self.until {
             return self.give_up();
         }
-        self.end(Verdict::Run)
+        self.end(ClaimOutcome::Run)
     }
 
     fn not_seen(&mut self, now: Moment) -> Step {
@@ -133,10 +133,10 @@
             key: self.key.clone(),
             claim: self.claim,
         };
-        self.end(Verdict::GivenUp(release))
+        self.end(ClaimOutcome::GivenUp(release))
     }
 
-    fn end(&mut self, verdict: Verdict) -> Step {
+    fn end(&mut self, verdict: ClaimOutcome) -> Step {
         self.state = State::Ended;
         Step::Done(verdict)
     }
--- a/crates/sesamegap-policy/src/agreement/claims/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/mod.rs
@@ -18,7 +18,7 @@
 mod fold;
 
 pub use age::{KeyAge, KeyValidity};
-pub use claimant::{Appended, Claimant, Step, Verdict};
+pub use claimant::{Appended, Claimant, Step, ClaimOutcome};
 pub use fold::{Claims, Standing};
 
 use super::Holder;
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -4,7 +4,7 @@
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::agreement::claims::{
     Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, Claims, KeyAge, KeyValidity, Standing, Step,
-    Verdict,
+    ClaimOutcome,
 };
 use sesamegap_wire::{Moment, Offset};
 use std::collections::{HashMap, HashSet};
@@ -255,19 +255,19 @@
         self.attempts[index].machine.appended(result);
     }
 
-    fn finish(&mut self, index: usize, verdict: Verdict) {
+    fn finish(&mut self, index: usize, verdict: ClaimOutcome) {
         let attempt = self.attempts.remove(index);
         let claim = attempt.machine.claim();
         match verdict {
-            Verdict::Run => {
+            ClaimOutcome::Run => {
                 *self.runs.entry(attempt.key).or_default() += 1;
                 self.ran.insert(claim);
             }
-            Verdict::GivenUp(release) => {
+            ClaimOutcome::GivenUp(release) => {
                 self.given_up.insert(claim);
                 self.flying.push(release);
             }
-            Verdict::Other(_) | Verdict::Earlier(_) => {}
+            ClaimOutcome::Other(_) | ClaimOutcome::Earlier(_) => {}
         }
     }
 
@@ -369,7 +369,7 @@
     claims.apply(Offset(0), 10, Some(&record));
     let woken = Moment(0) + PATIENCE;
     let step = claimant.look(&claims, woken);
-    assert!(matches!(step, Step::Done(Verdict::GivenUp(_))));
+    assert!(matches!(step, Step::Done(ClaimOutcome::GivenUp(_))));
 }
 
 /// A caller comes back with a key made longer ago than the log keeps claims. Whether it ran can
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -26,7 +26,7 @@
 use runs::Runs;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyValidity, Standing, Step, Verdict,
+    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyValidity, Standing, Step, ClaimOutcome,
 };
 use sesamegap_policy::agreement::tickets::{Admission, Ticket, Tickets};
 use sesamegap_wire::{RequestId, TeamId};
@@ -210,16 +210,16 @@
                     }
                 }
                 Step::Wait => drop(timeout_at(until, moved.changed()).await),
-                Step::Done(Verdict::Run) => {
+                Step::Done(ClaimOutcome::Run) => {
                     let release = ClaimRecord::Release {
                         key: key.clone(),
                         claim: id,
                     };
                     return self.won(key, release).await;
                 }
-                Step::Done(Verdict::Earlier(_)) => return Ok(Place::Here),
-                Step::Done(Verdict::Other(holder)) => return Ok(Place::There(holder)),
-                Step::Done(Verdict::GivenUp(release)) => {
+                Step::Done(ClaimOutcome::Earlier(_)) => return Ok(Place::Here),
+                Step::Done(ClaimOutcome::Other(holder)) => return Ok(Place::There(holder)),
+                Step::Done(ClaimOutcome::GivenUp(release)) => {
                     // The claim may stand: this router goes on holding the key and runs it if the
                     // caller comes again; only at its end does it give the claim back.
                     lock(&self.runs).unused(key, release);
