--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -27,7 +27,7 @@
     Earlier(ClaimId),
     /// The log could not be asked in time. Nothing was run; the claim may stand, so a release
     /// must be appended, now or when the key comes again.
-    GivenUp(ClaimRecord),
+    TimedOut(ClaimRecord),
 }
 
 /// Result of one append as the owner saw it.
@@ -133,7 +133,7 @@
             key: self.key.clone(),
             claim: self.claim,
         };
-        self.end(ClaimOutcome::GivenUp(release))
+        self.end(ClaimOutcome::TimedOut(release))
     }
 
     fn end(&mut self, verdict: ClaimOutcome) -> Step {
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -263,7 +263,7 @@
                 *self.runs.entry(attempt.key).or_default() += 1;
                 self.ran.insert(claim);
             }
-            ClaimOutcome::GivenUp(release) => {
+            ClaimOutcome::TimedOut(release) => {
                 self.given_up.insert(claim);
                 self.flying.push(release);
             }
@@ -369,7 +369,7 @@
     claims.apply(Offset(0), 10, Some(&record));
     let woken = Moment(0) + PATIENCE;
     let step = claimant.look(&claims, woken);
-    assert!(matches!(step, Step::Done(ClaimOutcome::GivenUp(_))));
+    assert!(matches!(step, Step::Done(ClaimOutcome::TimedOut(_))));
 }
 
 /// A caller comes back with a key made longer ago than the log keeps claims. Whether it ran can
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -219,7 +219,7 @@
                 }
                 Step::Done(ClaimOutcome::Earlier(_)) => return Ok(Place::Here),
                 Step::Done(ClaimOutcome::Other(holder)) => return Ok(Place::There(holder)),
-                Step::Done(ClaimOutcome::GivenUp(release)) => {
+                Step::Done(ClaimOutcome::TimedOut(release)) => {
                     // The claim may stand: this router goes on holding the key and runs it if the
                     // caller comes again; only at its end does it give the claim back.
                     lock(&self.runs).unused(key, release);
