--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -24,7 +24,7 @@
     /// Another life holds the key: ask it, and never run.
     Other(Holder),
     /// This life held the key before, under another attempt, which knows what became of it.
-    Earlier(ClaimId),
+    EarlierAttempt(ClaimId),
     /// The log could not be asked in time. Nothing was run; the claim may stand, so a release
     /// must be appended, now or when the key comes again.
     TimedOut(ClaimRecord),
@@ -85,7 +85,7 @@
         match claims.standing(&self.key) {
             Standing::Held(claim, _) if claim == self.claim => self.won(now),
             Standing::Held(claim, holder) if *holder == self.holder => {
-                self.end(ClaimOutcome::Earlier(claim))
+                self.end(ClaimOutcome::EarlierAttempt(claim))
             }
             Standing::Held(_, holder) => self.end(ClaimOutcome::Other(holder.clone())),
             Standing::Free => self.not_seen(now),
