--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -22,7 +22,7 @@
     /// The claim is the first: run the request now.
     Run,
     /// Another life holds the key: ask it, and never run.
-    Other(Holder),
+    HeldByOther(Holder),
     /// This life held the key before, under another attempt, which knows what became of it.
     EarlierAttempt(ClaimId),
     /// The log could not be asked in time. Nothing was run; the claim may stand, so a release
@@ -87,7 +87,7 @@
             Standing::Held(claim, holder) if *holder == self.holder => {
                 self.end(ClaimOutcome::EarlierAttempt(claim))
             }
-            Standing::Held(_, holder) => self.end(ClaimOutcome::Other(holder.clone())),
+            Standing::Held(_, holder) => self.end(ClaimOutcome::HeldByOther(holder.clone())),
             Standing::Free => self.not_seen(now),
         }
     }
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -267,7 +267,7 @@
                 self.given_up.insert(claim);
                 self.flying.push(release);
             }
-            ClaimOutcome::Other(_) | ClaimOutcome::EarlierAttempt(_) => {}
+            ClaimOutcome::HeldByOther(_) | ClaimOutcome::EarlierAttempt(_) => {}
         }
     }
 
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -218,7 +218,7 @@
                     return self.won(key, release).await;
                 }
                 Step::Done(ClaimOutcome::EarlierAttempt(_)) => return Ok(Place::Here),
-                Step::Done(ClaimOutcome::Other(holder)) => return Ok(Place::There(holder)),
+                Step::Done(ClaimOutcome::HeldByOther(holder)) => return Ok(Place::There(holder)),
                 Step::Done(ClaimOutcome::TimedOut(release)) => {
                     // The claim may stand: this router goes on holding the key and runs it if the
                     // caller comes again; only at its end does it give the claim back.
