--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -1,6 +1,6 @@
 //! The way of one request through its claim.
 
-use super::{ClaimId, ClaimKey, ClaimRecord, Claims, Standing};
+use super::{ClaimId, ClaimKey, ClaimRecord, Claims, KeyState};
 use crate::agreement::Holder;
 use sesamegap_wire::{Moment, Offset};
 use std::time::Duration;
@@ -83,12 +83,12 @@
     /// Looks at the fold and says what to do.
     pub fn look(&mut self, claims: &Claims, now: Moment) -> Step {
         match claims.standing(&self.key) {
-            Standing::Held(claim, _) if claim == self.claim => self.won(now),
-            Standing::Held(claim, holder) if *holder == self.holder => {
+            KeyState::Held(claim, _) if claim == self.claim => self.won(now),
+            KeyState::Held(claim, holder) if *holder == self.holder => {
                 self.end(ClaimOutcome::EarlierAttempt(claim))
             }
-            Standing::Held(_, holder) => self.end(ClaimOutcome::HeldByOther(holder.clone())),
-            Standing::Free => self.not_seen(now),
+            KeyState::Held(_, holder) => self.end(ClaimOutcome::HeldByOther(holder.clone())),
+            KeyState::Free => self.not_seen(now),
         }
     }
 
--- a/crates/sesamegap-policy/src/agreement/claims/fold.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/fold.rs
@@ -9,7 +9,7 @@
 
 /// Where a key stands in the log so far read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing<'a> {
+pub enum KeyState<'a> {
     /// Nobody holds it.
     Free,
     /// The attempt that came first, and who made it.
@@ -97,9 +97,9 @@
     }
 
     /// Where a key stands.
-    pub fn standing(&self, key: &ClaimKey) -> Standing<'_> {
-        self.held.get(key).map_or(Standing::Free, |held| {
-            Standing::Held(held.claim, &held.holder)
+    pub fn standing(&self, key: &ClaimKey) -> KeyState<'_> {
+        self.held.get(key).map_or(KeyState::Free, |held| {
+            KeyState::Held(held.claim, &held.holder)
         })
     }
 
--- a/crates/sesamegap-policy/src/agreement/claims/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/mod.rs
@@ -19,7 +19,7 @@
 
 pub use age::{KeyAge, KeyValidity};
 pub use claimant::{Appended, Claimant, Step, ClaimOutcome};
-pub use fold::{Claims, Standing};
+pub use fold::{Claims, KeyState};
 
 use super::Holder;
 use serde::{Deserialize, Serialize};
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -26,7 +26,7 @@
 use runs::Runs;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyValidity, Standing, Step, ClaimOutcome,
+    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyValidity, KeyState, Step, ClaimOutcome,
 };
 use sesamegap_policy::agreement::tickets::{Admission, Ticket, Tickets};
 use sesamegap_wire::{RequestId, TeamId};
@@ -245,8 +245,8 @@
             key: key.clone(),
         };
         self.claims.with(|claims| match claims.standing(&key) {
-            Standing::Held(_, holder) => Some(holder.clone()),
-            Standing::Free => None,
+            KeyState::Held(_, holder) => Some(holder.clone()),
+            KeyState::Free => None,
         })
     }
 }
