--- a/crates/sesamegap-policy/src/agreement/claims/fold.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/fold.rs
@@ -97,7 +97,7 @@
     }
 
     /// Where a key stands.
-    pub fn standing(&self, key: &ClaimKey) -> KeyState<'_> {
+    pub fn key_state(&self, key: &ClaimKey) -> KeyState<'_> {
         self.held.get(key).map_or(KeyState::Free, |held| {
             KeyState::Held(held.claim, &held.holder)
         })
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -353,7 +353,7 @@
     claims.apply(Offset(0), 10, Some(&claim));
     claims.apply(Offset(1), 20, Some(&release));
     claims.apply(Offset(2), 30, Some(&claim));
-    assert_eq!(claims.standing(&key("k")), KeyState::Free);
+    assert_eq!(claims.key_state(&key("k")), KeyState::Free);
 }
 
 /// A router that was paused wakes after its patience has passed and finds its claim first. If it
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -244,7 +244,7 @@
             team: team.clone(),
             key: key.clone(),
         };
-        self.claims.with(|claims| match claims.standing(&key) {
+        self.claims.with(|claims| match claims.key_state(&key) {
             KeyState::Held(_, holder) => Some(holder.clone()),
             KeyState::Free => None,
         })
