--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -81,7 +81,7 @@
     }
 
     /// Looks at the fold and says what to do.
-    pub fn look(&mut self, claims: &Claims, now: Moment) -> Step {
+    pub fn poll(&mut self, claims: &Claims, now: Moment) -> Step {
         match claims.key_state(&self.key) {
             KeyState::Held(claim, _) if claim == self.claim => self.won(now),
             KeyState::Held(claim, holder) if *holder == self.holder => {
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -229,7 +229,7 @@
         let now = self.now();
         let router = self.attempts[index].router;
         let claims = self.routers[router].fold.claims();
-        match self.attempts[index].machine.look(claims, now) {
+        match self.attempts[index].machine.poll(claims, now) {
             Step::Append(record) => self.append(index, record, fate),
             Step::Wait => {}
             Step::Done(verdict) => self.finish(index, verdict),
@@ -362,13 +362,13 @@
 fn a_claim_won_too_late_is_given_back() {
     let mut claims = Claims::new(Duration::from_millis(RETENTION));
     let mut claimant = Claimant::new(key("k"), ClaimId(1), holder(0, 0), Moment(0), PATIENCE);
-    let Step::Append(record) = claimant.look(&claims, Moment(0)) else {
+    let Step::Append(record) = claimant.poll(&claims, Moment(0)) else {
         panic!("an attempt starts with its append");
     };
     claimant.appended(Appended::At(Offset(0)));
     claims.apply(Offset(0), 10, Some(&record));
     let woken = Moment(0) + PATIENCE;
-    let step = claimant.look(&claims, woken);
+    let step = claimant.poll(&claims, woken);
     assert!(matches!(step, Step::Done(ClaimOutcome::TimedOut(_))));
 }
 
--- a/crates/sesamegap/src/router/once/follow.rs
+++ b/crates/sesamegap/src/router/once/follow.rs
@@ -33,7 +33,7 @@
 
     /// Lets a claimant look at the fold.
     pub fn look(&self, claimant: &mut Claimant, now: Moment) -> Step {
-        claimant.look(&lock(&self.fold), now)
+        claimant.poll(&lock(&self.fold), now)
     }
 
     /// Looks at the fold.
