--- a/crates/sesamegap-policy/src/agreement/lease/holder.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/holder.rs
@@ -7,7 +7,7 @@
 
 /// Spans of time that all controllers of a deployment share.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct LeaseTiming {
     /// How long a lease lasts from its record.
     pub term: Duration,
     /// How much earlier its holder stops, for clocks that run at different rates.
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct Leaseholder {
     me: Holder,
-    terms: Terms,
+    terms: LeaseTiming,
     attempt: Option<Attempt>,
     attempts: u64,
     until: Option<Moment>,
@@ -48,7 +48,7 @@
 
 impl Leaseholder {
     /// Starts without the lease.
-    pub fn new(me: Holder, terms: Terms) -> Self {
+    pub fn new(me: Holder, terms: LeaseTiming) -> Self {
         Self {
             me,
             terms,
--- a/crates/sesamegap-policy/src/agreement/lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/mod.rs
@@ -12,7 +12,7 @@
 
 mod holder;
 
-pub use holder::{Action, Leaseholder, Terms};
+pub use holder::{Action, Leaseholder, LeaseTiming};
 
 use super::Holder;
 use serde::{Deserialize, Serialize};
--- a/crates/sesamegap-policy/tests/agreement/lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/lease.rs
@@ -2,18 +2,18 @@
 
 use crate::support::{FakeLog, Pick, check, finds_fault, holder};
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::agreement::lease::{Action, LeaseRecord, Leaseholder, Leases, Terms};
+use sesamegap_policy::agreement::lease::{Action, LeaseRecord, Leaseholder, Leases, LeaseTiming};
 use sesamegap_wire::{Fence, Moment};
 use std::time::Duration;
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTiming = LeaseTiming {
     term: Duration::from_secs(4),
     margin: Duration::from_millis(400),
     order: Duration::from_secs(2),
 };
 
 /// Broken on purpose: a successor that does not wait for orders still on their way.
-const HASTY: Terms = Terms {
+const HASTY: LeaseTiming = LeaseTiming {
     order: Duration::ZERO,
     ..TERMS
 };
@@ -73,7 +73,7 @@
 }
 
 impl Controller {
-    fn new(index: usize, life: u64, terms: Terms) -> Self {
+    fn new(index: usize, life: u64, terms: LeaseTiming) -> Self {
         Self {
             life,
             paused: false,
@@ -85,7 +85,7 @@
 }
 
 struct World {
-    terms: Terms,
+    terms: LeaseTiming,
     log: FakeLog<LeaseRecord>,
     flying: Vec<LeaseRecord>,
     controllers: Vec<Controller>,
@@ -96,7 +96,7 @@
 }
 
 impl World {
-    fn new(terms: Terms) -> Self {
+    fn new(terms: LeaseTiming) -> Self {
         Self {
             terms,
             log: FakeLog::new(1_000_000),
@@ -211,7 +211,7 @@
     clippy::needless_pass_by_value,
     reason = "quickcheck hands over what it makes"
 )]
-fn orders_never_cross(terms: Terms, ops: Vec<Op>) -> bool {
+fn orders_never_cross(terms: LeaseTiming, ops: Vec<Op>) -> bool {
     let mut world = World::new(terms);
     ops.iter().all(|op| {
         world.act(op);
@@ -241,7 +241,7 @@
 }
 
 /// The leases of one run in which nothing goes wrong pass from holder to holder.
-fn settle(terms: Terms, seconds: u64, silent: Option<usize>) -> Vec<Fence> {
+fn settle(terms: LeaseTiming, seconds: u64, silent: Option<usize>) -> Vec<Fence> {
     let mut world = World::new(terms);
     for tick in 0..seconds * 10 {
         for index in (0..CONTROLLERS).filter(|i| Some(*i) != silent || tick < 100) {
--- a/crates/sesamegap/src/controller/lease.rs
+++ b/crates/sesamegap/src/controller/lease.rs
@@ -7,7 +7,7 @@
 use sesamegap_platform::log::streams;
 use sesamegap_platform::{Log, PlatformError, Reason};
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::lease::{Action, LeaseRecord, Leaseholder, Leases, Terms};
+use sesamegap_policy::agreement::lease::{Action, LeaseRecord, Leaseholder, Leases, LeaseTiming};
 use sesamegap_wire::{Fence, Moment, StreamId, codec};
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 impl LeaseKeeper {
     /// Starts without the lease; `order` is the longest time that an order can take.
     pub fn new(me: Holder, log: Arc<dyn Log>, config: &ProcessConfig, order: Duration) -> Self {
-        let terms = Terms {
+        let terms = LeaseTiming {
             term: config.timing.lease,
             margin: config.timing.lease / MARGIN,
             order,
