--- a/crates/sesamegap-policy/src/agreement/lease/holder.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/holder.rs
@@ -13,7 +13,7 @@
     /// How much earlier its holder stops, for clocks that run at different rates.
     pub margin: Duration,
     /// Longest time that an order can be on its way.
-    pub order: Duration,
+    pub longest_order: Duration,
 }
 
 /// What a process must do next.
@@ -148,7 +148,7 @@
             let rest = if lease.clean {
                 Duration::ZERO
             } else {
-                self.terms.order
+                self.terms.longest_order
             };
             self.quiet = Some(now + rest);
         }
--- a/crates/sesamegap-policy/tests/agreement/lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/lease.rs
@@ -9,12 +9,12 @@
 const TERMS: LeaseTiming = LeaseTiming {
     term: Duration::from_secs(4),
     margin: Duration::from_millis(400),
-    order: Duration::from_secs(2),
+    longest_order: Duration::from_secs(2),
 };
 
 /// Broken on purpose: a successor that does not wait for orders still on their way.
 const HASTY: LeaseTiming = LeaseTiming {
-    order: Duration::ZERO,
+    longest_order: Duration::ZERO,
     ..TERMS
 };
 
--- a/crates/sesamegap/src/controller/lease.rs
+++ b/crates/sesamegap/src/controller/lease.rs
@@ -36,7 +36,7 @@
         let terms = LeaseTiming {
             term: config.timing.lease,
             margin: config.timing.lease / MARGIN,
-            order,
+            longest_order: order,
         };
         Self {
             log,
