--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -77,7 +77,7 @@
 
 /// Spans that all processes of a deployment share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct LeaseTiming {
     /// How long a record gives the lease.
     pub term: Duration,
     /// How long orders rest between two holders.
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 pub struct CasLease {
     me: Holder,
-    terms: Terms,
+    terms: LeaseTiming,
     end: LogPosition,
     fresh: bool,
     last: Option<Seen>,
@@ -124,7 +124,7 @@
 
 impl CasLease {
     /// Starts without the lease and with nothing read.
-    pub fn new(me: Holder, terms: Terms) -> Self {
+    pub fn new(me: Holder, terms: LeaseTiming) -> Self {
         Self {
             me,
             terms,
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -1,10 +1,10 @@
 use quickcheck::{Arbitrary, quickcheck};
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, Step, Terms};
+use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, Step, LeaseTiming};
 use sesamegap_wire::{Fence, Incarnation, LogPosition, Moment, Offset, Timeline};
 use std::time::Duration;
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTiming = LeaseTiming {
     term: Duration::from_millis(1_500),
     rest: Duration::from_secs(3),
 };
@@ -42,7 +42,7 @@
 }
 
 impl World {
-    fn new(count: usize, terms: Terms) -> Self {
+    fn new(count: usize, terms: LeaseTiming) -> Self {
         Self {
             log: Vec::new(),
             timeline: Timeline::default(),
@@ -74,7 +74,7 @@
     }
 
     /// A process is replaced by a new one on its VM.
-    fn restart(&mut self, no: usize, terms: Terms) {
+    fn restart(&mut self, no: usize, terms: LeaseTiming) {
         let incarnation = Incarnation(self.orders.len() as u64 + 100);
         let again = Holder {
             incarnation,
@@ -246,7 +246,7 @@
 /// would find it.
 #[test]
 fn a_lease_without_a_rest_is_caught() {
-    let hasty = Terms {
+    let hasty = LeaseTiming {
         rest: Duration::ZERO,
         ..TERMS
     };
