--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -81,7 +81,7 @@
     /// How long a record gives the lease.
     pub term: Duration,
     /// How long orders rest between two holders.
-    pub rest: Duration,
+    pub handover_delay: Duration,
 }
 
 /// What a process should do about the lease.
@@ -242,7 +242,7 @@
     /// only after the one before it on its VM has ended, so that VM need not wait for itself. Harm prevented:
     /// engines that are shut by their weights for the seconds in which nobody may order.
     fn free_at(&self, now: Moment) -> Moment {
-        let whole = self.terms.term + self.terms.rest;
+        let whole = self.terms.term + self.terms.handover_delay;
         let present = self.last.as_ref();
         let present = present.filter(|seen| seen.claim.timeline == self.end.timeline);
         match (present, self.unsure) {
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -6,7 +6,7 @@
 
 const TERMS: LeaseTiming = LeaseTiming {
     term: Duration::from_millis(1_500),
-    rest: Duration::from_secs(3),
+    handover_delay: Duration::from_secs(3),
 };
 
 fn holder(no: usize) -> Holder {
@@ -247,7 +247,7 @@
 #[test]
 fn a_lease_without_a_rest_is_caught() {
     let hasty = LeaseTiming {
-        rest: Duration::ZERO,
+        handover_delay: Duration::ZERO,
         ..TERMS
     };
     let mut world = World::new(2, hasty);
