--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -78,7 +78,7 @@
         self.free = None;
         if self.may_order().is_none() {
             // What was read before may be old, and a claim on it would only be refused.
-            self.lock().doubt();
+            self.lock().require_read();
         }
         // A claim follows a read, and a read that shows another's record ends the try.
         for _ in 0..3 {
@@ -89,7 +89,7 @@
                     self.free = Some(until);
                     self.tell_wait(until);
                     // Its holder may have gone on since; the next try reads again.
-                    self.lock().doubt();
+                    self.lock().require_read();
                     return None;
                 }
                 Step::Read(from) => {
--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -213,7 +213,7 @@
     }
 
     /// The log must be read again before the next claim.
-    pub fn doubt(&mut self) {
+    pub fn require_read(&mut self) {
         self.fresh = false;
     }
 
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -117,7 +117,7 @@
                     lease.lose();
                 }
             }
-            Step::Wait(_) => lease.doubt(),
+            Step::Wait(_) => lease.require_read(),
             Step::Hold => {
                 if let Some(fence) = lease.may_order(at(now)) {
                     self.orders.push((now, no, fence));
