--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -58,7 +58,7 @@
 
     /// Gives it up, as when an engine has seen a higher fencing number.
     pub fn lose(&self) {
-        self.lock().lose();
+        self.lock().invalidate();
     }
 
     /// How long to wait before trying again.
@@ -157,7 +157,7 @@
                 }
             }
             Err(error) => {
-                self.lock().lose();
+                self.lock().invalidate();
                 info!(event = events::LEASE, %error, at = %at, "lease not held");
             }
         }
--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -152,7 +152,7 @@
                 let claim = self.claim(Some(held.fence));
                 return Step::Append(claim, self.end());
             }
-            self.lose();
+            self.invalidate();
         }
         if !self.fresh {
             return Step::Read(self.end());
@@ -194,7 +194,7 @@
     ///
     /// The lease then counts as lost until the log was read again: the record may be in the log or
     /// come later, and a renewal by guess could overlap another holder's claim.
-    pub fn lose(&mut self) {
+    pub fn invalidate(&mut self) {
         self.held = None;
         self.fresh = false;
     }
@@ -209,7 +209,7 @@
         self.unsure = self.may_order(now).is_none().then_some(now);
         self.end = LogPosition::new(timeline, Offset(0));
         self.last = None;
-        self.lose();
+        self.invalidate();
     }
 
     /// The log must be read again before the next claim.
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -114,7 +114,7 @@
                 if taken && fate == Fate::Answered {
                     lease.appended(claim, place, at(now));
                 } else {
-                    lease.lose();
+                    lease.invalidate();
                 }
             }
             Step::Wait(_) => lease.require_read(),
