--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -166,7 +166,7 @@
     /// The lease on the store's present timeline.
     fn lock(&self) -> MutexGuard<'_, CasLease> {
         let mut lease = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        lease.begin(*self.timeline.borrow(), clock::now());
+        lease.enter_timeline(*self.timeline.borrow(), clock::now());
         lease
     }
 }
--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -166,7 +166,7 @@
 
     /// Takes in what a read showed; `end` is where the log ended.
     pub fn observe(&mut self, claims: &[Claim], end: LogPosition, now: Moment) {
-        self.begin(end.timeline, now);
+        self.enter_timeline(end.timeline, now);
         self.end = end;
         self.fresh = true;
         let Some(claim) = claims.last() else { return };
@@ -202,7 +202,7 @@
     /// The log is on a newer timeline: what was read of it is void, and the lease is lost until it is claimed anew.
     ///
     /// Another process cannot have claimed it on that timeline while this one's term still runs.
-    pub fn begin(&mut self, timeline: Timeline, now: Moment) {
+    pub fn enter_timeline(&mut self, timeline: Timeline, now: Moment) {
         if timeline <= self.end.timeline {
             return;
         }
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -93,7 +93,7 @@
         let lease = &mut self.leases[no];
         match lease.step(at(now)) {
             // Offsets of a former timeline mean nothing: the answer to a read only tells of the newer one.
-            Step::Read(from) if from.timeline < timeline => lease.begin(timeline, at(now)),
+            Step::Read(from) if from.timeline < timeline => lease.enter_timeline(timeline, at(now)),
             Step::Read(from) => {
                 let from = usize::try_from(from.offset.0).expect("small");
                 let seen = self.log.get(from..).unwrap_or_default();
@@ -101,7 +101,7 @@
             }
             Step::Append(claim, place) => {
                 if place.timeline < timeline {
-                    lease.begin(timeline, at(now));
+                    lease.enter_timeline(timeline, at(now));
                     return;
                 }
                 if fate == Fate::LostCall {
@@ -317,7 +317,7 @@
     }
     let before = world.leases[0].may_order(at(3));
     world.restore(1);
-    world.leases[0].begin(world.timeline, at(100));
+    world.leases[0].enter_timeline(world.timeline, at(100));
     assert_eq!(world.leases[0].may_order(at(100)), None);
     for now in [101, 102] {
         world.step(0, now, Fate::Answered);
