--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -23,7 +23,7 @@
 use crate::settings::Settings;
 use rand::Rng;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, Rules, Status};
+use sesamegap_policy::agreement::membership::{Members, News, Probe, MembershipConfig, Status};
 use sesamegap_policy::routing::engines::{rank, seed};
 use sesamegap_wire::{Incarnation, Moment, VmId};
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
             vm: settings.vm.clone(),
             incarnation: Incarnation(clock::unix_ms()),
         };
-        let rules = Rules {
+        let rules = MembershipConfig {
             suspicion: SUSPICION,
             memory: MEMORY,
             indirect: 0,
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -6,7 +6,7 @@
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{ClaimId, ClaimKey, ClaimRecord, Claims};
-use sesamegap_policy::agreement::membership::{Members, News, Rules, Status};
+use sesamegap_policy::agreement::membership::{Members, News, MembershipConfig, Status};
 use sesamegap_wire::codec::{decode, encode};
 use sesamegap_wire::{Incarnation, Moment, Offset, VmId};
 use std::collections::HashMap;
@@ -55,7 +55,7 @@
 
 impl Swarm {
     fn new(size: usize) -> Self {
-        let rules = Rules {
+        let rules = MembershipConfig {
             suspicion: ROUND * 6,
             memory: ROUND * 240,
             indirect: 2,
--- a/crates/sesamegap-policy/src/agreement/membership/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/mod.rs
@@ -14,4 +14,4 @@
 mod table;
 
 pub use news::{News, Status};
-pub use table::{Members, Peer, Probe, Rules};
+pub use table::{Members, Peer, Probe, MembershipConfig};
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -18,7 +18,7 @@
 
 /// Spans and sizes of the rounds.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct MembershipConfig {
     /// How long a suspected peer has to refute it.
     pub suspicion: Duration,
     /// How long a dead peer is remembered, so that late news does not bring it back.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Members {
     me: News,
-    rules: Rules,
+    rules: MembershipConfig,
     peers: BTreeMap<VmId, Peer>,
     seeds: BTreeMap<VmId, SocketAddr>,
     round: Vec<VmId>,
@@ -62,7 +62,7 @@
 
 impl Members {
     /// Starts with nobody but this process, which listens at `addr`.
-    pub fn new(me: Holder, addr: SocketAddr, rules: Rules) -> Self {
+    pub fn new(me: Holder, addr: SocketAddr, rules: MembershipConfig) -> Self {
         let me = News {
             who: me,
             addr,
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -4,7 +4,7 @@
 use quickcheck::{Arbitrary, Gen};
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, Rules, Status};
+use sesamegap_policy::agreement::membership::{Members, News, Probe, MembershipConfig, Status};
 use sesamegap_wire::{Moment, VmId};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 const PEERS: usize = 6;
 const ROUND: Duration = Duration::from_millis(500);
-const RULES: Rules = Rules {
+const RULES: MembershipConfig = MembershipConfig {
     suspicion: Duration::from_secs(3),
     memory: Duration::from_mins(1),
     indirect: 2,
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -14,7 +14,7 @@
 use crate::router::phase::Phase;
 use futures_util::future::join_all;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, Rules, Status};
+use sesamegap_policy::agreement::membership::{Members, News, Probe, MembershipConfig, Status};
 use sesamegap_wire::{Offset, VmId};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -44,7 +44,7 @@
     /// Starts with nobody but this router, which listens at `addr`; `round` is the time between
     /// two probes.
     pub fn new(me: Holder, addr: SocketAddr, clock: Clock, round: Duration) -> Self {
-        let rules = Rules {
+        let rules = MembershipConfig {
             suspicion: round * SUSPICION_ROUNDS,
             memory: round * MEMORY_ROUNDS,
             indirect: INDIRECT,
