--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -127,7 +127,7 @@
     let source = welcome.me.who.vm.to_smolstr();
     {
         let mut members = core.peers.lock();
-        members.heard(&welcome.me, now);
+        members.apply_update(&welcome.me, now);
         members.take(&welcome.news, now);
     }
     learn(core, welcome.document, &welcome.weights, &source);
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -172,7 +172,7 @@
 
     /// Takes in what a peer says of itself.
     pub fn hear(&self, news: &News, now: Moment) {
-        self.lock().heard(news, now);
+        self.lock().apply_update(news, now);
     }
 
     /// Takes the store's list of entry VMs.
--- a/crates/sesamegap-entry/src/peers/server.rs
+++ b/crates/sesamegap-entry/src/peers/server.rs
@@ -26,7 +26,7 @@
     let source = hello.me.who.vm.to_smolstr();
     let (me, news) = {
         let mut members = core.peers.lock();
-        members.heard(&hello.me, now);
+        members.apply_update(&hello.me, now);
         members.take(&hello.news, now);
         (members.me().clone(), members.give())
     };
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -94,11 +94,11 @@
         };
         let asker = self.nodes[from].me().clone();
         self.nodes[to].take(&probe.news, self.now);
-        self.nodes[to].heard(&asker, self.now);
+        self.nodes[to].apply_update(&asker, self.now);
         let back = self.nodes[to].give();
         let answer = self.nodes[to].me().clone();
         self.nodes[from].take(&back, self.now);
-        self.nodes[from].heard(&answer, self.now);
+        self.nodes[from].apply_update(&answer, self.now);
         self.took += start.elapsed();
         self.turns += 1;
         for message in [(&asker, &probe.news), (&answer, &back)] {
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -149,7 +149,7 @@
     }
 
     /// Takes what a peer said of itself in a probe or in its answer to one.
-    pub fn heard(&mut self, news: &News, now: Moment) {
+    pub fn apply_update(&mut self, news: &News, now: Moment) {
         self.learn(news, now);
     }
 
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -104,11 +104,11 @@
         let asker = self.node(from).me().clone();
         let target = self.node(to);
         target.take(news, now);
-        target.heard(&asker, now);
+        target.apply_update(&asker, now);
         let answer = target.me().clone();
         let back = target.give();
         let asker = self.node(from);
-        asker.heard(&answer, now);
+        asker.apply_update(&answer, now);
         asker.take(&back, now);
     }
 
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -77,7 +77,7 @@
         let now = self.clock.now();
         let mut members = lock(&self.members);
         members.take(&heard.news, now);
-        members.heard(&heard.from, now);
+        members.apply_update(&heard.from, now);
     }
 
     /// Answers a probe, after taking in what it says.
