--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -128,7 +128,7 @@
     {
         let mut members = core.peers.lock();
         members.apply_update(&welcome.me, now);
-        members.take(&welcome.news, now);
+        members.apply_updates(&welcome.news, now);
     }
     learn(core, welcome.document, &welcome.weights, &source);
     Ok(())
--- a/crates/sesamegap-entry/src/peers/server.rs
+++ b/crates/sesamegap-entry/src/peers/server.rs
@@ -27,7 +27,7 @@
     let (me, news) = {
         let mut members = core.peers.lock();
         members.apply_update(&hello.me, now);
-        members.take(&hello.news, now);
+        members.apply_updates(&hello.news, now);
         (members.me().clone(), members.give())
     };
     learn(&core, None, &hello.weights, &source);
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -93,11 +93,11 @@
             return;
         };
         let asker = self.nodes[from].me().clone();
-        self.nodes[to].take(&probe.news, self.now);
+        self.nodes[to].apply_updates(&probe.news, self.now);
         self.nodes[to].apply_update(&asker, self.now);
         let back = self.nodes[to].give();
         let answer = self.nodes[to].me().clone();
-        self.nodes[from].take(&back, self.now);
+        self.nodes[from].apply_updates(&back, self.now);
         self.nodes[from].apply_update(&answer, self.now);
         self.took += start.elapsed();
         self.turns += 1;
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -167,7 +167,7 @@
     }
 
     /// Takes news that came along with a message.
-    pub fn take(&mut self, news: &[News], now: Moment) {
+    pub fn apply_updates(&mut self, news: &[News], now: Moment) {
         for piece in news.iter().take(PIGGYBACK * 2) {
             self.learn(piece, now);
         }
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -103,13 +103,13 @@
         let now = self.now;
         let asker = self.node(from).me().clone();
         let target = self.node(to);
-        target.take(news, now);
+        target.apply_updates(news, now);
         target.apply_update(&asker, now);
         let answer = target.me().clone();
         let back = target.give();
         let asker = self.node(from);
         asker.apply_update(&answer, now);
-        asker.take(&back, now);
+        asker.apply_updates(&back, now);
     }
 
     fn node(&mut self, index: usize) -> &mut Members {
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -76,7 +76,7 @@
     fn take(&self, heard: &Probed) {
         let now = self.clock.now();
         let mut members = lock(&self.members);
-        members.take(&heard.news, now);
+        members.apply_updates(&heard.news, now);
         members.apply_update(&heard.from, now);
     }
 
