--- a/crates/sesamegap-entry/src/peers/server.rs
+++ b/crates/sesamegap-entry/src/peers/server.rs
@@ -28,7 +28,7 @@
         let mut members = core.peers.lock();
         members.apply_update(&hello.me, now);
         members.apply_updates(&hello.news, now);
-        (members.me().clone(), members.give())
+        (members.me().clone(), members.select_updates())
     };
     learn(&core, None, &hello.weights, &source);
     let catalogue = core.catalogue();
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -95,7 +95,7 @@
         let asker = self.nodes[from].me().clone();
         self.nodes[to].apply_updates(&probe.news, self.now);
         self.nodes[to].apply_update(&asker, self.now);
-        let back = self.nodes[to].give();
+        let back = self.nodes[to].select_updates();
         let answer = self.nodes[to].me().clone();
         self.nodes[from].apply_updates(&back, self.now);
         self.nodes[from].apply_update(&answer, self.now);
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -136,7 +136,7 @@
             if let Some(addr) = self.addr_of(&vm) {
                 let through = self.pick_others(&vm, rng);
                 let belief = self.peers.get(&vm).map(|peer| peer.news.clone());
-                let news = belief.into_iter().chain(self.give()).collect();
+                let news = belief.into_iter().chain(self.select_updates()).collect();
                 return Some(Probe {
                     target: vm,
                     addr,
@@ -174,7 +174,7 @@
     }
 
     /// News to send along with a message, freshest first.
-    pub fn give(&mut self) -> Vec<News> {
+    pub fn select_updates(&mut self) -> Vec<News> {
         let most = REPEATS * (usize::BITS - self.peers.len().leading_zeros() + 1);
         let mut fresh: Vec<&mut Peer> = self
             .peers
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -106,7 +106,7 @@
         target.apply_updates(news, now);
         target.apply_update(&asker, now);
         let answer = target.me().clone();
-        let back = target.give();
+        let back = target.select_updates();
         let asker = self.node(from);
         asker.apply_update(&answer, now);
         asker.apply_updates(&back, now);
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -83,7 +83,7 @@
     /// Answers a probe, after taking in what it says.
     pub fn answer(&self, probe: &Probed) -> Probed {
         self.take(probe);
-        let news = lock(&self.members).give();
+        let news = lock(&self.members).select_updates();
         self.message(news)
     }
 
