--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -60,7 +60,7 @@
                 let found = ask(&core, probe.addr, probe.news).await;
                 if let Err(error) = found {
                     warn!(event = events::PEER, peer = %probe.target, error, "no answer to a probe");
-                    core.peers.lock().missed(&probe.target, clock::now());
+                    core.peers.lock().probe_failed(&probe.target, clock::now());
                 }
             });
         }
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -154,7 +154,7 @@
     }
 
     /// Notes that a peer answered neither us nor the peers asked in our place.
-    pub fn missed(&mut self, vm: &VmId, now: Moment) {
+    pub fn probe_failed(&mut self, vm: &VmId, now: Moment) {
         let Some(peer) = self.peers.get(vm) else {
             return;
         };
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -93,7 +93,7 @@
         });
         if !direct && helper.is_none() {
             let now = self.now;
-            self.node(from).missed(&probe.target, now);
+            self.node(from).probe_failed(&probe.target, now);
             return;
         }
         self.exchange(from, to, &probe.news);
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -175,7 +175,7 @@
         return;
     }
     let now = core.members.clock.now();
-    lock(&core.members.members).missed(&probe.target, now);
+    lock(&core.members.members).probe_failed(&probe.target, now);
 }
 
 /// Asks others to probe in this router's place; the first answer counts.
