--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Where the platform's list says that other entry VMs are.
-    pub fn listed(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn seed_addrs(&self) -> impl Iterator<Item = SocketAddr> {
         self.seeds.values().copied()
     }
 
