--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use sesamegap_policy::agreement::membership::News;
+use sesamegap_policy::agreement::membership::MemberUpdate;
 use smol_str::ToSmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -115,7 +115,7 @@
     }
 }
 
-async fn ask(core: &Core, addr: SocketAddr, news: Vec<News>) -> Result<(), String> {
+async fn ask(core: &Core, addr: SocketAddr, news: Vec<MemberUpdate>) -> Result<(), String> {
     let hello = Hello {
         me: core.peers.me_now(),
         news,
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -6,7 +6,7 @@
 use crate::ports::Weights;
 use crate::telemetry::events;
 use serde::{Deserialize, Serialize};
-use sesamegap_policy::agreement::membership::News;
+use sesamegap_policy::agreement::membership::MemberUpdate;
 use sesamegap_policy::routing::weights::{Named, Naming};
 use sesamegap_wire::{Incarnation, Moment, UpstreamId};
 use smol_str::SmolStr;
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender.
-    pub me: News,
+    pub me: MemberUpdate,
     /// What it heard of others.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
     /// Revision of its document.
     pub revision: Revision,
     /// Weights named to it, those too that newer ones have overtaken: engines may be behind them.
@@ -31,9 +31,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Welcome {
     /// The sender.
-    pub me: News,
+    pub me: MemberUpdate,
     /// What it heard of others.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
     /// Revision of its document.
     pub revision: Revision,
     /// Its document, if newer than the asker's.
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -23,7 +23,7 @@
 use crate::settings::Settings;
 use rand::Rng;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{Members, MemberUpdate, Probe, MembershipConfig, Status};
 use sesamegap_policy::routing::engines::{rank, seed};
 use sesamegap_wire::{Incarnation, Moment, VmId};
 use std::net::SocketAddr;
@@ -171,7 +171,7 @@
     }
 
     /// Takes in what a peer says of itself.
-    pub fn hear(&self, news: &News, now: Moment) {
+    pub fn hear(&self, news: &MemberUpdate, now: Moment) {
         self.lock().apply_update(news, now);
     }
 
@@ -193,7 +193,7 @@
         self.lock().tick(clock::now(), rng)
     }
 
-    fn me_now(&self) -> News {
+    fn me_now(&self) -> MemberUpdate {
         self.lock().me().clone()
     }
 }
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -110,9 +110,9 @@
 #[tokio::test]
 async fn a_vm_of_the_release_before_is_still_heard() {
     use sesamegap_policy::agreement::Holder;
-    use sesamegap_policy::agreement::membership::{News, Status};
+    use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
     let newer = vm("new-1", Vec::new()).await;
-    let me = News {
+    let me = MemberUpdate {
         who: Holder {
             vm: "old-1".parse().unwrap(),
             incarnation: sesamegap_wire::Incarnation(1),
@@ -125,7 +125,7 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let none: Vec<News> = Vec::new();
+    let none: Vec<MemberUpdate> = Vec::new();
     let hello = (me, none, Revision(1), vec![(weights, 500_u64)]);
     let addr = newer.settings().listen.peers;
     let answer = reqwest::Client::new()
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -8,7 +8,7 @@
 use sesamegap_entry::placing::choose;
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{News, Status};
+use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
 use sesamegap_policy::routing::engines::{Prefix, Prompt};
 use sesamegap_wire::{Incarnation, ServiceId, UpstreamId};
 use std::net::{IpAddr, SocketAddr};
@@ -41,7 +41,7 @@
 }
 
 fn knows(core: &Core, name: &str, addr: SocketAddr) {
-    let news = News {
+    let news = MemberUpdate {
         who: Holder {
             vm: name.parse().unwrap(),
             incarnation: Incarnation(1),
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -5,7 +5,7 @@
 use sesamegap_entry::peers;
 use sesamegap_entry::ports::{Batch, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
-use sesamegap_policy::agreement::membership::{News, Status};
+use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
 use sesamegap_wire::{UpstreamId, WeightsVersion};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 
 fn knows(core: &Core, other: &Core) {
     core.peers.hear(
-        &News {
+        &MemberUpdate {
             who: other.peers.me().clone(),
             addr: other.settings().listen.peers,
             version: 0,
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -6,7 +6,7 @@
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{ClaimId, ClaimKey, ClaimRecord, Claims};
-use sesamegap_policy::agreement::membership::{Members, News, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{Members, MemberUpdate, MembershipConfig, Status};
 use sesamegap_wire::codec::{decode, encode};
 use sesamegap_wire::{Incarnation, Moment, Offset, VmId};
 use std::collections::HashMap;
@@ -120,7 +120,7 @@
     }
 
     /// Rounds until every process but the first believes what `of` asks of the first.
-    fn until(&mut self, of: impl Fn(Option<&News>) -> bool) -> usize {
+    fn until(&mut self, of: impl Fn(Option<&MemberUpdate>) -> bool) -> usize {
         for round in 0..MOST_ROUNDS {
             let first = vm(0);
             let news = |node: &Members| of(node.peer(&first).map(|peer| &peer.news));
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -1,6 +1,6 @@
 //! The table of peers and the rounds of probes.
 
-use super::{News, Status};
+use super::{MemberUpdate, Status};
 use crate::agreement::Holder;
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt};
@@ -37,14 +37,14 @@
     /// Peers that can probe it in our place, should it not answer us.
     pub through: Vec<SocketAddr>,
     /// News to send along; what is believed of the target comes first, so that it can refute it.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
 }
 
 /// A peer as believed now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The newest that was heard.
-    pub news: News,
+    pub news: MemberUpdate,
     /// Since when.
     pub since: Moment,
     spread: u32,
@@ -53,7 +53,7 @@
 /// All peers of one process.
 #[derive(Debug)]
 pub struct Members {
-    me: News,
+    me: MemberUpdate,
     rules: MembershipConfig,
     peers: BTreeMap<VmId, Peer>,
     seeds: BTreeMap<VmId, SocketAddr>,
@@ -63,7 +63,7 @@
 impl Members {
     /// Starts with nobody but this process, which listens at `addr`.
     pub fn new(me: Holder, addr: SocketAddr, rules: MembershipConfig) -> Self {
-        let me = News {
+        let me = MemberUpdate {
             who: me,
             addr,
             version: 0,
@@ -100,7 +100,7 @@
     }
 
     /// What this process says of itself.
-    pub fn me(&self) -> &News {
+    pub fn me(&self) -> &MemberUpdate {
         &self.me
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Takes what a peer said of itself in a probe or in its answer to one.
-    pub fn apply_update(&mut self, news: &News, now: Moment) {
+    pub fn apply_update(&mut self, news: &MemberUpdate, now: Moment) {
         self.learn(news, now);
     }
 
@@ -167,14 +167,14 @@
     }
 
     /// Takes news that came along with a message.
-    pub fn apply_updates(&mut self, news: &[News], now: Moment) {
+    pub fn apply_updates(&mut self, news: &[MemberUpdate], now: Moment) {
         for piece in news.iter().take(PIGGYBACK * 2) {
             self.learn(piece, now);
         }
     }
 
     /// News to send along with a message, freshest first.
-    pub fn select_updates(&mut self) -> Vec<News> {
+    pub fn select_updates(&mut self) -> Vec<MemberUpdate> {
         let most = REPEATS * (usize::BITS - self.peers.len().leading_zeros() + 1);
         let mut fresh: Vec<&mut Peer> = self
             .peers
@@ -191,7 +191,7 @@
             .collect()
     }
 
-    fn learn(&mut self, news: &News, now: Moment) {
+    fn learn(&mut self, news: &MemberUpdate, now: Moment) {
         if news.who.vm == self.me.who.vm {
             self.refute(news);
             return;
@@ -212,7 +212,7 @@
     ///
     /// A pause or a broken link makes peers suspect a live process. If nothing refuted that, the
     /// process would stay dead to them for good, and callers would not be sent to it.
-    fn refute(&mut self, news: &News) {
+    fn refute(&mut self, news: &MemberUpdate) {
         let about_us = news.who.incarnation == self.me.who.incarnation;
         let wrong = matches!(news.status, Status::Suspect | Status::Dead);
         if about_us && wrong && news.version >= self.me.version {
--- a/crates/sesamegap-policy/src/agreement/membership/news.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/update.rs
@@ -20,7 +20,7 @@
 
 /// One process as another believes it to be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct MemberUpdate {
     /// The process.
     pub who: Holder,
     /// Where it listens.
@@ -31,7 +31,7 @@
     pub status: Status,
 }
 
-impl News {
+impl MemberUpdate {
     /// Whether this replaces `other`, which is of the same VM.
     ///
     /// A newer life wins, then the process's own newer word, then the graver belief: so all who
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -4,7 +4,7 @@
 use quickcheck::{Arbitrary, Gen};
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{Members, MemberUpdate, Probe, MembershipConfig, Status};
 use sesamegap_wire::{Moment, VmId};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
         self.exchange(from, to, &probe.news);
     }
 
-    fn exchange(&mut self, from: usize, to: usize, news: &[News]) {
+    fn exchange(&mut self, from: usize, to: usize, news: &[MemberUpdate]) {
         let now = self.now;
         let asker = self.node(from).me().clone();
         let target = self.node(to);
--- a/crates/sesamegap/src/router/peers/message.rs
+++ b/crates/sesamegap/src/router/peers/message.rs
@@ -1,7 +1,7 @@
 //! What routers say to each other.
 
 use serde::{Deserialize, Serialize};
-use sesamegap_policy::agreement::membership::News;
+use sesamegap_policy::agreement::membership::MemberUpdate;
 use sesamegap_wire::peer::Digest;
 use sesamegap_wire::{ClassId, Incarnation, Offset, RequestId, TeamId, VmId};
 use smol_str::SmolStr;
@@ -59,9 +59,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probed {
     /// What the sender says of itself.
-    pub from: News,
+    pub from: MemberUpdate,
     /// What it believes of others.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
 }
 
 /// Asks a router to probe another in the asker's place.
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -14,7 +14,7 @@
 use crate::router::phase::Phase;
 use futures_util::future::join_all;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{Members, MemberUpdate, Probe, MembershipConfig, Status};
 use sesamegap_wire::{Offset, VmId};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -66,7 +66,7 @@
         lock(&self.members).tick(self.clock.now(), &mut rand::rng())
     }
 
-    fn message(&self, news: Vec<News>) -> Probed {
+    fn message(&self, news: Vec<MemberUpdate>) -> Probed {
         Probed {
             from: lock(&self.members).me().clone(),
             news,
@@ -93,12 +93,12 @@
     }
 
     /// All that is believed, for a dump.
-    pub fn beliefs(&self) -> Vec<News> {
+    pub fn beliefs(&self) -> Vec<MemberUpdate> {
         let members = lock(&self.members);
         members.peers().map(|peer| peer.news.clone()).collect()
     }
 
-    fn belief(&self, vm: &VmId) -> Option<News> {
+    fn belief(&self, vm: &VmId) -> Option<MemberUpdate> {
         let members = lock(&self.members);
         members.peer(vm).map(|peer| peer.news.clone())
     }
