--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -80,7 +80,8 @@
 /// Asks some VMs that the store lists: those that the settings name may all be down.
 async fn ask_listed(core: Arc<Core>) {
     let until = clock::now() + LISTED;
-    let listed = || -> Vec<SocketAddr> { core.peers.lock().seed_addrs().take(MOST_ASKED).collect() };
+    let listed =
+        || -> Vec<SocketAddr> { core.peers.lock().seed_addrs().take(MOST_ASKED).collect() };
     while listed().is_empty() && clock::now() < until {
         sleep(LISTED / 5).await;
     }
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -23,7 +23,9 @@
 use crate::settings::Settings;
 use rand::Rng;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, MemberUpdate, Probe, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{
+    MemberUpdate, Members, MembershipConfig, Probe, Status,
+};
 use sesamegap_policy::routing::engines::{rank, seed};
 use sesamegap_wire::{Incarnation, Moment, VmId};
 use std::net::SocketAddr;
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -6,7 +6,7 @@
 use crate::telemetry::events;
 use bytes::Bytes;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, Step, LeaseTiming};
+use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, LeaseTiming, Step};
 use sesamegap_wire::{Fence, LogPosition, Moment, Timeline};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -10,7 +10,7 @@
 use crate::ports::{Batch, Records, Reply, Store, StoreError, Table};
 use crate::telemetry::events;
 use bytes::Bytes;
-use sesamegap_policy::agreement::timelines::{TimelineTracker, TimelineStatus};
+use sesamegap_policy::agreement::timelines::{TimelineStatus, TimelineTracker};
 use sesamegap_policy::quarantine;
 use sesamegap_wire::{LogPosition, Moment, Timeline, VmId};
 use std::net::SocketAddr;
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -6,7 +6,7 @@
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{ClaimId, ClaimKey, ClaimRecord, Claims};
-use sesamegap_policy::agreement::membership::{Members, MemberUpdate, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{MemberUpdate, Members, MembershipConfig, Status};
 use sesamegap_wire::codec::{decode, encode};
 use sesamegap_wire::{Incarnation, Moment, Offset, VmId};
 use std::collections::HashMap;
--- a/crates/sesamegap-policy/src/agreement/claims/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/mod.rs
@@ -18,7 +18,7 @@
 mod fold;
 
 pub use age::{KeyAge, KeyValidity};
-pub use claimant::{Appended, Claimant, Step, ClaimOutcome};
+pub use claimant::{Appended, ClaimOutcome, Claimant, Step};
 pub use fold::{Claims, KeyState};
 
 use super::Holder;
--- a/crates/sesamegap-policy/src/agreement/lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/mod.rs
@@ -12,7 +12,7 @@
 
 mod holder;
 
-pub use holder::{Action, Leaseholder, LeaseTiming};
+pub use holder::{Action, LeaseTiming, Leaseholder};
 
 use super::Holder;
 use serde::{Deserialize, Serialize};
--- a/crates/sesamegap-policy/src/agreement/membership/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/mod.rs
@@ -10,8 +10,8 @@
 //! A round costs one probe, and now and then a few indirect ones, however many peers there are;
 //! news reaches all in a number of rounds that grows with the logarithm of their number.
 
-mod update;
 mod table;
+mod update;
 
+pub use table::{Members, MembershipConfig, Peer, Probe};
 pub use update::{MemberUpdate, Status};
-pub use table::{Members, Peer, Probe, MembershipConfig};
--- a/crates/sesamegap-policy/src/agreement/timelines.rs
+++ b/crates/sesamegap-policy/src/agreement/timelines.rs
@@ -50,7 +50,9 @@
     /// Takes in what an answer states.
     pub fn observe(&mut self, stated: ReportedTimeline) -> TimelineStatus {
         match stated {
-            ReportedTimeline::At(timeline) if timeline < self.present => TimelineStatus::Former(timeline),
+            ReportedTimeline::At(timeline) if timeline < self.present => {
+                TimelineStatus::Former(timeline)
+            }
             ReportedTimeline::At(timeline) => {
                 self.stated = true;
                 let former = std::mem::replace(&mut self.present, timeline);
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -1,6 +1,6 @@
 use quickcheck::{Arbitrary, quickcheck};
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, Step, LeaseTiming};
+use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, LeaseTiming, Step};
 use sesamegap_wire::{Fence, Incarnation, LogPosition, Moment, Offset, Timeline};
 use std::time::Duration;
 
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -3,8 +3,8 @@
 use crate::support::{FakeLog, Pick, check, finds_fault, holder};
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, Claims, KeyAge, KeyValidity, KeyState, Step,
-    ClaimOutcome,
+    Appended, ClaimId, ClaimKey, ClaimOutcome, ClaimRecord, Claimant, Claims, KeyAge, KeyState,
+    KeyValidity, Step,
 };
 use sesamegap_wire::{Moment, Offset};
 use std::collections::{HashMap, HashSet};
@@ -383,5 +383,8 @@
     assert_eq!(life.classify(text, made + 59_000), KeyAge::Stale);
     assert_eq!(life.classify(text, made - 2_000), KeyAge::InFuture);
     assert_eq!(life.classify("order-17", made), KeyAge::Untimed);
-    assert_eq!(life.classify("ééééééééé-é-7é-é-ééééé", made), KeyAge::Untimed);
+    assert_eq!(
+        life.classify("ééééééééé-é-7é-é-ééééé", made),
+        KeyAge::Untimed
+    );
 }
--- a/crates/sesamegap-policy/tests/agreement/lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{FakeLog, Pick, check, finds_fault, holder};
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::agreement::lease::{Action, LeaseRecord, Leaseholder, Leases, LeaseTiming};
+use sesamegap_policy::agreement::lease::{Action, LeaseRecord, LeaseTiming, Leaseholder, Leases};
 use sesamegap_wire::{Fence, Moment};
 use std::time::Duration;
 
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -4,7 +4,9 @@
 use quickcheck::{Arbitrary, Gen};
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::agreement::membership::{Members, MemberUpdate, Probe, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{
+    MemberUpdate, Members, MembershipConfig, Probe, Status,
+};
 use sesamegap_wire::{Moment, VmId};
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/sesamegap-policy/tests/agreement/timelines.rs
+++ b/crates/sesamegap-policy/tests/agreement/timelines.rs
@@ -1,11 +1,14 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sesamegap_policy::agreement::timelines::{ReportedTimeline, TimelineTracker, TimelineStatus};
+use sesamegap_policy::agreement::timelines::{ReportedTimeline, TimelineStatus, TimelineTracker};
 use sesamegap_wire::{LogPosition, Offset, Timeline};
 
 #[test]
 fn a_store_that_states_no_timeline_has_one() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.observe(ReportedTimeline::Missing), TimelineStatus::Present);
+    assert_eq!(
+        timelines.observe(ReportedTimeline::Missing),
+        TimelineStatus::Present
+    );
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -13,9 +16,18 @@
 #[test]
 fn an_answer_that_states_none_where_one_was_stated_is_unknown() {
     let mut timelines = TimelineTracker::default();
-    assert_eq!(timelines.observe(ReportedTimeline::At(Timeline(0))), TimelineStatus::Present);
-    assert_eq!(timelines.observe(ReportedTimeline::Missing), TimelineStatus::Unknown);
-    assert_eq!(timelines.observe(ReportedTimeline::Malformed), TimelineStatus::Unknown);
+    assert_eq!(
+        timelines.observe(ReportedTimeline::At(Timeline(0))),
+        TimelineStatus::Present
+    );
+    assert_eq!(
+        timelines.observe(ReportedTimeline::Missing),
+        TimelineStatus::Unknown
+    );
+    assert_eq!(
+        timelines.observe(ReportedTimeline::Malformed),
+        TimelineStatus::Unknown
+    );
     assert_eq!(timelines.present(), Timeline(0));
 }
 
@@ -122,7 +134,8 @@
             self.view.clear();
             self.next = LogPosition::new(present, Offset(0));
         }
-        let fits = verdict != TimelineStatus::Unknown && !matches!(verdict, TimelineStatus::Former(_));
+        let fits =
+            verdict != TimelineStatus::Unknown && !matches!(verdict, TimelineStatus::Former(_));
         if !fits || from != self.next {
             return;
         }
--- a/crates/sesamegap/src/controller/lease.rs
+++ b/crates/sesamegap/src/controller/lease.rs
@@ -7,7 +7,7 @@
 use sesamegap_platform::log::streams;
 use sesamegap_platform::{Log, PlatformError, Reason};
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::lease::{Action, LeaseRecord, Leaseholder, Leases, LeaseTiming};
+use sesamegap_policy::agreement::lease::{Action, LeaseRecord, LeaseTiming, Leaseholder, Leases};
 use sesamegap_wire::{Fence, Moment, StreamId, codec};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -26,7 +26,8 @@
 use runs::Runs;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyValidity, KeyState, Step, ClaimOutcome,
+    Appended, ClaimId, ClaimKey, ClaimOutcome, ClaimRecord, Claimant, KeyAge, KeyState,
+    KeyValidity, Step,
 };
 use sesamegap_policy::agreement::tickets::{Admission, Ticket, Tickets};
 use sesamegap_wire::{RequestId, TeamId};
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -14,7 +14,9 @@
 use crate::router::phase::Phase;
 use futures_util::future::join_all;
 use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, MemberUpdate, Probe, MembershipConfig, Status};
+use sesamegap_policy::agreement::membership::{
+    MemberUpdate, Members, MembershipConfig, Probe, Status,
+};
 use sesamegap_wire::{Offset, VmId};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
