--- a/crates/sesamegap-policy/src/agreement/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/mod.rs
@@ -1,11 +1,14 @@
-//! Rules by which processes agree through the platform's log, or without it.
+//! Coordination protocols between processes, with or without the platform's log.
 //!
-//! [`claims`] decides which router may run a request that carries its caller's idempotency key,
-//! [`tickets`] does the same for keys that a router minted and needs no log, [`lease`] decides
-//! which controller may give orders, and [`membership`] which peers are alive. [`timelines`] tells
-//! which history of the log an answer belongs to. All are step
-//! machines: what a process hears goes in, what it must do comes out. So a test can pause, crash
-//! and reorder at every step.
+//! - [`claims`] decides which router may run a request that carries its caller's idempotency key.
+//! - [`tickets`] does the same for keys issued by a router, without the log.
+//! - [`lease`] decides which controller may give orders to engines.
+//! - [`cas_lease`] is a lease on a log that supports conditional appends but has no timestamps.
+//! - [`membership`] detects which peers are alive.
+//! - [`timelines`] tells which history of a restored log a response belongs to.
+//!
+//! All are state machines without I/O: inputs are messages and the time, outputs are the actions to
+//! take. Tests can therefore pause, crash and reorder processes between any two steps.
 
 pub mod cas_lease;
 pub mod claims;
@@ -18,12 +21,12 @@
 use sesamegap_wire::{Incarnation, VmId};
 use std::fmt;
 
-/// One life of one process.
+/// Identity of a process: its VM and its incarnation there.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
-    /// VM it runs on.
+    /// VM that the process runs on.
     pub vm: VmId,
-    /// Its incarnation there.
+    /// Incarnation of the process, which changes when it restarts.
     pub incarnation: Incarnation,
 }
 
--- a/crates/sesamegap-policy/src/agreement/tickets/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/tickets/mod.rs
@@ -1,13 +1,13 @@
-//! Idempotency keys that a router mints, so that no log is needed to run a request once.
+//! Idempotency keys issued by a router, which ensure at-most-once execution without the log.
 //!
-//! A ticket names the incarnation that minted it, and only that incarnation ever runs a request
-//! under it. Any other router relays to it, and if it is gone answers `ran: unknown` and never
-//! runs the request. So no state is shared, and non-repeatable requests keep working while the
-//! log is down.
+//! A ticket names the incarnation that issued it, and only that incarnation runs a request under
+//! it. Every other router relays the request to that incarnation; if it is gone, the router answers
+//! `ran: unknown` and never runs the request. Routers share no state, so non-repeatable requests
+//! keep working while the log is down.
 //!
-//! The book of used tickets is bounded: a ticket can be used for its life, and the book remembers
-//! a used one for twice as long. In between, an unused ticket is refused as certainly not run;
-//! after that nobody can tell.
+//! Memory is bounded: a ticket is valid for its lifetime and is remembered for twice as long.
+//! Between the two, an unused ticket is refused as certainly not run; after that, whether it ran is
+//! unknown.
 
 use super::Holder;
 use sesamegap_wire::{Incarnation, Moment, ParseError, TeamId, VmId};
@@ -18,14 +18,14 @@
 
 const ALLOWED: &str = "`t~VM~INCARNATION~NUMBER~MINTED`, the last three in hexadecimal";
 
-/// A key minted by a router.
+/// An idempotency key issued by a router.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ticket {
-    /// The only process that may run it.
+    /// The issuing process, which is the only one that may run a request under the ticket.
     pub holder: Holder,
-    /// Counts the tickets of this incarnation.
+    /// Sequence number among the tickets of this incarnation.
     pub number: u64,
-    /// When it was minted, on the minting router's clock.
+    /// When the ticket was issued, by the issuing router's clock.
     pub minted: Moment,
 }
 
@@ -39,16 +39,16 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let shown = || text.chars().take(128).collect::<String>();
-        let wrong = || ParseError::new("ticket", shown(), ALLOWED);
-        let hex = |part: &str| u64::from_str_radix(part, 16).map_err(|_| wrong());
+        let excerpt = || text.chars().take(128).collect::<String>();
+        let invalid = || ParseError::new("ticket", excerpt(), ALLOWED);
+        let hex = |part: &str| u64::from_str_radix(part, 16).map_err(|_| invalid());
         let parts: Vec<&str> = text.splitn(6, '~').collect();
         let ["t", vm, incarnation, number, minted] = parts[..] else {
-            return Err(wrong());
+            return Err(invalid());
         };
         Ok(Self {
             holder: Holder {
-                vm: vm.parse::<VmId>().map_err(|_| wrong())?,
+                vm: vm.parse::<VmId>().map_err(|_| invalid())?,
                 incarnation: Incarnation(hex(incarnation)?),
             },
             number: hex(number)?,
@@ -57,78 +57,80 @@
     }
 }
 
-/// What may be done under a ticket.
+/// Result of presenting a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// Run the request: it is now used.
+    /// Run the request; the ticket is now marked as used.
     Run,
-    /// It was used before; the kept answer or the running stream is the answer.
+    /// The ticket was used before; reply with the stored response or the running stream.
     Used,
-    /// Another life minted it: relay there, never run here.
+    /// Another incarnation issued the ticket: relay the request there and never run it here.
     Other(Holder),
-    /// Certainly not run: too old to be used, and remembered as unused.
+    /// The ticket is past its lifetime and was never used, so the request certainly did not run.
     Expired,
-    /// Too old for anybody to tell.
+    /// The ticket is no longer remembered, so whether the request ran is unknown.
     Unknown,
-    /// Not minted by this router for this team.
+    /// This router did not issue the ticket to this team.
     Forged,
 }
 
 #[derive(Debug)]
-struct Used {
+struct QueuedTicket {
     number: u64,
     minted: Moment,
 }
 
-/// The tickets of one incarnation.
+/// The tickets issued by one incarnation.
 #[derive(Debug)]
 pub struct Tickets {
     holder: Holder,
-    life: Duration,
-    minted: u64,
-    owners: HashMap<u64, Minted>,
-    order: VecDeque<Used>,
-    most: usize,
+    lifetime: Duration,
+    next_number: u64,
+    /// Remembered tickets by number.
+    remembered: HashMap<u64, TicketState>,
+    /// Remembered tickets in the order of issue, which is the order of eviction.
+    eviction_queue: VecDeque<QueuedTicket>,
+    capacity: usize,
 }
 
 #[derive(Debug)]
-struct Minted {
+struct TicketState {
     team: TeamId,
-    moment: Moment,
+    minted: Moment,
     used: bool,
 }
 
 impl Tickets {
-    /// Opens the book of one incarnation, holding at most `most` tickets that can still be told.
-    pub fn new(holder: Holder, life: Duration, most: usize) -> Self {
+    /// Starts without tickets; remembers at most `capacity` of them at a time.
+    pub fn new(holder: Holder, lifetime: Duration, capacity: usize) -> Self {
         Self {
             holder,
-            life,
-            minted: 0,
-            owners: HashMap::new(),
-            order: VecDeque::new(),
-            most,
+            lifetime,
+            next_number: 0,
+            remembered: HashMap::new(),
+            eviction_queue: VecDeque::new(),
+            capacity,
         }
     }
 
-    /// Mints a ticket, or nothing while the book is full of younger ones.
+    /// Issues a ticket, or returns `None` while `capacity` tickets are remembered.
     ///
-    /// The bound keeps a caller that mints without end from filling the memory; dropping a
-    /// ticket early instead would let a used one be used again.
+    /// The capacity prevents a caller that requests tickets without end from exhausting memory.
+    /// Evicting a ticket early instead would allow a used one to be used again.
     pub fn mint(&mut self, team: &TeamId, now: Moment) -> Option<Ticket> {
-        self.forget(now);
-        if self.owners.len() >= self.most {
+        self.evict_old(now);
+        if self.remembered.len() >= self.capacity {
             return None;
         }
-        let number = self.minted;
-        self.minted += 1;
-        let minted = Minted {
+        let number = self.next_number;
+        self.next_number += 1;
+        let state = TicketState {
             team: team.clone(),
-            moment: now,
+            minted: now,
             used: false,
         };
-        self.owners.insert(number, minted);
-        self.order.push_back(Used {
+        self.remembered.insert(number, state);
+        self.eviction_queue.push_back(QueuedTicket {
             number,
             minted: now,
         });
@@ -139,51 +141,51 @@
         })
     }
 
-    /// Uses a ticket once.
+    /// Checks a ticket and marks it as used if its request may run.
     pub fn admit(&mut self, ticket: &Ticket, team: &TeamId, now: Moment) -> Admission {
         if ticket.holder != self.holder {
             return Admission::Other(ticket.holder.clone());
         }
-        self.forget(now);
-        let life = self.life;
-        let Some(minted) = self.owners.get_mut(&ticket.number) else {
-            let was_minted = ticket.number < self.minted;
+        self.evict_old(now);
+        let lifetime = self.lifetime;
+        let Some(state) = self.remembered.get_mut(&ticket.number) else {
+            let was_minted = ticket.number < self.next_number;
             return if was_minted {
                 Admission::Unknown
             } else {
                 Admission::Forged
             };
         };
-        if minted.team != *team || minted.moment != ticket.minted {
+        if state.team != *team || state.minted != ticket.minted {
             return Admission::Forged;
         }
-        if minted.used {
+        if state.used {
             return Admission::Used;
         }
-        if now.since(minted.moment) > life {
+        if now.since(state.minted) > lifetime {
             return Admission::Expired;
         }
-        minted.used = true;
+        state.used = true;
         Admission::Run
     }
 
-    /// Number of tickets that can still be told.
+    /// Number of tickets that are remembered.
     pub fn len(&self) -> usize {
-        self.owners.len()
+        self.remembered.len()
     }
 
-    /// Whether no ticket can be told any longer.
+    /// Whether no ticket is remembered.
     pub fn is_empty(&self) -> bool {
-        self.owners.is_empty()
+        self.remembered.is_empty()
     }
 
-    fn forget(&mut self, now: Moment) {
-        let remembered = self.life * 2;
+    fn evict_old(&mut self, now: Moment) {
+        let memory = self.lifetime * 2;
         while let Some(old) = self
-            .order
-            .pop_front_if(|old| now.since(old.minted) > remembered)
+            .eviction_queue
+            .pop_front_if(|old| now.since(old.minted) > memory)
         {
-            self.owners.remove(&old.number);
+            self.remembered.remove(&old.number);
         }
     }
 }
--- a/crates/sesamegap-policy/src/agreement/timelines.rs
+++ b/crates/sesamegap-policy/src/agreement/timelines.rs
@@ -1,69 +1,69 @@
-//! Which history of the platform's log an answer belongs to.
+//! Tracks which history (timeline) of the platform's log a response belongs to.
 //!
-//! A log that is restored from a copy loses its newest records and gives their offsets out again. The only sign
-//! of it is the timeline that its answers state. A reader that went on by offsets alone would keep records that no
-//! longer exist and miss those that took their place.
+//! A log that is restored from a backup loses its newest records and reuses their offsets. The timeline reported in
+//! responses is the only sign of this. A reader that relied on offsets alone would keep records that no longer exist
+//! and miss the ones that replaced them.
 //!
-//! Answers overtake each other: one of a former timeline may come after the first of a newer one. So the highest
-//! timeline stated is the present one, and nothing is built on an answer that states a lower one, or none where one
-//! was stated before.
+//! Responses can be reordered: one from an earlier timeline may arrive after the first one from a newer timeline.
+//! The highest reported timeline is therefore the current one. Responses that report a lower timeline are discarded,
+//! and so are those that report none after an earlier response reported one.
 
 use sesamegap_wire::Timeline;
 
-/// What an answer says of its timeline.
+/// Timeline reported by a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedTimeline {
-    /// It states one.
+    /// The response reports this timeline.
     At(Timeline),
-    /// It states none.
+    /// The response reports no timeline.
     Missing,
-    /// What it states cannot be read.
+    /// The reported timeline cannot be parsed.
     Malformed,
 }
 
-/// What an answer is worth.
+/// How a response relates to the current timeline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimelineStatus {
-    /// It belongs to the present timeline.
+    /// The response belongs to the current timeline.
     Present,
-    /// It is the first of a newer timeline; the one before was this.
+    /// The response is the first from a newer timeline; carries the previous timeline.
     Risen(Timeline),
-    /// It belongs to a former timeline.
+    /// The response belongs to an earlier timeline, which it carries.
     Former(Timeline),
-    /// It does not say where it belongs.
+    /// The response does not identify its timeline.
     Unknown,
 }
 
-/// The timelines that were stated so far.
+/// Tracks the highest timeline reported so far.
 #[derive(Debug, Default)]
 pub struct TimelineTracker {
     present: Timeline,
-    stated: bool,
+    any_reported: bool,
 }
 
 impl TimelineTracker {
-    /// The present timeline; the lowest one until an answer states any.
+    /// Returns the current timeline; the lowest one until a response reports any.
     pub fn present(&self) -> Timeline {
         self.present
     }
 
-    /// Takes in what an answer states.
-    pub fn observe(&mut self, stated: ReportedTimeline) -> TimelineStatus {
-        match stated {
+    /// Records the timeline reported by a response and classifies the response.
+    pub fn observe(&mut self, reported: ReportedTimeline) -> TimelineStatus {
+        match reported {
             ReportedTimeline::At(timeline) if timeline < self.present => {
                 TimelineStatus::Former(timeline)
             }
             ReportedTimeline::At(timeline) => {
-                self.stated = true;
-                let former = std::mem::replace(&mut self.present, timeline);
-                if former < timeline {
-                    TimelineStatus::Risen(former)
+                self.any_reported = true;
+                let previous = std::mem::replace(&mut self.present, timeline);
+                if previous < timeline {
+                    TimelineStatus::Risen(previous)
                 } else {
                     TimelineStatus::Present
                 }
             }
-            // A store that never states a timeline has only one.
-            ReportedTimeline::Missing if !self.stated => TimelineStatus::Present,
+            // A store that never reports a timeline has only one.
+            ReportedTimeline::Missing if !self.any_reported => TimelineStatus::Present,
             ReportedTimeline::Missing | ReportedTimeline::Malformed => TimelineStatus::Unknown,
         }
     }
