--- a/crates/sesamegap-policy/src/agreement/lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/mod.rs
@@ -1,14 +1,15 @@
-//! Which controller may give orders to engines.
+//! Decides which controller may give orders to engines.
 //!
-//! The lease is a fold over a stream of the log. A process acquires by appending a record; the
-//! record counts only if, by the log's own clock, the lease before it had lapsed. All readers of
-//! the log agree on that, whoever's clock is off. The fencing number of a lease is the offset of
-//! the record that acquired it, so it rises with every holder.
+//! The lease is state folded from a stream of the log. A process acquires the lease by appending a
+//! record, which is valid only if the previous lease had expired by the log's own clock. All
+//! readers of the log therefore agree, regardless of their own clocks. The fencing number of a
+//! lease is the offset of the record that acquired it, so it increases with every acquisition.
 //!
-//! A holder counts its lease from before its append, on a clock that goes on while the process is
-//! paused, stops a margin early, and asks [`Leaseholder::may_order`] right before each order.
-//! Engines that check fencing numbers refuse a late order of a former holder; others would take
-//! it, so a successor waits until the longest order of its predecessor must have ended.
+//! A holder measures its lease from before its append, on a clock that keeps running while the
+//! process is paused, stops a safety margin early, and calls [`Leaseholder::may_order`] right
+//! before each order. Engines that check fencing numbers reject a late order of a previous holder.
+//! Other engines would execute it, so a new holder waits until the longest order of its predecessor
+//! must have ended.
 
 mod holder;
 
@@ -18,59 +19,59 @@
 use serde::{Deserialize, Serialize};
 use sesamegap_wire::{Fence, Offset};
 
-/// A record of the log's lease stream.
+/// A record in the log's lease stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseRecord {
-    /// Take the lease, if it has lapsed.
+    /// Acquires the lease if it has expired.
     Acquire {
-        /// Who.
+        /// Process that acquires the lease.
         holder: Holder,
-        /// For how many milliseconds from the record's time.
+        /// Duration in milliseconds from the record's timestamp.
         term: u64,
-        /// Counts this holder's attempts, so that it knows its own record again.
+        /// Number of the holder's attempt, by which it recognizes its own record.
         attempt: u64,
     },
-    /// Keep the lease, if it has not lapsed.
+    /// Extends the lease if it has not expired.
     Renew {
-        /// Who.
+        /// Process that holds the lease.
         holder: Holder,
-        /// Under which fencing number.
+        /// Fencing number of the lease.
         fence: Fence,
-        /// For how many milliseconds from the record's time.
+        /// Duration in milliseconds from the record's timestamp.
         term: u64,
-        /// Counts this holder's attempts, so that it knows its own record again.
+        /// Number of the holder's attempt, by which it recognizes its own record.
         attempt: u64,
     },
-    /// Give the lease back, with all orders under it ended.
+    /// Releases the lease after all orders under it have ended.
     Release {
-        /// Who.
+        /// Process that held the lease.
         holder: Holder,
-        /// Under which fencing number.
+        /// Fencing number of the lease.
         fence: Fence,
     },
 }
 
-/// A lease as the log shows it.
+/// A lease as recorded in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease {
-    /// Who holds it.
+    /// Process that holds the lease.
     pub holder: Holder,
-    /// Fencing number of its orders.
+    /// Fencing number of the orders under this lease.
     pub fence: Fence,
-    /// When it lapses, in Unix milliseconds by the log's clock.
-    pub lapse: u64,
-    /// Offset of the record that last moved the lapse.
+    /// When the lease expires, in Unix milliseconds by the log's clock.
+    pub expires_at: u64,
+    /// Offset of the record that last set the expiry.
     pub extended: Offset,
-    /// Its holder's number for that record.
+    /// The holder's attempt number in that record.
     pub attempt: u64,
-    /// Whether its holder gave it back with nothing in flight.
+    /// Whether the holder released the lease, with no orders in flight.
     pub released: bool,
-    /// Whether the lease before it was given back, so that none of its orders can be in flight.
-    pub clean: bool,
+    /// Whether the previous lease was released, so that none of its orders can be in flight.
+    pub predecessor_released: bool,
 }
 
-/// The lease stream, folded.
+/// State folded from the lease stream.
 #[derive(Debug, Default)]
 pub struct Leases {
     next: Offset,
@@ -83,20 +84,20 @@
         self.next
     }
 
-    /// The lease that the newest valid record gave, lapsed or not.
+    /// Returns the lease set by the newest valid record, whether or not it has expired.
     pub fn current(&self) -> Option<&Lease> {
         self.current.as_ref()
     }
 
-    /// Goes on after records that the log has dropped.
+    /// Skips records that the log has dropped.
     ///
-    /// A dropped record is older than the retention, which is far longer than any term, so the
-    /// lease it gave has lapsed or was renewed since.
+    /// A dropped record is older than the retention, which is far longer than any term, so its
+    /// lease has expired or was renewed since.
     pub fn skip(&mut self, oldest: Offset) {
         self.next = self.next.max(oldest);
     }
 
-    /// Takes in the record at `offset`, which the log took at `time` (Unix milliseconds).
+    /// Applies the record at `offset`, which the log accepted at `time` (Unix milliseconds).
     pub fn apply(&mut self, offset: Offset, time: u64, record: Option<&LeaseRecord>) {
         if offset < self.next {
             return;
@@ -117,7 +118,7 @@
                 attempt,
             }) => {
                 if let Some(lease) = self.held_by(holder, *fence, time) {
-                    lease.lapse = lease.lapse.max(time.saturating_add(*term));
+                    lease.expires_at = lease.expires_at.max(time.saturating_add(*term));
                     lease.extended = offset;
                     lease.attempt = *attempt;
                 }
@@ -127,37 +128,37 @@
                     lease.released = true;
                 }
             }
-            // An acquisition of a lease that is held is void. A record that is not ours, or of a
-            // newer version, takes a place and means nothing.
+            // Acquiring a lease that is held has no effect. An unknown record, or one of a newer
+            // version, occupies an offset and is ignored.
             Some(LeaseRecord::Acquire { .. }) | None => {}
         }
     }
 
     fn is_free(&self, time: u64) -> bool {
         let last = self.current.as_ref();
-        last.is_none_or(|last| last.released || time >= last.lapse)
+        last.is_none_or(|last| last.released || time >= last.expires_at)
     }
 
-    fn acquire(&mut self, offset: Offset, holder: &Holder, lapse: u64, attempt: u64) {
-        let clean = self.current.as_ref().is_none_or(|last| last.released);
+    fn acquire(&mut self, offset: Offset, holder: &Holder, expires_at: u64, attempt: u64) {
+        let predecessor_released = self.current.as_ref().is_none_or(|last| last.released);
         self.current = Some(Lease {
             holder: holder.clone(),
             fence: Fence(offset.0),
-            lapse,
+            expires_at,
             extended: offset,
             attempt,
             released: false,
-            clean,
+            predecessor_released,
         });
     }
 
-    /// The lease, if it is this holder's and has not lapsed.
+    /// Returns the lease if this holder has it and it has not expired.
     ///
-    /// A record after the lapse is void even if nobody else came: its holder has stopped giving
-    /// orders, and a reader elsewhere may already count it as gone.
+    /// A record after the expiry has no effect even if no other process acquired the lease: the
+    /// holder has stopped giving orders, and other readers may already treat the lease as expired.
     fn held_by(&mut self, holder: &Holder, fence: Fence, time: u64) -> Option<&mut Lease> {
         let lease = self.current.as_mut()?;
         let same = lease.holder == *holder && lease.fence == fence;
-        (same && !lease.released && time < lease.lapse).then_some(lease)
+        (same && !lease.released && time < lease.expires_at).then_some(lease)
     }
 }
