--- a/crates/sesamegap-policy/src/agreement/claims/age.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/age.rs
@@ -1,21 +1,21 @@
-//! How long a key can be trusted to be found in the log.
+//! Checks by a key's timestamp whether the log would still hold a claim on the key.
 
 use std::time::Duration;
 
-/// What is known of a key's age.
+/// Age of a key relative to the log's retention.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyAge {
-    /// Young enough: if it was ever claimed, the log still has the claim.
+    /// If the key was ever claimed, the log still has the claim.
     Fresh,
-    /// Its claim may have been dropped by the log, so nobody can tell whether it ran.
+    /// The log may have dropped the key's claim, so whether the request ran is unknown.
     Stale,
-    /// It lies further in the future than clocks may differ.
+    /// The key's timestamp is further in the future than the permitted clock skew.
     InFuture,
-    /// It carries no time.
+    /// The key has no timestamp.
     Untimed,
 }
 
-/// For how long keys with a time are honoured.
+/// How long keys with a timestamp are honoured.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyValidity {
     retention: Duration,
@@ -23,41 +23,42 @@
 }
 
 impl KeyValidity {
-    /// Takes the log's retention and the most by which callers' clocks may differ from ours.
+    /// `retention` is the log's, `skew` the largest difference between a caller's clock and ours.
     pub fn new(retention: Duration, skew: Duration) -> Self {
         Self { retention, skew }
     }
 
-    /// Judges a key at `now`, both in Unix milliseconds.
+    /// Classifies a key at `now` (Unix milliseconds).
     ///
-    /// A claim is appended after its key was made, so it is kept at least until the key's time
-    /// plus the retention. Twice the skew is taken off: once for the caller's clock, once for ours.
+    /// A claim is appended after its key was created, so the log keeps it at least until the key's
+    /// timestamp plus the retention. Twice the skew is subtracted: once for the caller's clock and
+    /// once for ours.
     pub fn classify(&self, key: &str, now: u64) -> KeyAge {
-        let Some(made) = time_of(key) else {
+        let Some(created) = uuid_v7_timestamp(key) else {
             return KeyAge::Untimed;
         };
-        let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+        let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
         let skew = millis(self.skew);
-        if made > now.saturating_add(skew) {
+        if created > now.saturating_add(skew) {
             return KeyAge::InFuture;
         }
-        let life = millis(self.retention).saturating_sub(skew.saturating_mul(2));
-        if now.saturating_sub(made) > life {
+        let validity = millis(self.retention).saturating_sub(skew.saturating_mul(2));
+        if now.saturating_sub(created) > validity {
             return KeyAge::Stale;
         }
         KeyAge::Fresh
     }
 }
 
-/// Milliseconds since the Unix epoch in a UUID of version 7 in its usual text form.
-fn time_of(key: &str) -> Option<u64> {
+/// Parses the timestamp (Unix milliseconds) of a UUID of version 7 in hyphenated form.
+fn uuid_v7_timestamp(key: &str) -> Option<u64> {
     let bytes = key.as_bytes();
     let dashes = [8, 13, 18, 23];
     if bytes.len() != 36 || dashes.iter().any(|&i| bytes[i] != b'-') || bytes[14] != b'7' {
         return None;
     }
-    let others = (0..36).filter(|i| !dashes.contains(i));
-    if !others.into_iter().all(|i| bytes[i].is_ascii_hexdigit()) {
+    let digits = (0..36).filter(|i| !dashes.contains(i));
+    if !digits.into_iter().all(|i| bytes[i].is_ascii_hexdigit()) {
         return None;
     }
     let high = u64::from_str_radix(&key[..8], 16).ok()?;
--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -1,43 +1,43 @@
-//! The way of one request through its claim.
+//! State machine of one attempt to claim a key.
 
 use super::{ClaimId, ClaimKey, ClaimRecord, Claims, KeyState};
 use crate::agreement::Holder;
 use sesamegap_wire::{Moment, Offset};
 use std::time::Duration;
 
-/// What the owner of a claimant must do next.
+/// Next action for the caller of [`Claimant::poll`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Append this record, then call [`Claimant::appended`].
     Append(ClaimRecord),
-    /// Wait for the fold to move, then call [`Claimant::look`].
+    /// Wait until more of the log is applied to [`Claims`], then call [`Claimant::poll`].
     Wait,
-    /// Over.
+    /// The attempt has ended.
     Done(ClaimOutcome),
 }
 
-/// How a claim ended.
+/// Final result of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The claim is the first: run the request now.
+    /// The claim is the first for the key: run the request now.
     Run,
-    /// Another life holds the key: ask it, and never run.
+    /// Another process holds the key: relay the request to it and never run it here.
     HeldByOther(Holder),
-    /// This life held the key before, under another attempt, which knows what became of it.
+    /// This process already holds the key under an earlier attempt, whose result applies.
     EarlierAttempt(ClaimId),
-    /// The log could not be asked in time. Nothing was run; the claim may stand, so a release
-    /// must be appended, now or when the key comes again.
+    /// The claim was not confirmed before the deadline. The request was not run, but the claim may
+    /// be in the log, so this release must be appended, now or when the key is presented again.
     TimedOut(ClaimRecord),
 }
 
-/// Result of one append as the owner saw it.
+/// Result of an append as seen by the appending process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Appended {
-    /// In the log at this offset.
+    /// The record is in the log at this offset.
     At(Offset),
-    /// Perhaps in the log.
+    /// The record may or may not be in the log.
     Unknown,
-    /// Not in the log.
+    /// The record is not in the log.
     Failed,
 }
 
@@ -48,75 +48,75 @@
     Ended,
 }
 
-/// One attempt to run a request under its caller's key.
+/// One attempt to claim a caller's key in order to run its request.
 #[derive(Debug)]
 pub struct Claimant {
     key: ClaimKey,
     claim: ClaimId,
     holder: Holder,
-    until: Moment,
+    deadline: Moment,
     state: State,
 }
 
 impl Claimant {
-    /// Starts an attempt that must be decided before `patience` has passed.
+    /// Starts an attempt that must be decided within `timeout`.
     ///
-    /// The limit also guards against a pause: a process that sleeps for hours and wakes with its
-    /// claim won would run a request whose claim the log has forgotten, and which another router
-    /// may have run since. So patience must be far below the log's retention.
+    /// The timeout also guards against a paused process: one that resumes after hours and finds its
+    /// claim first would run a request whose claim the log has dropped since, and which another
+    /// router may have run. The timeout must therefore be far below the log's retention.
     pub fn new(
         key: ClaimKey,
         claim: ClaimId,
         holder: Holder,
         now: Moment,
-        patience: Duration,
+        timeout: Duration,
     ) -> Self {
         Self {
             key,
             claim,
             holder,
-            until: now + patience,
+            deadline: now + timeout,
             state: State::Appending,
         }
     }
 
-    /// Looks at the fold and says what to do.
+    /// Returns the next action, given the claims read so far.
     pub fn poll(&mut self, claims: &Claims, now: Moment) -> Step {
         match claims.key_state(&self.key) {
-            KeyState::Held(claim, _) if claim == self.claim => self.won(now),
+            KeyState::Held(claim, _) if claim == self.claim => self.confirmed(now),
             KeyState::Held(claim, holder) if *holder == self.holder => {
                 self.end(ClaimOutcome::EarlierAttempt(claim))
             }
             KeyState::Held(_, holder) => self.end(ClaimOutcome::HeldByOther(holder.clone())),
-            KeyState::Free => self.not_seen(now),
+            KeyState::Free => self.unconfirmed(now),
         }
     }
 
-    /// Takes the result of the append that [`Step::Append`] asked for.
+    /// Records the result of the append requested by [`Step::Append`].
     ///
-    /// After an unknown result the same record is appended again: the fold takes the first of
-    /// the two and ignores the second, so this can never claim twice.
+    /// After an unknown result the same record is appended again. [`Claims`] ignores the second
+    /// copy, so the key is never claimed twice.
     pub fn appended(&mut self, result: Appended) {
         if self.state == State::Appending && matches!(result, Appended::At(_)) {
             self.state = State::Reading;
         }
     }
 
-    /// The attempt's own id.
+    /// Returns the id of this attempt.
     pub fn claim(&self) -> ClaimId {
         self.claim
     }
 
-    fn won(&mut self, now: Moment) -> Step {
-        if now >= self.until {
-            return self.give_up();
+    fn confirmed(&mut self, now: Moment) -> Step {
+        if now >= self.deadline {
+            return self.time_out();
         }
         self.end(ClaimOutcome::Run)
     }
 
-    fn not_seen(&mut self, now: Moment) -> Step {
-        if now >= self.until {
-            return self.give_up();
+    fn unconfirmed(&mut self, now: Moment) -> Step {
+        if now >= self.deadline {
+            return self.time_out();
         }
         match self.state {
             State::Appending => Step::Append(ClaimRecord::Claim {
@@ -128,7 +128,7 @@
         }
     }
 
-    fn give_up(&mut self) -> Step {
+    fn time_out(&mut self) -> Step {
         let release = ClaimRecord::Release {
             key: self.key.clone(),
             claim: self.claim,
@@ -136,8 +136,8 @@
         self.end(ClaimOutcome::TimedOut(release))
     }
 
-    fn end(&mut self, verdict: ClaimOutcome) -> Step {
+    fn end(&mut self, outcome: ClaimOutcome) -> Step {
         self.state = State::Ended;
-        Step::Done(verdict)
+        Step::Done(outcome)
     }
 }
--- a/crates/sesamegap-policy/src/agreement/claims/fold.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the claims stream.
+//! State folded from the claims stream of the log.
 
 use super::{ClaimId, ClaimKey, ClaimRecord};
 use crate::agreement::Holder;
@@ -7,52 +7,53 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Where a key stands in the log so far read.
+/// State of a key according to the log read so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyState<'a> {
-    /// Nobody holds it.
+    /// The key is not claimed.
     Free,
-    /// The attempt that came first, and who made it.
+    /// The key is held by the first attempt, made by this process.
     Held(ClaimId, &'a Holder),
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldKey {
     claim: ClaimId,
     holder: Holder,
 }
 
 #[derive(Debug)]
-struct Aged {
+struct RetainedRecord {
     time: u64,
     key: ClaimKey,
     claim: ClaimId,
 }
 
-/// All claims that the log keeps, in the order of the log.
+/// All claims that the log retains.
 ///
-/// Memory is bounded by the log's rate of appends times its retention: a claim is dropped when
-/// the log itself has dropped its record.
+/// Memory is bounded by the log's append rate times its retention: a claim is dropped once the log
+/// has dropped its record.
 #[derive(Debug)]
 pub struct Claims {
     next: Offset,
-    newest: u64,
+    newest_time: u64,
     retention: Duration,
-    held: FxHashMap<ClaimKey, Held>,
+    held: FxHashMap<ClaimKey, HeldKey>,
     released: FxHashSet<ClaimId>,
-    aged: VecDeque<Aged>,
+    /// Records in log order, which expire from the front.
+    retained: VecDeque<RetainedRecord>,
 }
 
 impl Claims {
-    /// Starts before the oldest record; `retention` is how long the log keeps one.
+    /// Starts before the oldest record; `retention` is how long the log keeps a record.
     pub fn new(retention: Duration) -> Self {
         Self {
             next: Offset(0),
-            newest: 0,
+            newest_time: 0,
             retention,
             held: FxHashMap::default(),
             released: FxHashSet::default(),
-            aged: VecDeque::new(),
+            retained: VecDeque::new(),
         }
     }
 
@@ -71,32 +72,32 @@
         self.held.is_empty()
     }
 
-    /// Goes on after records that the log has dropped; they no longer matter.
+    /// Skips records that the log has dropped; they no longer have any effect.
     pub fn skip(&mut self, oldest: Offset) {
         self.next = self.next.max(oldest);
     }
 
-    /// Takes in the record at `offset`, which the log took at `time` (Unix milliseconds).
+    /// Applies the record at `offset`, which the log accepted at `time` (Unix milliseconds).
     ///
-    /// A record below [`Claims::next`] was taken in before and changes nothing.
+    /// A record below [`Claims::next`] was applied before and is ignored.
     pub fn apply(&mut self, offset: Offset, time: u64, record: Option<&ClaimRecord>) {
         if offset < self.next {
             return;
         }
         self.next = offset.next();
-        self.newest = self.newest.max(time);
-        self.forget();
+        self.newest_time = self.newest_time.max(time);
+        self.expire();
         match record {
             Some(ClaimRecord::Claim { key, claim, holder }) => {
                 self.claim(time, key, *claim, holder);
             }
             Some(ClaimRecord::Release { key, claim }) => self.release(time, key, *claim),
-            // Not a record of ours, or of a newer version: it takes a place and means nothing.
+            // An unknown record, or one of a newer version: it occupies an offset and is ignored.
             None => {}
         }
     }
 
-    /// Where a key stands.
+    /// Returns the state of a key.
     pub fn key_state(&self, key: &ClaimKey) -> KeyState<'_> {
         self.held.get(key).map_or(KeyState::Free, |held| {
             KeyState::Held(held.claim, &held.holder)
@@ -104,15 +105,15 @@
     }
 
     fn claim(&mut self, time: u64, key: &ClaimKey, claim: ClaimId, holder: &Holder) {
-        // An append whose answer was lost is repeated and may be delayed: its second record can
-        // come after the release. Taking it for a new claim would block the key for good, with
-        // callers told `ran: unknown` of a request that nobody runs.
+        // An append whose response was lost is retried, and the retry may be delayed until after
+        // the release. Treating it as a new claim would block the key permanently: callers would
+        // get `ran: unknown` for a request that no router runs.
         if self.released.contains(&claim) || self.held.contains_key(key) {
             return;
         }
         let holder = holder.clone();
-        self.held.insert(key.clone(), Held { claim, holder });
-        self.aged.push_back(Aged {
+        self.held.insert(key.clone(), HeldKey { claim, holder });
+        self.retained.push_back(RetainedRecord {
             time,
             key: key.clone(),
             claim,
@@ -124,7 +125,7 @@
             self.held.remove(key);
         }
         if self.released.insert(claim) {
-            self.aged.push_back(Aged {
+            self.retained.push_back(RetainedRecord {
                 time,
                 key: key.clone(),
                 claim,
@@ -132,18 +133,18 @@
         }
     }
 
-    /// Drops what the log has dropped.
+    /// Drops the records that the log has dropped.
     ///
-    /// A claim outlives its record by nothing: a router that starts afterwards does not see it
-    /// either, and the two must agree. Keys with a time are refused well before.
-    fn forget(&mut self) {
-        let span = u64::try_from(self.retention.as_millis()).unwrap_or(u64::MAX);
-        let oldest = self.newest.saturating_sub(span);
-        while let Some(aged) = self.aged.pop_front_if(|aged| aged.time < oldest) {
-            self.released.remove(&aged.claim);
-            let held = self.held.get(&aged.key);
-            if held.is_some_and(|held| held.claim == aged.claim) {
-                self.held.remove(&aged.key);
+    /// A claim must not outlive its record: a router that starts later does not see the record, and
+    /// both must agree. Keys with a timestamp are refused well before this.
+    fn expire(&mut self) {
+        let retention = u64::try_from(self.retention.as_millis()).unwrap_or(u64::MAX);
+        let oldest = self.newest_time.saturating_sub(retention);
+        while let Some(record) = self.retained.pop_front_if(|record| record.time < oldest) {
+            self.released.remove(&record.claim);
+            let held = self.held.get(&record.key);
+            if held.is_some_and(|held| held.claim == record.claim) {
+                self.held.remove(&record.key);
             }
         }
     }
--- a/crates/sesamegap-policy/src/agreement/claims/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/mod.rs
@@ -1,17 +1,17 @@
-//! Which router runs a request that carries its caller's own idempotency key.
+//! Decides which router runs a request that carries an idempotency key chosen by its caller.
 //!
-//! Before a router dispatches such a request it appends a claim to the log, reads the log up to
-//! that claim, and runs the request only if its claim is the first for the key. The order of the
-//! log is the same for every reader, so at most one router ever runs it; [`Claims`] is that fold
-//! and [`Claimant`] the way of one request through it.
+//! Before a router dispatches such a request, it appends a claim to the log, reads the log up to
+//! that claim, and runs the request only if its claim is the first for the key. All readers see the
+//! log in the same order, so at most one router runs the request. [`Claims`] is the state folded
+//! from the log, and [`Claimant`] is the state machine of one attempt.
 //!
-//! A claim is never taken over. Its holder may be dead, or only paused and about to dispatch, and
-//! no one can tell; so a claimed key whose holder is gone answers `ran: unknown` for good. Only the
-//! holder itself, which knows that it never dispatched, gives a claim back with a release.
+//! A claim is never taken over. Its holder may be dead, or paused and about to dispatch, and other
+//! routers cannot tell which; so a claimed key whose holder is gone answers `ran: unknown`
+//! permanently. Only the holder itself, which knows that it never dispatched, can release a claim.
 //!
-//! The log keeps records for a limited time, after which a claim is forgotten. A key that carries
-//! its time (a UUID of version 7) is refused once its claim could have been forgotten; a key
-//! without a time is honoured for as long as the log keeps its claim.
+//! The log keeps records for a limited time, after which a claim is dropped. A key with a timestamp
+//! (a UUID of version 7) is refused once its claim could have been dropped; a key without a
+//! timestamp is honoured for as long as the log keeps its claim.
 
 mod age;
 mod claimant;
@@ -27,7 +27,7 @@
 use smol_str::SmolStr;
 use std::fmt;
 
-/// A caller's idempotency key; two teams' equal texts are two keys.
+/// An idempotency key, scoped to the caller's team.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// Team of the caller.
@@ -36,7 +36,7 @@
     pub key: SmolStr,
 }
 
-/// One attempt to claim a key; appending it twice claims once.
+/// Identifies one attempt to claim a key; appending its record twice has no further effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId(pub u128);
 
@@ -46,24 +46,24 @@
     }
 }
 
-/// A record of the log's claims stream.
+/// A record in the log's claims stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
-    /// A router wants to run the request with this key.
+    /// A router asks to run the request with this key.
     Claim {
-        /// The key.
+        /// The key to claim.
         key: ClaimKey,
-        /// This attempt.
+        /// The attempt.
         claim: ClaimId,
-        /// Who will run it.
+        /// Process that will run the request.
         holder: Holder,
     },
-    /// The holder never dispatched the request and never will under this claim.
+    /// The holder never dispatched the request under this claim and never will.
     Release {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// The attempt given up.
+        /// The attempt whose claim is released.
         claim: ClaimId,
     },
 }
