--- a/crates/sesamegap-policy/src/agreement/membership/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/mod.rs
@@ -1,14 +1,15 @@
-//! Which peers are alive, at a constant cost for each process.
+//! Gossip-based failure detection at a constant cost per process.
 //!
-//! The platform's VM list seeds the table and lags behind the world, so it is only ever a hint.
-//! Each round a process probes one peer, in an order shuffled anew each time round, and sends a
-//! few pieces of news along. A peer that does not answer is probed once more through others, since
-//! a broken link between two processes says nothing of the third; then it is suspected, and if it
-//! does not refute that in time it is held dead. Each process speaks for itself with a version
-//! that it raises to refute a false suspicion, and newer incarnations replace older ones.
+//! The platform's VM list seeds the table. It is out of date at times, so it serves only as a hint.
+//! In each round a process probes one peer, in an order that is reshuffled after every pass over
+//! the peers, and piggybacks a few member updates. A peer that does not answer is probed again
+//! through other peers, because a broken link between two processes does not mean that either is
+//! down. After that it is suspected, and declared dead if it does not refute the suspicion in time.
+//! Each process increments its own version to refute a false suspicion, and a newer incarnation
+//! replaces an older one.
 //!
-//! A round costs one probe, and now and then a few indirect ones, however many peers there are;
-//! news reaches all in a number of rounds that grows with the logarithm of their number.
+//! A round costs one probe and occasionally a few indirect ones, regardless of the number of peers.
+//! An update reaches all peers in a number of rounds logarithmic in their number.
 
 mod table;
 mod update;
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of peers and the rounds of probes.
+//! Table of peers and selection of the peer to probe in each round.
 
 use super::{MemberUpdate, Status};
 use crate::agreement::Holder;
@@ -9,60 +9,62 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// News sent along with one message: enough to spread it fast, small enough for a few hundred
-/// bytes a round.
-const PIGGYBACK: usize = 8;
+/// Member updates piggybacked on one message: enough to spread them fast, few enough to add only a
+/// few hundred bytes per round.
+const MAX_PIGGYBACKED: usize = 8;
 
-/// How often one piece of news is sent, for each doubling of the number of peers.
-const REPEATS: u32 = 3;
+/// How often one update is sent, for each doubling of the number of peers.
+const SENDS_PER_DOUBLING: u32 = 3;
 
-/// Spans and sizes of the rounds.
+/// Parameters of the failure detector.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipConfig {
-    /// How long a suspected peer has to refute it.
+    /// How long a suspected peer has to refute the suspicion.
     pub suspicion: Duration,
-    /// How long a dead peer is remembered, so that late news does not bring it back.
+    /// How long a dead peer is remembered, so that a late update does not bring it back.
     pub memory: Duration,
-    /// Peers asked to probe in our place when one does not answer.
+    /// Number of peers asked to probe a peer that does not answer us.
     pub indirect: usize,
 }
 
 /// A probe to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Probe {
-    /// Whom to probe.
+    /// VM to probe.
     pub target: VmId,
-    /// Where.
+    /// Address to probe.
     pub addr: SocketAddr,
-    /// Peers that can probe it in our place, should it not answer us.
+    /// Peers that can probe the target on our behalf if it does not answer us.
     pub through: Vec<SocketAddr>,
-    /// News to send along; what is believed of the target comes first, so that it can refute it.
+    /// Updates to send along. The one on the target comes first, so that the target can refute it.
     pub news: Vec<MemberUpdate>,
 }
 
-/// A peer as believed now.
+/// Current state of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// The newest that was heard.
+    /// The newest update on the peer.
     pub news: MemberUpdate,
-    /// Since when.
+    /// When that update was applied.
     pub since: Moment,
-    spread: u32,
+    /// How often that update was sent to other peers.
+    sends: u32,
 }
 
-/// All peers of one process.
+/// All peers known to one process.
 #[derive(Debug)]
 pub struct Members {
     me: MemberUpdate,
-    rules: MembershipConfig,
+    config: MembershipConfig,
     peers: BTreeMap<VmId, Peer>,
     seeds: BTreeMap<VmId, SocketAddr>,
-    round: Vec<VmId>,
+    /// Targets still to be probed in this pass over the peers.
+    probe_queue: Vec<VmId>,
 }
 
 impl Members {
-    /// Starts with nobody but this process, which listens at `addr`.
-    pub fn new(me: Holder, addr: SocketAddr, rules: MembershipConfig) -> Self {
+    /// Starts without peers; this process listens at `addr`.
+    pub fn new(me: Holder, addr: SocketAddr, config: MembershipConfig) -> Self {
         let me = MemberUpdate {
             who: me,
             addr,
@@ -71,16 +73,16 @@
         };
         Self {
             me,
-            rules,
+            config,
             peers: BTreeMap::new(),
             seeds: BTreeMap::new(),
-            round: Vec::new(),
+            probe_queue: Vec::new(),
         }
     }
 
-    /// Takes the platform's list of entry VMs, in place of the former one.
+    /// Replaces the platform's list of entry VMs.
     ///
-    /// The list alone makes nobody alive or dead: it lags, and only says whom to ask.
+    /// The list may be out of date, so it determines only which peers to probe, not their status.
     pub fn seed(&mut self, list: impl IntoIterator<Item = (VmId, SocketAddr)>) {
         self.seeds = list
             .into_iter()
@@ -88,40 +90,40 @@
             .collect();
     }
 
-    /// Where the platform's list says that other entry VMs are.
+    /// Returns the addresses of the other entry VMs on the platform's list.
     pub fn seed_addrs(&self) -> impl Iterator<Item = SocketAddr> {
         self.seeds.values().copied()
     }
 
-    /// Says that this process is about to stop.
+    /// Announces that this process is about to stop.
     pub fn leave(&mut self) {
         self.me.status = Status::Leaving;
         self.me.version += 1;
     }
 
-    /// What this process says of itself.
+    /// Returns this process's update on itself.
     pub fn me(&self) -> &MemberUpdate {
         &self.me
     }
 
-    /// Peers that answer, those about to stop left out.
+    /// Returns the peers that answer probes, except those about to stop.
     pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.peers
             .values()
             .filter(|peer| peer.news.status == Status::Alive)
     }
 
-    /// All that is believed of peers.
+    /// Returns all known peers, whatever their status.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// What is believed of one peer.
+    /// Returns the state of one peer.
     pub fn peer(&self, vm: &VmId) -> Option<&Peer> {
         self.peers.get(vm)
     }
 
-    /// Whether this very life of a process is gone, as far as is known.
+    /// Whether this incarnation of a process is known to be gone.
     pub fn is_gone(&self, who: &Holder) -> bool {
         self.peers.get(&who.vm).is_some_and(|peer| {
             let newer = peer.news.who.incarnation > who.incarnation;
@@ -129,14 +131,14 @@
         })
     }
 
-    /// Ends overdue suspicions and picks the peer to probe in this round.
+    /// Expires overdue suspicions and selects the peer to probe in this round.
     pub fn tick(&mut self, now: Moment, rng: &mut dyn Rng) -> Option<Probe> {
         self.expire(now);
         while let Some(vm) = self.next_target(rng) {
             if let Some(addr) = self.addr_of(&vm) {
-                let through = self.pick_others(&vm, rng);
-                let belief = self.peers.get(&vm).map(|peer| peer.news.clone());
-                let news = belief.into_iter().chain(self.select_updates()).collect();
+                let through = self.pick_helpers(&vm, rng);
+                let known = self.peers.get(&vm).map(|peer| peer.news.clone());
+                let news = known.into_iter().chain(self.select_updates()).collect();
                 return Some(Probe {
                     target: vm,
                     addr,
@@ -148,12 +150,12 @@
         None
     }
 
-    /// Takes what a peer said of itself in a probe or in its answer to one.
-    pub fn apply_update(&mut self, news: &MemberUpdate, now: Moment) {
-        self.learn(news, now);
+    /// Applies a peer's update on itself, from a probe or from the answer to one.
+    pub fn apply_update(&mut self, update: &MemberUpdate, now: Moment) {
+        self.merge(update, now);
     }
 
-    /// Notes that a peer answered neither us nor the peers asked in our place.
+    /// Suspects a peer that answered neither a direct nor an indirect probe.
     pub fn probe_failed(&mut self, vm: &VmId, now: Moment) {
         let Some(peer) = self.peers.get(vm) else {
             return;
@@ -161,75 +163,75 @@
         if !matches!(peer.news.status, Status::Alive | Status::Leaving) {
             return;
         }
-        let mut news = peer.news.clone();
-        news.status = Status::Suspect;
-        self.learn(&news, now);
+        let mut update = peer.news.clone();
+        update.status = Status::Suspect;
+        self.merge(&update, now);
     }
 
-    /// Takes news that came along with a message.
-    pub fn apply_updates(&mut self, news: &[MemberUpdate], now: Moment) {
-        for piece in news.iter().take(PIGGYBACK * 2) {
-            self.learn(piece, now);
+    /// Applies updates piggybacked on a message.
+    pub fn apply_updates(&mut self, updates: &[MemberUpdate], now: Moment) {
+        for update in updates.iter().take(MAX_PIGGYBACKED * 2) {
+            self.merge(update, now);
         }
     }
 
-    /// News to send along with a message, freshest first.
+    /// Selects the updates to piggyback on a message, least often sent first.
     pub fn select_updates(&mut self) -> Vec<MemberUpdate> {
-        let most = REPEATS * (usize::BITS - self.peers.len().leading_zeros() + 1);
-        let mut fresh: Vec<&mut Peer> = self
+        let max_sends = SENDS_PER_DOUBLING * (usize::BITS - self.peers.len().leading_zeros() + 1);
+        let mut pending: Vec<&mut Peer> = self
             .peers
             .values_mut()
-            .filter(|peer| peer.spread < most)
+            .filter(|peer| peer.sends < max_sends)
             .collect();
-        fresh.sort_by_key(|peer| peer.spread);
-        let chosen = fresh.into_iter().take(PIGGYBACK);
-        chosen
+        pending.sort_by_key(|peer| peer.sends);
+        let selected = pending.into_iter().take(MAX_PIGGYBACKED);
+        selected
             .map(|peer| {
-                peer.spread += 1;
+                peer.sends += 1;
                 peer.news.clone()
             })
             .collect()
     }
 
-    fn learn(&mut self, news: &MemberUpdate, now: Moment) {
-        if news.who.vm == self.me.who.vm {
-            self.refute(news);
+    fn merge(&mut self, update: &MemberUpdate, now: Moment) {
+        if update.who.vm == self.me.who.vm {
+            self.refute(update);
             return;
         }
-        let known = self.peers.get(&news.who.vm);
-        if known.is_some_and(|known| !news.replaces(&known.news)) {
+        let known = self.peers.get(&update.who.vm);
+        if known.is_some_and(|known| !update.replaces(&known.news)) {
             return;
         }
         let peer = Peer {
-            news: news.clone(),
+            news: update.clone(),
             since: now,
-            spread: 0,
+            sends: 0,
         };
-        self.peers.insert(news.who.vm.clone(), peer);
+        self.peers.insert(update.who.vm.clone(), peer);
     }
 
-    /// Contradicts whoever holds this process for gone.
+    /// Refutes an update that declares this process suspect or dead.
     ///
-    /// A pause or a broken link makes peers suspect a live process. If nothing refuted that, the
-    /// process would stay dead to them for good, and callers would not be sent to it.
-    fn refute(&mut self, news: &MemberUpdate) {
-        let about_us = news.who.incarnation == self.me.who.incarnation;
-        let wrong = matches!(news.status, Status::Suspect | Status::Dead);
-        if about_us && wrong && news.version >= self.me.version {
-            self.me.version = news.version + 1;
+    /// A pause or a broken link makes peers suspect a live process. Without a refutation they would
+    /// consider it dead permanently and direct no callers to it.
+    fn refute(&mut self, update: &MemberUpdate) {
+        let about_us = update.who.incarnation == self.me.who.incarnation;
+        let wrong = matches!(update.status, Status::Suspect | Status::Dead);
+        if about_us && wrong && update.version >= self.me.version {
+            self.me.version = update.version + 1;
         }
     }
 
     fn expire(&mut self, now: Moment) {
-        let overdue = self.rules.suspicion;
+        let timeout = self.config.suspicion;
         for peer in self.peers.values_mut() {
-            if peer.news.status == Status::Suspect && now.since(peer.since) >= overdue {
+            if peer.news.status == Status::Suspect && now.since(peer.since) >= timeout {
                 peer.news.status = Status::Dead;
                 peer.since = now;
-                peer.spread = 0;
+                peer.sends = 0;
             }
         }
-        let memory = self.rules.memory;
+        let memory = self.config.memory;
         let seeds = &self.seeds;
         self.peers.retain(|vm, peer| {
             let old = peer.news.status == Status::Dead && now.since(peer.since) >= memory;
@@ -238,17 +240,17 @@
     }
 
     fn next_target(&mut self, rng: &mut dyn Rng) -> Option<VmId> {
-        if self.round.is_empty() {
-            self.round = self.targets();
-            self.round.shuffle(rng);
+        if self.probe_queue.is_empty() {
+            self.probe_queue = self.targets();
+            self.probe_queue.shuffle(rng);
         }
-        self.round.pop()
+        self.probe_queue.pop()
     }
 
-    /// All whom the list names, dead ones included, and all others not held dead.
+    /// Returns all VMs on the platform's list, including dead ones, and all other peers not dead.
     ///
-    /// A dead peer that is still listed goes on being probed: after a region split both sides hold
-    /// each other dead, and without a probe neither would ever hear the other again.
+    /// A dead peer that is still listed continues to be probed: after a network partition both
+    /// sides consider each other dead, and without probes they would never reconnect.
     fn targets(&self) -> Vec<VmId> {
         let live = self
             .peers
@@ -258,7 +260,10 @@
         seeds.chain(live.map(|(vm, _)| vm)).cloned().collect()
     }
 
-    /// Where to probe a VM; a restarted one may listen elsewhere, and then the list knows it.
+    /// Returns the address at which to probe a VM.
+    ///
+    /// A restarted VM may listen on another address, so the list's address is preferred unless the
+    /// peer is alive or leaving.
     fn addr_of(&self, vm: &VmId) -> Option<SocketAddr> {
         let known = self.peers.get(vm);
         let answering = known.filter(|peer| peer.news.status <= Status::Leaving);
@@ -268,18 +273,19 @@
             .or_else(|| known.map(|peer| peer.news.addr))
     }
 
-    fn pick_others(&self, target: &VmId, rng: &mut dyn Rng) -> Vec<SocketAddr> {
-        let mut others: Vec<SocketAddr> = self
+    /// Selects random peers that can probe `target` on our behalf.
+    fn pick_helpers(&self, target: &VmId, rng: &mut dyn Rng) -> Vec<SocketAddr> {
+        let mut helpers: Vec<SocketAddr> = self
             .alive()
             .filter(|peer| peer.news.who.vm != *target)
             .map(|peer| peer.news.addr)
             .collect();
-        let most = self.rules.indirect.min(others.len());
-        for i in 0..most {
-            let j = rng.random_range(i..others.len());
-            others.swap(i, j);
+        let count = self.config.indirect.min(helpers.len());
+        for i in 0..count {
+            let j = rng.random_range(i..helpers.len());
+            helpers.swap(i, j);
         }
-        others.truncate(most);
-        others
+        helpers.truncate(count);
+        helpers
     }
 }
--- a/crates/sesamegap-policy/src/agreement/membership/update.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/update.rs
@@ -1,46 +1,46 @@
-//! What processes tell each other of third ones.
+//! Updates on the state of members, which processes exchange.
 
 use crate::agreement::Holder;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is believed of a process.
+/// State of a process as another process sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// It answers.
+    /// The process answers probes.
     Alive,
-    /// It has said that it stops; it must not be named to callers.
+    /// The process announced that it is stopping; callers must not be directed to it.
     Leaving,
-    /// It did not answer and has not refuted that yet.
+    /// The process did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It is gone.
+    /// The process is considered gone.
     Dead,
 }
 
-/// One process as another believes it to be.
+/// State of one process, as exchanged between peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The process.
+    /// The process described.
     pub who: Holder,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub addr: SocketAddr,
-    /// Raised by the process itself, whenever it has something to say of itself.
+    /// Incremented only by the process itself, when it changes its status or refutes a suspicion.
     pub version: u32,
-    /// What is believed.
+    /// Status of the process.
     pub status: Status,
 }
 
 impl MemberUpdate {
-    /// Whether this replaces `other`, which is of the same VM.
+    /// Whether this update supersedes `other`, which is for the same VM.
     ///
-    /// A newer life wins, then the process's own newer word, then the graver belief: so all who
-    /// have heard the same pieces believe the same, whatever the order in which they came.
+    /// The newer incarnation wins, then the higher version, then the more severe status. Peers that
+    /// received the same updates therefore agree, regardless of the order of arrival.
     pub fn replaces(&self, other: &Self) -> bool {
-        self.rank() > other.rank()
+        self.precedence() > other.precedence()
     }
 
-    fn rank(&self) -> (u64, u32, Status) {
+    fn precedence(&self) -> (u64, u32, Status) {
         (self.who.incarnation.0, self.version, self.status)
     }
 }
