--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -1,18 +1,20 @@
-//! A lease on a log that gives no times but appends under a condition.
+//! A lease on a log that has no timestamps but supports conditional (compare-and-swap) appends.
 //!
-//! A process claims by appending a record at the end that it has read; the log takes it only if
-//! nobody appended in between, so two claims never both succeed. The claim's place gives the
-//! fencing number, which rises with every claim. Nobody's clock is compared with another's: a
-//! claimant waits a term and a rest from when it first saw the last record of another holder,
-//! while that holder counts its term from before the append of that record.
+//! A process claims the lease by appending a record at the end of the log as it last read it. The
+//! log accepts the record only if nothing was appended in between, so two claims never both
+//! succeed. The claim's position gives the fencing number, which increases with every claim. Clocks
+//! of different processes are never compared: a claimant waits for a term plus the handover delay
+//! from when it first saw the last record of another holder, while that holder measures its term
+//! from before the append of that record.
 //!
-//! The rest is there for upstreams that do not check fencing numbers: without it the first order
-//! of a new holder could cross the last one of the old holder on its way.
+//! The handover delay protects upstreams that do not check fencing numbers: without it the first
+//! order of a new holder could overtake the last order of the previous one.
 //!
-//! The log may be restored from a copy and lose its newest claims. Each claim names the timeline that it was made
-//! on. Whoever finds no claim of the present timeline cannot know who holds the lease, and waits a term and a rest
-//! from when it found that out; only a holder whose term still runs then knows that nobody else does, and claims
-//! anew at once. Fencing numbers count timelines before offsets, so they rise although offsets go back.
+//! The log may be restored from a backup and lose its newest claims. Each claim names the timeline on which it was
+//! made. A process that finds no claim of the current timeline cannot know who holds the lease, and waits for a term
+//! plus the handover delay from when it found that out. Only a holder whose term has not ended knows that no other
+//! process holds the lease, and claims it again at once. Fencing numbers order by timeline before offset, so they
+//! increase even though offsets go back.
 
 use super::Holder;
 use serde::{Deserialize, Serialize};
@@ -23,29 +25,29 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Written", into = "Written")]
 pub struct Claim {
-    /// Who holds the lease by this record.
+    /// Process that holds the lease according to this record.
     pub holder: Holder,
-    /// Fencing number, none in the record that takes the lease.
+    /// Fencing number of the renewed lease, or `None` in the record that acquires it.
     pub renews: Option<Fence>,
-    /// The timeline of the log that its holder had read.
+    /// Timeline of the log that the holder had read.
     pub timeline: Timeline,
 }
 
-/// A claim in its written form, which VMs of the release before read too: they would otherwise take a lease that
-/// is held for free.
+/// Serialized form of a claim, which VMs of the previous release must be able to read: otherwise they would treat a
+/// held lease as free.
 #[derive(Debug, Serialize, Deserialize)]
 struct Written {
     holder: Holder,
-    /// The fencing number, or the timeline alone in its place if the record takes the lease.
+    /// The fencing number; if the record acquires the lease, the base number of the timeline instead.
     number: Option<Fence>,
 }
 
 impl From<Claim> for Written {
     fn from(claim: Claim) -> Self {
-        let takes = (claim.timeline > Timeline(0)).then(|| first(claim.timeline));
+        let acquires = (claim.timeline > Timeline(0)).then(|| base_fence(claim.timeline));
         Self {
             holder: claim.holder,
-            number: claim.renews.or(takes),
+            number: claim.renews.or(acquires),
         }
     }
 }
@@ -56,94 +58,97 @@
         let timeline = Timeline(number.0 >> OFFSET_BITS);
         Self {
             holder: written.holder,
-            renews: written.number.filter(|number| *number != first(timeline)),
+            renews: written
+                .number
+                .filter(|number| *number != base_fence(timeline)),
             timeline,
         }
     }
 }
 
-/// Bits of a fencing number that count offsets within a timeline; engines take numbers of 53 bits.
+/// Low bits of a fencing number that hold the offset within a timeline; engines accept 53-bit numbers.
 const OFFSET_BITS: u32 = 32;
 
-/// The number below all fencing numbers of a timeline.
-fn first(timeline: Timeline) -> Fence {
+/// Returns the number below all fencing numbers of a timeline.
+fn base_fence(timeline: Timeline) -> Fence {
     Fence(timeline.0.saturating_mul(1 << OFFSET_BITS))
 }
 
-/// The fencing number of the claim at a position.
-fn fence(at: LogPosition) -> Fence {
-    Fence(first(at.timeline).0.saturating_add(at.offset.0 + 1))
+/// Returns the fencing number of the claim at a position.
+fn fence_at(at: LogPosition) -> Fence {
+    Fence(base_fence(at.timeline).0.saturating_add(at.offset.0 + 1))
 }
 
-/// Spans that all processes of a deployment share.
+/// Durations that all processes of a deployment share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// How long a record gives the lease.
+    /// How long a claim holds the lease.
     pub term: Duration,
-    /// How long orders rest between two holders.
+    /// Minimum time between the end of one holder's lease and the first order of the next holder.
     pub handover_delay: Duration,
 }
 
-/// What a process should do about the lease.
+/// Next action for the caller of [`CasLease::step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Read the log from this offset, then call [`CasLease::observe`] for each record.
+    /// Read the log from this position, then call [`CasLease::observe`].
     Read(LogPosition),
-    /// Append this record under the condition that the log ends here.
+    /// Append this record on the condition that the log ends at this position.
     Append(Claim, LogPosition),
-    /// Somebody else holds it, or must be taken to hold it, until this moment.
+    /// Another process holds the lease, or must be assumed to hold it, until this moment.
     Wait(Moment),
-    /// Held; orders may be given.
+    /// The lease is held and orders may be given.
     Hold,
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct SeenClaim {
     claim: Claim,
     at: Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldLease {
     fence: Fence,
     until: Moment,
 }
 
-/// The lease as one process sees it.
+/// The lease from the point of view of one process.
 #[derive(Debug)]
 pub struct CasLease {
     me: Holder,
-    terms: LeaseTiming,
+    timing: LeaseTiming,
     end: LogPosition,
-    fresh: bool,
-    last: Option<Seen>,
-    held: Option<Held>,
-    /// When the present timeline was first read, unless this process held the lease then.
-    unsure: Option<Moment>,
+    /// Whether the log was read since the last doubt about its end.
+    up_to_date: bool,
+    last_claim: Option<SeenClaim>,
+    held: Option<HeldLease>,
+    /// When the current timeline was first seen, unless this process held the lease then.
+    unknown_since: Option<Moment>,
 }
 
 impl CasLease {
     /// Starts without the lease and with nothing read.
-    pub fn new(me: Holder, terms: LeaseTiming) -> Self {
+    pub fn new(me: Holder, timing: LeaseTiming) -> Self {
         Self {
             me,
-            terms,
+            timing,
             end: LogPosition::default(),
-            fresh: false,
-            last: None,
+            up_to_date: false,
+            last_claim: None,
             held: None,
-            unsure: None,
+            unknown_since: None,
         }
     }
 
-    /// Where to read on.
+    /// Position to read from next.
     pub fn end(&self) -> LogPosition {
         self.end
     }
 
-    /// What to do next towards holding the lease.
+    /// Returns the next action to acquire or keep the lease.
     pub fn step(&mut self, now: Moment) -> Step {
-        let third = self.terms.term / 3;
+        let third = self.timing.term / 3;
         if let Some(held) = self.held {
             if now + third * 2 < held.until {
                 return Step::Hold;
@@ -154,78 +159,78 @@
             }
             self.invalidate();
         }
-        if !self.fresh {
+        if !self.up_to_date {
             return Step::Read(self.end());
         }
-        let free = self.free_at(now);
-        if now < free {
-            return Step::Wait(free);
+        let free_at = self.free_at(now);
+        if now < free_at {
+            return Step::Wait(free_at);
         }
         Step::Append(self.claim(None), self.end())
     }
 
-    /// Takes in what a read showed; `end` is where the log ended.
+    /// Applies the records of a read; `end` is where the log ended.
     pub fn observe(&mut self, claims: &[Claim], end: LogPosition, now: Moment) {
         self.enter_timeline(end.timeline, now);
         self.end = end;
-        self.fresh = true;
+        self.up_to_date = true;
         let Some(claim) = claims.last() else { return };
         if claim.holder != self.me || self.held.is_none() {
             self.held = None;
         }
-        self.last = Some(Seen {
+        self.last_claim = Some(SeenClaim {
             claim: claim.clone(),
             at: now,
         });
     }
 
-    /// The append begun at `began` was taken at `offset`.
+    /// Records that the append begun at `began` was accepted at position `at`.
     pub fn appended(&mut self, claim: Claim, at: LogPosition, began: Moment) {
-        let fence = claim.renews.unwrap_or(fence(at));
+        let fence = claim.renews.unwrap_or(fence_at(at));
         self.end = at.next();
-        self.held = Some(Held {
+        self.held = Some(HeldLease {
             fence,
-            until: began + self.terms.term,
+            until: began + self.timing.term,
         });
-        self.last = Some(Seen { claim, at: began });
+        self.last_claim = Some(SeenClaim { claim, at: began });
     }
 
-    /// An append failed, or nobody knows whether it was taken.
+    /// Drops the lease after an append failed or its result is unknown.
     ///
-    /// The lease then counts as lost until the log was read again: the record may be in the log or
-    /// come later, and a renewal by guess could overlap another holder's claim.
+    /// The lease counts as lost until the log is read again: the record may be in the log or arrive
+    /// later, and a renewal without reading could overlap another holder's claim.
     pub fn invalidate(&mut self) {
         self.held = None;
-        self.fresh = false;
+        self.up_to_date = false;
     }
 
-    /// The log is on a newer timeline: what was read of it is void, and the lease is lost until it is claimed anew.
+    /// Switches to a newer timeline of the log: discards what was read, and the lease until it is claimed again.
     ///
-    /// Another process cannot have claimed it on that timeline while this one's term still runs.
+    /// No other process can have claimed the lease on that timeline before this process's term ends.
     pub fn enter_timeline(&mut self, timeline: Timeline, now: Moment) {
         if timeline <= self.end.timeline {
             return;
         }
-        self.unsure = self.may_order(now).is_none().then_some(now);
+        self.unknown_since = self.may_order(now).is_none().then_some(now);
         self.end = LogPosition::new(timeline, Offset(0));
-        self.last = None;
+        self.last_claim = None;
         self.invalidate();
     }
 
-    /// The log must be read again before the next claim.
+    /// Requires the log to be read again before the next claim.
     pub fn require_read(&mut self) {
-        self.fresh = false;
+        self.up_to_date = false;
     }
 
-    /// The fencing number to order under, if an order begun now falls into the lease.
+    /// Returns the fencing number for an order, if the lease is held at `now`.
     pub fn may_order(&self, now: Moment) -> Option<Fence> {
         let held = self.held?;
         (now < held.until).then_some(held.fence)
     }
 
-    /// Who held the lease by the last record seen.
+    /// Returns the holder according to the last record seen.
     pub fn holder(&self) -> Option<&Holder> {
-        self.last.as_ref().map(|seen| &seen.claim.holder)
+        self.last_claim.as_ref().map(|seen| &seen.claim.holder)
     }
 
     fn claim(&self, renews: Option<Fence>) -> Claim {
@@ -236,20 +241,20 @@
         }
     }
 
-    /// When the last holder's orders have ended, as far as can be told.
+    /// Returns when the last holder's orders must have ended, as far as is known.
     ///
-    /// Load: all VMs restart at once in the middle of a roll, or just the holder's process does. A process starts
-    /// only after the one before it on its VM has ended, so that VM need not wait for itself. Harm prevented:
-    /// engines that are shut by their weights for the seconds in which nobody may order.
+    /// A process starts only after the previous process on its VM has ended, so a VM does not wait for its own
+    /// lease. If it did, then whenever all VMs or only the holder's process restart in the middle of a rollout,
+    /// engines whose weights are too old would serve nothing for the seconds in which no process may give orders.
     fn free_at(&self, now: Moment) -> Moment {
-        let whole = self.terms.term + self.terms.handover_delay;
-        let present = self.last.as_ref();
-        let present = present.filter(|seen| seen.claim.timeline == self.end.timeline);
-        match (present, self.unsure) {
-            (Some(seen), _) if seen.claim.holder.vm != self.me.vm => seen.at + whole,
+        let wait = self.timing.term + self.timing.handover_delay;
+        let current = self.last_claim.as_ref();
+        let current = current.filter(|seen| seen.claim.timeline == self.end.timeline);
+        match (current, self.unknown_since) {
+            (Some(seen), _) if seen.claim.holder.vm != self.me.vm => seen.at + wait,
             (Some(_), _) | (None, None) => now,
-            // A claim of a former timeline may be a late one, or what the copy held.
-            (None, Some(since)) => self.last.as_ref().map_or(since, |seen| seen.at) + whole,
+            // A claim of an earlier timeline may be a delayed append, or may have been in the backup.
+            (None, Some(since)) => self.last_claim.as_ref().map_or(since, |seen| seen.at) + wait,
         }
     }
 }
