--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -1,4 +1,5 @@
-//! At most one run for a caller's key, whatever is lost, late, paused or restarted.
+//! A request with a caller's key runs at most once despite lost and delayed appends, pauses and
+//! restarts.
 
 use crate::support::{FakeLog, Pick, check, finds_fault, holder};
 use quickcheck::{Arbitrary, Gen};
@@ -12,21 +13,21 @@
 
 const RETENTION: u64 = 60_000;
 const SKEW: Duration = Duration::from_secs(1);
-const PATIENCE: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 const ROUTERS: usize = 3;
 const KEYS: usize = 2;
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// A caller brings a key to a router.
-    Ask { router: Pick, key: Pick },
-    /// One attempt takes its next step; an append it asks for ends so.
-    Move { attempt: Pick, fate: Fate },
-    /// An append that was on its way arrives at the log after all.
+    /// A caller sends a request with a key to a router.
+    Request { router: Pick, key: Pick },
+    /// One attempt takes its next step; `fate` is the result of an append in that step.
+    Step { attempt: Pick, fate: Fate },
+    /// A delayed append arrives at the log.
     Arrive(Pick),
     /// A router reads some records.
     Read { router: Pick, count: Pick },
-    /// A router dies and comes back, knowing nothing.
+    /// A router restarts without state.
     Restart(Pick),
     /// Time passes, in seconds.
     Pass(Pick),
@@ -34,8 +35,8 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Fate {
-    Answered,
-    AnswerLost,
+    Appended,
+    ResponseLost,
     Failed,
     Delayed,
 }
@@ -43,9 +44,9 @@
 impl Arbitrary for Fate {
     fn arbitrary(g: &mut Gen) -> Self {
         let all = [
-            Self::Answered,
-            Self::Answered,
-            Self::AnswerLost,
+            Self::Appended,
+            Self::Appended,
+            Self::ResponseLost,
             Self::Failed,
             Self::Delayed,
         ];
@@ -58,8 +59,8 @@
         let a = Pick::arbitrary(g);
         let b = Pick::arbitrary(g);
         match Pick::arbitrary(g).below(12) {
-            0 | 1 => Self::Ask { router: a, key: b },
-            2..=6 => Self::Move {
+            0 | 1 => Self::Request { router: a, key: b },
+            2..=6 => Self::Step {
                 attempt: a,
                 fate: Fate::arbitrary(g),
             },
@@ -74,27 +75,27 @@
     }
 }
 
-/// The part of the fold that an attempt relies on; broken ones stand in for it below.
+/// Claims state that an attempt relies on; implemented by the real one and by a faulty one.
 trait Fold: Default {
     fn claims(&self) -> &Claims;
-    fn take(&mut self, offset: Offset, time: u64, record: &ClaimRecord);
+    fn apply(&mut self, offset: Offset, time: u64, record: &ClaimRecord);
     fn skip(&mut self, oldest: Offset);
 }
 
-struct Right(Claims);
+struct RealFold(Claims);
 
-impl Default for Right {
+impl Default for RealFold {
     fn default() -> Self {
         Self(Claims::new(Duration::from_millis(RETENTION)))
     }
 }
 
-impl Fold for Right {
+impl Fold for RealFold {
     fn claims(&self) -> &Claims {
         &self.0
     }
 
-    fn take(&mut self, offset: Offset, time: u64, record: &ClaimRecord) {
+    fn apply(&mut self, offset: Offset, time: u64, record: &ClaimRecord) {
         self.0.apply(offset, time, Some(record));
     }
 
@@ -103,19 +104,19 @@
     }
 }
 
-/// Broken on purpose: a claim that is older than five seconds is taken over by the next.
+/// Injected fault: the next claim takes over a claim that is older than five seconds.
 #[derive(Default)]
-struct TakesOver {
-    right: Right,
+struct TakeoverFold {
+    inner: RealFold,
     since: HashMap<ClaimKey, (u64, ClaimId)>,
 }
 
-impl Fold for TakesOver {
+impl Fold for TakeoverFold {
     fn claims(&self) -> &Claims {
-        self.right.claims()
+        self.inner.claims()
     }
 
-    fn take(&mut self, offset: Offset, time: u64, record: &ClaimRecord) {
+    fn apply(&mut self, offset: Offset, time: u64, record: &ClaimRecord) {
         if let ClaimRecord::Claim { key, claim, .. } = record {
             let old = self.since.get(key).copied();
             if let Some((since, former)) = old.filter(|(since, _)| since + 5_000 < time) {
@@ -124,32 +125,32 @@
                     claim: former,
                 };
                 let _ = since;
-                let mut fresh = Right::default();
-                fresh.take(Offset(offset.0.saturating_sub(1)), time, &release);
-                fresh.take(offset, time, record);
-                self.right = fresh;
+                let mut fresh = RealFold::default();
+                fresh.apply(Offset(offset.0.saturating_sub(1)), time, &release);
+                fresh.apply(offset, time, record);
+                self.inner = fresh;
                 self.since.insert(key.clone(), (time, *claim));
                 return;
             }
             self.since.entry(key.clone()).or_insert((time, *claim));
         }
-        self.right.take(offset, time, record);
+        self.inner.apply(offset, time, record);
     }
 
     fn skip(&mut self, oldest: Offset) {
-        self.right.skip(oldest);
+        self.inner.skip(oldest);
     }
 }
 
 struct Attempt {
     router: usize,
     key: ClaimKey,
-    machine: Claimant,
+    claimant: Claimant,
 }
 
 #[derive(Default)]
 struct Router<F> {
-    life: u64,
+    incarnation: u64,
     fold: F,
 }
 
@@ -157,11 +158,11 @@
     log: FakeLog<ClaimRecord>,
     routers: Vec<Router<F>>,
     attempts: Vec<Attempt>,
-    flying: Vec<ClaimRecord>,
+    in_flight: Vec<ClaimRecord>,
     runs: HashMap<ClaimKey, u32>,
-    given_up: HashSet<ClaimId>,
+    timed_out: HashSet<ClaimId>,
     ran: HashSet<ClaimId>,
-    minted: u128,
+    last_claim_id: u128,
 }
 
 impl<F: Fold> World<F> {
@@ -170,11 +171,11 @@
             log: FakeLog::new(RETENTION),
             routers: (0..ROUTERS).map(|_| Router::default()).collect(),
             attempts: Vec::new(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             runs: HashMap::new(),
-            given_up: HashSet::new(),
+            timed_out: HashSet::new(),
             ran: HashSet::new(),
-            minted: 0,
+            last_claim_id: 0,
         }
     }
 
@@ -184,44 +185,44 @@
 
     fn act(&mut self, op: &Op) {
         match op {
-            Op::Ask { router, key } => self.ask(router.below(ROUTERS), key.below(KEYS)),
-            Op::Move { attempt, fate } if !self.attempts.is_empty() => {
+            Op::Request { router, key } => self.request(router.below(ROUTERS), key.below(KEYS)),
+            Op::Step { attempt, fate } if !self.attempts.is_empty() => {
                 self.step(attempt.below(self.attempts.len()), *fate);
             }
-            Op::Arrive(which) if !self.flying.is_empty() => {
-                let record = self.flying.remove(which.below(self.flying.len()));
+            Op::Arrive(which) if !self.in_flight.is_empty() => {
+                let record = self.in_flight.remove(which.below(self.in_flight.len()));
                 self.log.append(record);
             }
             Op::Read { router, count } => self.read(router.below(ROUTERS), count.below(8)),
             Op::Restart(router) => self.restart(router.below(ROUTERS)),
             Op::Pass(seconds) => self.log.now += seconds.below(15) as u64 * 1000,
-            Op::Move { .. } | Op::Arrive(_) => {}
+            Op::Step { .. } | Op::Arrive(_) => {}
         }
     }
 
-    fn ask(&mut self, router: usize, key: usize) {
-        // Both keys were made when the world began, as UUIDs of version 7.
-        let made = 1_000_000_u64;
+    fn request(&mut self, router: usize, key: usize) {
+        // Both keys are UUIDs of version 7, created when the simulation started.
+        let created = 1_000_000_u64;
         let text = format!(
             "{:08x}-{:04x}-7000-8000-00000000000{key}",
-            made >> 16,
-            made & 0xffff
+            created >> 16,
+            created & 0xffff
         );
-        let life = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
-        if life.classify(&text, self.log.now) != KeyAge::Fresh {
+        let validity = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
+        if validity.classify(&text, self.log.now) != KeyAge::Fresh {
             return;
         }
-        self.minted += 1;
+        self.last_claim_id += 1;
         let key = ClaimKey {
             team: "t".parse().expect("valid"),
             key: text.into(),
         };
-        let me = holder(router, self.routers[router].life);
-        let claim = ClaimId(self.minted);
+        let me = holder(router, self.routers[router].incarnation);
+        let claim = ClaimId(self.last_claim_id);
         self.attempts.push(Attempt {
             router,
             key: key.clone(),
-            machine: Claimant::new(key, claim, me, self.now(), PATIENCE),
+            claimant: Claimant::new(key, claim, me, self.now(), CLAIM_TIMEOUT),
         });
     }
 
@@ -229,43 +230,43 @@
         let now = self.now();
         let router = self.attempts[index].router;
         let claims = self.routers[router].fold.claims();
-        match self.attempts[index].machine.poll(claims, now) {
+        match self.attempts[index].claimant.poll(claims, now) {
             Step::Append(record) => self.append(index, record, fate),
             Step::Wait => {}
-            Step::Done(verdict) => self.finish(index, verdict),
+            Step::Done(outcome) => self.finish(index, outcome),
         }
     }
 
     fn append(&mut self, index: usize, record: ClaimRecord, fate: Fate) {
         let result = match fate {
-            Fate::Answered => {
+            Fate::Appended => {
                 self.log.append(record);
                 Appended::At(Offset(self.log.records.len() as u64 - 1))
             }
-            Fate::AnswerLost => {
+            Fate::ResponseLost => {
                 self.log.append(record);
                 Appended::Unknown
             }
             Fate::Failed => Appended::Failed,
             Fate::Delayed => {
-                self.flying.push(record);
+                self.in_flight.push(record);
                 Appended::Unknown
             }
         };
-        self.attempts[index].machine.appended(result);
+        self.attempts[index].claimant.appended(result);
     }
 
-    fn finish(&mut self, index: usize, verdict: ClaimOutcome) {
+    fn finish(&mut self, index: usize, outcome: ClaimOutcome) {
         let attempt = self.attempts.remove(index);
-        let claim = attempt.machine.claim();
-        match verdict {
+        let claim = attempt.claimant.claim();
+        match outcome {
             ClaimOutcome::Run => {
                 *self.runs.entry(attempt.key).or_default() += 1;
                 self.ran.insert(claim);
             }
             ClaimOutcome::TimedOut(release) => {
-                self.given_up.insert(claim);
-                self.flying.push(release);
+                self.timed_out.insert(claim);
+                self.in_flight.push(release);
             }
             ClaimOutcome::HeldByOther(_) | ClaimOutcome::EarlierAttempt(_) => {}
         }
@@ -280,51 +281,50 @@
             let Some((time, record)) = self.log.read(next) else {
                 break;
             };
-            fold.take(next, time, &record);
+            fold.apply(next, time, &record);
         }
     }
 
     fn restart(&mut self, router: usize) {
-        let life = self.routers[router].life + 1;
+        let incarnation = self.routers[router].incarnation + 1;
         self.routers[router] = Router {
-            life,
+            incarnation,
             fold: F::default(),
         };
         self.attempts.retain(|attempt| attempt.router != router);
     }
 
-    fn holds(&self) -> bool {
-        let once = self.runs.values().all(|count| *count <= 1);
-        once && self.given_up.is_disjoint(&self.ran)
+    fn invariants_hold(&self) -> bool {
+        let at_most_once = self.runs.values().all(|count| *count <= 1);
+        at_most_once && self.timed_out.is_disjoint(&self.ran)
     }
 }
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "quickcheck hands over what it makes"
+    reason = "quickcheck passes arguments by value"
 )]
 fn runs_at_most_once<F: Fold>(ops: Vec<Op>) -> bool {
     let mut world = World::<F>::new();
     ops.iter().all(|op| {
         world.act(op);
-        world.holds()
+        world.invariants_hold()
     })
 }
 
-/// A clerk's filing save is retried at other routers while answers of the log are lost or late,
-/// routers restart and one is paused for longer than its claim lasts. The clerk would notice a
-/// filing made twice.
+/// Guards against running a request twice when it is retried at other routers while responses of
+/// the log are lost or late, routers restart, and one is paused for longer than its claim lasts.
 #[test]
 fn a_key_runs_at_most_once() {
-    check(runs_at_most_once::<Right> as fn(Vec<Op>) -> bool);
+    check(runs_at_most_once::<RealFold> as fn(Vec<Op>) -> bool);
 }
 
-/// If a claim could be taken over from a holder that seems gone, a paused holder would wake and
-/// run the filing a second time. The check above must notice.
+/// Verifies that the property above detects claims that can be taken over: a paused holder would
+/// resume and run the request a second time.
 #[test]
-fn a_claim_that_can_be_taken_over_is_caught() {
+fn a_claim_that_can_be_taken_over_is_detected() {
     assert!(finds_fault(
-        runs_at_most_once::<TakesOver> as fn(Vec<Op>) -> bool
+        runs_at_most_once::<TakeoverFold> as fn(Vec<Op>) -> bool
     ));
 }
 
@@ -335,9 +335,9 @@
     }
 }
 
-/// An append is repeated since its answer was lost, the request is given up and released, and
-/// only then does the repetition reach the log. The caller who comes back with the key would be
-/// told `ran: unknown` of a request that never ran, and could never save the filing.
+/// An append is retried because its response was lost, the claim is released, and only then does
+/// the retry reach the log. If it counted as a claim, every retry by the caller would get
+/// `ran: unknown` for a request that never ran.
 #[test]
 fn a_claim_that_arrives_after_its_release_holds_nothing() {
     let mut claims = Claims::new(Duration::from_millis(RETENTION));
@@ -356,35 +356,35 @@
     assert_eq!(claims.key_state(&key("k")), KeyState::Free);
 }
 
-/// A router that was paused wakes after its patience has passed and finds its claim first. If it
-/// ran the request now, a router that started later could have run it already.
+/// A paused router resumes after the claim timeout and finds that its claim is the first. If it ran
+/// the request now, a router that started later could have run it already.
 #[test]
-fn a_claim_won_too_late_is_given_back() {
+fn a_claim_confirmed_after_the_timeout_is_released() {
     let mut claims = Claims::new(Duration::from_millis(RETENTION));
-    let mut claimant = Claimant::new(key("k"), ClaimId(1), holder(0, 0), Moment(0), PATIENCE);
+    let mut claimant = Claimant::new(key("k"), ClaimId(1), holder(0, 0), Moment(0), CLAIM_TIMEOUT);
     let Step::Append(record) = claimant.poll(&claims, Moment(0)) else {
-        panic!("an attempt starts with its append");
+        panic!("an attempt must start with an append");
     };
     claimant.appended(Appended::At(Offset(0)));
     claims.apply(Offset(0), 10, Some(&record));
-    let woken = Moment(0) + PATIENCE;
-    let step = claimant.poll(&claims, woken);
+    let resumed = Moment(0) + CLAIM_TIMEOUT;
+    let step = claimant.poll(&claims, resumed);
     assert!(matches!(step, Step::Done(ClaimOutcome::TimedOut(_))));
 }
 
-/// A caller comes back with a key made longer ago than the log keeps claims. Whether it ran can
-/// no longer be read, and running it could be the second time.
+/// A caller reuses a key created longer ago than the log's retention. The log no longer shows
+/// whether its request ran, so running it could be the second time.
 #[test]
-fn a_key_older_than_the_log_is_stale() {
-    let life = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
-    let made = 0x0192_0000_0000_u64;
+fn a_key_older_than_the_retention_is_stale() {
+    let validity = KeyValidity::new(Duration::from_millis(RETENTION), SKEW);
+    let created = 0x0192_0000_0000_u64;
     let text = "01920000-0000-7000-8000-000000000000";
-    assert_eq!(life.classify(text, made + 57_000), KeyAge::Fresh);
-    assert_eq!(life.classify(text, made + 59_000), KeyAge::Stale);
-    assert_eq!(life.classify(text, made - 2_000), KeyAge::InFuture);
-    assert_eq!(life.classify("order-17", made), KeyAge::Untimed);
+    assert_eq!(validity.classify(text, created + 57_000), KeyAge::Fresh);
+    assert_eq!(validity.classify(text, created + 59_000), KeyAge::Stale);
+    assert_eq!(validity.classify(text, created - 2_000), KeyAge::InFuture);
+    assert_eq!(validity.classify("order-17", created), KeyAge::Untimed);
     assert_eq!(
-        life.classify("ééééééééé-é-7é-é-ééééé", made),
+        validity.classify("ééééééééé-é-7é-é-ééééé", created),
         KeyAge::Untimed
     );
 }
--- a/crates/sesamegap-policy/tests/agreement/lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/lease.rs
@@ -1,4 +1,4 @@
-//! Never two controllers whose orders an engine would take.
+//! Orders of two lease holders never reach an engine out of order.
 
 use crate::support::{FakeLog, Pick, check, finds_fault, holder};
 use quickcheck::{Arbitrary, Gen};
@@ -6,39 +6,39 @@
 use sesamegap_wire::{Fence, Moment};
 use std::time::Duration;
 
-const TERMS: LeaseTiming = LeaseTiming {
+const TIMING: LeaseTiming = LeaseTiming {
     term: Duration::from_secs(4),
     margin: Duration::from_millis(400),
     longest_order: Duration::from_secs(2),
 };
 
-/// Broken on purpose: a successor that does not wait for orders still on their way.
-const HASTY: LeaseTiming = LeaseTiming {
+/// Injected fault: a successor that does not wait for orders in flight.
+const NO_ORDER_WAIT: LeaseTiming = LeaseTiming {
     longest_order: Duration::ZERO,
-    ..TERMS
+    ..TIMING
 };
 
 const CONTROLLERS: usize = 3;
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// A controller takes a step; a paused one simply takes none.
-    Step { who: Pick, spread: Pick, fate: Pick },
-    /// An append that was on its way reaches the log.
+    /// A controller takes a step. Pauses are modelled by taking none.
+    Step { who: Pick, jitter: Pick, fate: Pick },
+    /// A delayed append reaches the log.
     Arrive(Pick),
     /// A controller reads the log.
     Read(Pick),
-    /// A controller begins an order, which arrives some time later.
+    /// A controller begins an order, which arrives after a delay.
     Order { who: Pick, delay: Pick },
-    /// A controller dies and comes back, knowing nothing.
+    /// A controller restarts without state.
     Restart(Pick),
     /// Time passes, in tenths of a second.
     Pass(Pick),
-    /// Whoever is not paused reads, steps and orders, as in a quiet second.
+    /// Every controller that is not paused reads, steps and orders, as in normal operation.
     Round(Pick, Pick),
-    /// A controller is paused, or goes on.
+    /// Pauses or resumes a controller.
     Pause(Pick),
-    /// A controller's appends fail from now on, or succeed again; its orders still arrive.
+    /// Makes a controller's appends fail, or succeed again; its orders still arrive.
     Cut(Pick),
 }
 
@@ -49,7 +49,7 @@
         match Pick::arbitrary(g).below(50) {
             0..=3 => Self::Step {
                 who: a,
-                spread: b,
+                jitter: b,
                 fate: Pick::arbitrary(g),
             },
             4 => Self::Arrive(a),
@@ -65,47 +65,47 @@
 }
 
 struct Controller {
-    life: u64,
+    incarnation: u64,
     paused: bool,
     cut: bool,
-    machine: Leaseholder,
+    leaseholder: Leaseholder,
     leases: Leases,
 }
 
 impl Controller {
-    fn new(index: usize, life: u64, terms: LeaseTiming) -> Self {
+    fn new(index: usize, incarnation: u64, timing: LeaseTiming) -> Self {
         Self {
-            life,
+            incarnation,
             paused: false,
             cut: false,
-            machine: Leaseholder::new(holder(index, life), terms),
+            leaseholder: Leaseholder::new(holder(index, incarnation), timing),
             leases: Leases::default(),
         }
     }
 }
 
 struct World {
-    terms: LeaseTiming,
+    timing: LeaseTiming,
     log: FakeLog<LeaseRecord>,
-    flying: Vec<LeaseRecord>,
+    in_flight: Vec<LeaseRecord>,
     controllers: Vec<Controller>,
-    /// Orders on their way, with the time at which they reach an engine.
+    /// Orders in flight, with the time at which they reach an engine.
     orders: Vec<(u64, Fence)>,
-    /// Orders that engines took, as they came.
-    taken: Vec<Fence>,
+    /// Orders executed by engines, in the order of arrival.
+    executed: Vec<Fence>,
 }
 
 impl World {
-    fn new(terms: LeaseTiming) -> Self {
+    fn new(timing: LeaseTiming) -> Self {
         Self {
-            terms,
+            timing,
             log: FakeLog::new(1_000_000),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             controllers: (0..CONTROLLERS)
-                .map(|i| Controller::new(i, 0, terms))
+                .map(|i| Controller::new(i, 0, timing))
                 .collect(),
             orders: Vec::new(),
-            taken: Vec::new(),
+            executed: Vec::new(),
         }
     }
 
@@ -115,11 +115,11 @@
 
     fn act(&mut self, op: &Op) {
         match op {
-            Op::Step { who, spread, fate } => {
-                self.step(who.below(CONTROLLERS), spread.below(10), fate.below(4));
+            Op::Step { who, jitter, fate } => {
+                self.step(who.below(CONTROLLERS), jitter.below(10), fate.below(4));
             }
-            Op::Arrive(which) if !self.flying.is_empty() => {
-                let record = self.flying.remove(which.below(self.flying.len()));
+            Op::Arrive(which) if !self.in_flight.is_empty() => {
+                let record = self.in_flight.remove(which.below(self.in_flight.len()));
                 self.log.append(record);
             }
             Op::Arrive(_) => {}
@@ -127,18 +127,18 @@
             Op::Order { who, delay } => self.order(who.below(CONTROLLERS), delay.below(20)),
             Op::Restart(who) => {
                 let index = who.below(CONTROLLERS);
-                let life = self.controllers[index].life + 1;
-                self.controllers[index] = Controller::new(index, life, self.terms);
+                let incarnation = self.controllers[index].incarnation + 1;
+                self.controllers[index] = Controller::new(index, incarnation, self.timing);
             }
             Op::Pass(tenths) => self.pass(tenths.below(60) as u64 * 100),
             Op::Round(delay, length) => self.round(*delay, *length),
             Op::Pause(who) => {
-                let one = &mut self.controllers[who.below(CONTROLLERS)];
-                one.paused = !one.paused;
+                let controller = &mut self.controllers[who.below(CONTROLLERS)];
+                controller.paused = !controller.paused;
             }
             Op::Cut(who) => {
-                let one = &mut self.controllers[who.below(CONTROLLERS)];
-                one.cut = !one.cut;
+                let controller = &mut self.controllers[who.below(CONTROLLERS)];
+                controller.cut = !controller.cut;
             }
         }
     }
@@ -158,21 +158,24 @@
         self.pass(100 + length.below(8) as u64 * 100);
     }
 
-    fn step(&mut self, index: usize, spread: usize, fate: usize) {
+    fn step(&mut self, index: usize, jitter: usize, fate: usize) {
         let now = self.now();
-        let one = &mut self.controllers[index];
-        let Action::Append(record) = one.machine.step(&one.leases, now, spread as f64 / 10.0)
+        let controller = &mut self.controllers[index];
+        let Action::Append(record) =
+            controller
+                .leaseholder
+                .step(&controller.leases, now, jitter as f64 / 10.0)
         else {
             return;
         };
         match fate {
-            // The record is in the log, whether or not its answer comes back.
+            // The record is in the log, whether or not the response arrives.
             0 | 1 => self.log.append(record),
-            // The record hangs on its way and may come much later.
-            2 => self.flying.push(record),
+            // The record is delayed and may arrive much later.
+            2 => self.in_flight.push(record),
             _ => {}
         }
-        self.controllers[index].machine.appended(now);
+        self.controllers[index].leaseholder.appended(now);
     }
 
     fn read(&mut self, index: usize) {
@@ -184,7 +187,7 @@
 
     fn order(&mut self, index: usize, tenths: usize) {
         let now = self.now();
-        if let Some(fence) = self.controllers[index].machine.may_order(now) {
+        if let Some(fence) = self.controllers[index].leaseholder.may_order(now) {
             let delay = tenths as u64 * 100;
             self.orders.push((self.log.now + delay, fence));
         }
@@ -197,75 +200,76 @@
         let due = self.orders.iter().take_while(|(time, _)| *time <= now);
         let due = due.count();
         let arrived = self.orders.drain(..due);
-        self.taken.extend(arrived.map(|(_, fence)| fence));
+        self.executed.extend(arrived.map(|(_, fence)| fence));
     }
 
-    /// An engine that ignores fencing numbers takes every order as it comes: under the lease no
-    /// order of a former holder may come after one of its successor.
-    fn holds(&self) -> bool {
-        self.taken.is_sorted()
+    /// Whether no order of a previous holder arrived after one of its successor. Engines that
+    /// ignore fencing numbers execute every order as it arrives.
+    fn invariant_holds(&self) -> bool {
+        self.executed.is_sorted()
     }
 }
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "quickcheck hands over what it makes"
+    reason = "quickcheck passes arguments by value"
 )]
-fn orders_never_cross(terms: LeaseTiming, ops: Vec<Op>) -> bool {
-    let mut world = World::new(terms);
+fn orders_never_cross(timing: LeaseTiming, ops: Vec<Op>) -> bool {
+    let mut world = World::new(timing);
     ops.iter().all(|op| {
         world.act(op);
-        world.holds()
+        world.invariant_holds()
     })
 }
 
-/// A holder is paused past its lease with an order in hand, appends hang in the network and reach
-/// the log late, and answers are lost. Operators would notice an engine that loads two versions in
-/// turn, with its cache lost each time.
+/// Guards against an engine that alternates between two model versions and loses its cache each
+/// time, when a holder is paused past its lease before sending an order, appends are delayed, and
+/// responses are lost.
 #[test]
 fn orders_of_two_holders_never_cross() {
     fn property(ops: Vec<Op>) -> bool {
-        orders_never_cross(TERMS, ops)
+        orders_never_cross(TIMING, ops)
     }
     check(property as fn(Vec<Op>) -> bool);
 }
 
-/// Without the wait for orders on their way, one of the former holder overtakes nothing but comes
-/// last. The check above must notice.
+/// Verifies that the property above detects a successor that does not wait for orders in flight, so
+/// that an order of the previous holder arrives last.
 #[test]
-fn a_hasty_successor_is_caught() {
+fn a_successor_that_does_not_wait_is_detected() {
     fn property(ops: Vec<Op>) -> bool {
-        orders_never_cross(HASTY, ops)
+        orders_never_cross(NO_ORDER_WAIT, ops)
     }
     assert!(finds_fault(property as fn(Vec<Op>) -> bool));
 }
 
-/// The leases of one run in which nothing goes wrong pass from holder to holder.
-fn settle(terms: LeaseTiming, seconds: u64, silent: Option<usize>) -> Vec<Fence> {
-    let mut world = World::new(terms);
+/// Returns the fencing numbers of the leases in a run without faults other than the death of
+/// `dead` after ten seconds.
+fn run_without_faults(timing: LeaseTiming, seconds: u64, dead: Option<usize>) -> Vec<Fence> {
+    let mut world = World::new(timing);
     for tick in 0..seconds * 10 {
-        for index in (0..CONTROLLERS).filter(|i| Some(*i) != silent || tick < 100) {
+        for index in (0..CONTROLLERS).filter(|i| Some(*i) != dead || tick < 100) {
             world.read(index);
             world.step(index, index * 3, 0);
             world.order(index, 5);
         }
         world.pass(100);
     }
-    let mut fences = world.taken.clone();
+    let mut fences = world.executed.clone();
     fences.dedup();
-    assert!(world.holds());
+    assert!(world.invariant_holds());
     fences
 }
 
-/// A lease is renewed in time while its holder lives, so that orders go on under one number.
+/// A live holder renews its lease in time, so that its orders keep one fencing number.
 #[test]
 fn a_live_holder_keeps_its_lease() {
-    assert_eq!(settle(TERMS, 300, None).len(), 1);
+    assert_eq!(run_without_faults(TIMING, 300, None).len(), 1);
 }
 
-/// The holder dies ten seconds into the run. Without a successor no engine would ever get another
+/// The holder dies ten seconds into the run. Without a successor no engine would receive another
 /// order, and a new model version would never be loaded.
 #[test]
 fn a_dead_holder_is_succeeded() {
-    assert_eq!(settle(TERMS, 120, Some(0)).len(), 2);
+    assert_eq!(run_without_faults(TIMING, 120, Some(0)).len(), 2);
 }
--- a/crates/sesamegap-policy/tests/agreement/main.rs
+++ b/crates/sesamegap-policy/tests/agreement/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the rules by which processes agree.
+//! Tests of the coordination protocols between processes.
 
 mod cas_lease;
 mod claims;
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -1,4 +1,4 @@
-//! A live process is not held dead for ever, a dead one is dropped in bounded time.
+//! A live process is not considered dead permanently, and a dead one is detected in bounded time.
 
 use crate::support::{Pick, check, holder};
 use quickcheck::{Arbitrary, Gen};
@@ -14,7 +14,7 @@
 
 const PEERS: usize = 6;
 const ROUND: Duration = Duration::from_millis(500);
-const RULES: MembershipConfig = MembershipConfig {
+const CONFIG: MembershipConfig = MembershipConfig {
     suspicion: Duration::from_secs(3),
     memory: Duration::from_mins(1),
     indirect: 2,
@@ -35,8 +35,9 @@
     now: Moment,
     rng: ChaCha12Rng,
     nodes: Vec<Option<Members>>,
+    /// Broken links, as pairs of node indices in either order.
     cut: HashSet<(usize, usize)>,
-    sent: usize,
+    probes_sent: usize,
 }
 
 impl World {
@@ -46,7 +47,7 @@
             rng: ChaCha12Rng::seed_from_u64(1),
             nodes: Vec::new(),
             cut: HashSet::new(),
-            sent: 0,
+            probes_sent: 0,
         };
         world.nodes.resize_with(PEERS, || None);
         for index in 0..PEERS {
@@ -55,27 +56,27 @@
         world
     }
 
-    fn start(&mut self, index: usize, life: u64) {
-        let mut members = Members::new(holder(index, life), addr(index), RULES);
+    fn start(&mut self, index: usize, incarnation: u64) {
+        let mut members = Members::new(holder(index, incarnation), addr(index), CONFIG);
         members.seed((0..PEERS).map(|i| (vm(i), addr(i))));
         self.nodes[index] = Some(members);
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let whole = !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from));
-        whole && self.nodes[to].is_some()
+        let connected = !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from));
+        connected && self.nodes[to].is_some()
     }
 
-    fn rounds(&mut self, count: usize) {
+    fn run_rounds(&mut self, count: usize) {
         for _ in 0..count {
             self.now = self.now + ROUND;
             for index in 0..PEERS {
-                self.round_of(index);
+                self.tick(index);
             }
         }
     }
 
-    fn round_of(&mut self, index: usize) {
+    fn tick(&mut self, index: usize) {
         let Some(node) = self.nodes[index].as_mut() else {
             return;
         };
@@ -87,7 +88,7 @@
 
     fn probe(&mut self, from: usize, probe: &Probe) {
         let to = (0..PEERS).find(|i| addr(*i) == probe.addr).expect("a peer");
-        self.sent += 1;
+        self.probes_sent += 1;
         let direct = self.reaches(from, to);
         let helper = probe.through.iter().find(|helper| {
             let helper = (0..PEERS).find(|i| addr(*i) == **helper).expect("a peer");
@@ -101,35 +102,37 @@
         self.exchange(from, to, &probe.news);
     }
 
-    fn exchange(&mut self, from: usize, to: usize, news: &[MemberUpdate]) {
+    fn exchange(&mut self, from: usize, to: usize, updates: &[MemberUpdate]) {
         let now = self.now;
-        let asker = self.node(from).me().clone();
+        let prober = self.node(from).me().clone();
         let target = self.node(to);
-        target.apply_updates(news, now);
-        target.apply_update(&asker, now);
+        target.apply_updates(updates, now);
+        target.apply_update(&prober, now);
         let answer = target.me().clone();
-        let back = target.select_updates();
-        let asker = self.node(from);
-        asker.apply_update(&answer, now);
-        asker.apply_updates(&back, now);
+        let answer_updates = target.select_updates();
+        let prober = self.node(from);
+        prober.apply_update(&answer, now);
+        prober.apply_updates(&answer_updates, now);
     }
 
     fn node(&mut self, index: usize) -> &mut Members {
         self.nodes[index].as_mut().expect("a live node")
     }
 
-    fn belief(&self, of: usize, about: usize) -> Option<Status> {
-        let node = self.nodes[of].as_ref()?;
+    /// Returns the status of `about` as `observer` sees it.
+    fn status(&self, observer: usize, about: usize) -> Option<Status> {
+        let node = self.nodes[observer].as_ref()?;
         node.peer(&vm(about)).map(|peer| peer.news.status)
     }
 
-    fn all_agree(&self) -> bool {
+    /// Whether every live node sees the actual state of all others.
+    fn has_converged(&self) -> bool {
         let pairs = (0..PEERS).flat_map(|a| (0..PEERS).map(move |b| (a, b)));
         pairs
             .filter(|(a, b)| a != b && self.nodes[*a].is_some())
             .all(|(a, b)| match &self.nodes[b] {
-                Some(_) => self.belief(a, b) == Some(Status::Alive),
-                None => matches!(self.belief(a, b), None | Some(Status::Dead)),
+                Some(_) => self.status(a, b) == Some(Status::Alive),
+                None => matches!(self.status(a, b), None | Some(Status::Dead)),
             })
     }
 }
@@ -157,13 +160,13 @@
     }
 }
 
-/// Links break one by one, routers die and come back, and all of it mends in the end. A caller
-/// would notice a live router that is never named to anybody again, or a dead one that still is.
+/// Links break, routers die and restart, and finally all links are restored. Guards against a live
+/// router to which callers are never directed again, and a dead one to which they still are.
 #[test]
-fn beliefs_meet_the_world_once_it_is_quiet() {
+fn membership_converges_once_faults_stop() {
     fn property(ops: Vec<Op>) -> bool {
         let mut world = World::new();
-        let mut life = 1;
+        let mut incarnation = 1;
         for op in ops {
             match op {
                 Op::Cut(a, b) => {
@@ -174,15 +177,15 @@
                 }
                 Op::Kill(a) => world.nodes[a.below(PEERS)] = None,
                 Op::Start(a) => {
-                    life += 1;
-                    world.start(a.below(PEERS), life);
+                    incarnation += 1;
+                    world.start(a.below(PEERS), incarnation);
                 }
-                Op::Rounds(count) => world.rounds(count.below(8)),
+                Op::Rounds(count) => world.run_rounds(count.below(8)),
             }
         }
         world.cut.clear();
-        world.rounds(40);
-        world.all_agree()
+        world.run_rounds(40);
+        world.has_converged()
     }
     check(property as fn(Vec<Op>) -> bool);
 }
@@ -190,51 +193,51 @@
 /// Two routers cannot reach each other, but both reach the others. If a broken link alone made a
 /// peer dead, callers in one failure domain would lose a router that works.
 #[test]
-fn a_broken_link_kills_nobody() {
+fn a_broken_link_does_not_make_a_peer_dead() {
     let mut world = World::new();
-    world.rounds(20);
+    world.run_rounds(20);
     world.cut.insert((0, 1));
-    world.rounds(60);
-    assert_eq!(world.belief(0, 1), Some(Status::Alive));
-    assert_eq!(world.belief(1, 0), Some(Status::Alive));
+    world.run_rounds(60);
+    assert_eq!(world.status(0, 1), Some(Status::Alive));
+    assert_eq!(world.status(1, 0), Some(Status::Alive));
 }
 
-/// Two regions lose each other for an hour and find each other again. Each side had held the other
-/// dead; if nobody probed the dead, they would stay apart for good.
+/// Two regions are partitioned for an hour, and each considers the other dead. If dead peers were
+/// not probed, the regions would never reconnect.
 #[test]
-fn halves_that_were_split_meet_again() {
+fn partitioned_halves_reconnect() {
     let mut world = World::new();
-    world.rounds(20);
+    world.run_rounds(20);
     for a in 0..3 {
         for b in 3..PEERS {
             world.cut.insert((a, b));
         }
     }
-    world.rounds(7200);
-    assert_eq!(world.belief(0, 5), Some(Status::Dead));
+    world.run_rounds(7200);
+    assert_eq!(world.status(0, 5), Some(Status::Dead));
     world.cut.clear();
-    world.rounds(40);
-    assert!(world.all_agree());
+    world.run_rounds(40);
+    assert!(world.has_converged());
 }
 
-/// A router that stops for good says so first. Its peers must not name it to callers again, though
+/// A router announces that it is stopping. Its peers must not direct callers to it again, although
 /// it still answers their probes.
 #[test]
-fn leaving_spreads_and_is_not_taken_back() {
+fn leaving_spreads_and_is_not_reverted() {
     let mut world = World::new();
-    world.rounds(20);
+    world.run_rounds(20);
     world.node(2).leave();
-    world.rounds(12);
+    world.run_rounds(12);
     for other in [0, 1, 3, 4, 5] {
-        assert_eq!(world.belief(other, 2), Some(Status::Leaving));
+        assert_eq!(world.status(other, 2), Some(Status::Leaving));
     }
 }
 
-/// One round of one process sends one probe, however many peers there are; more would make the
-/// cost of membership grow with the square of the deployment.
+/// A process sends one probe per round, regardless of the number of peers. More would make the
+/// total cost of membership quadratic in the size of the deployment.
 #[test]
-fn a_round_costs_one_probe_a_process() {
+fn a_round_costs_one_probe_per_process() {
     let mut world = World::new();
-    world.rounds(10);
-    assert_eq!(world.sent, 10 * PEERS);
+    world.run_rounds(10);
+    assert_eq!(world.probes_sent, 10 * PEERS);
 }
--- a/crates/sesamegap-policy/tests/agreement/support.rs
+++ b/crates/sesamegap-policy/tests/agreement/support.rs
@@ -1,42 +1,45 @@
-//! Seeds, cases and a log that may lose answers.
+//! Property test runner with a fixed seed, generators, and an in-memory log stream.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use sesamegap_policy::agreement::Holder;
 use sesamegap_wire::{Incarnation, Offset};
 use std::env;
 
-/// Seed of all runs, so that the verdict is the same every time.
+/// Seed of all runs, so that results are reproducible.
 const SEED: u64 = 0x5e5a_3e6a;
 
-/// Longest sequence of steps tried.
-const STEPS: usize = 120;
+/// Maximum length of a generated sequence of steps.
+const MAX_STEPS: usize = 120;
 
-/// Cases of one property, unless `SESAMEGAP_CASES` says otherwise.
+/// Cases for each property, unless `SESAMEGAP_CASES` overrides it.
 const CASES: u64 = 2000;
 
-/// How many times more cases a fault planted on purpose may take to be found.
-const PLANTED: u64 = 5;
+/// Factor by which the number of cases grows when searching for an injected fault.
+const FAULT_CASES_FACTOR: u64 = 5;
 
 pub fn check<T: Testable>(property: T) {
     runner(CASES).quickcheck(property);
 }
 
-/// Whether the same cases find a fault: a check must, in code that is broken on purpose.
+/// Whether the generated cases falsify the property; used to verify that a property detects an
+/// injected fault.
 pub fn finds_fault<T: Testable + 'static>(property: T) -> bool {
-    runner(CASES * PLANTED).quicktest(property).is_err()
+    runner(CASES * FAULT_CASES_FACTOR)
+        .quicktest(property)
+        .is_err()
 }
 
-fn runner(usual: u64) -> QuickCheck {
+fn runner(default_cases: u64) -> QuickCheck {
     let cases = env::var("SESAMEGAP_CASES")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(usual);
+        .unwrap_or(default_cases);
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(STEPS, SEED))
+        .rng(Gen::from_size_and_seed(MAX_STEPS, SEED))
         .tests(cases)
 }
 
-/// A small number below a bound that only the user knows; it shrinks to zero.
+/// A generated number that the test reduces to its own bound; shrinks to zero.
 #[derive(Debug, Clone, Copy)]
 pub struct Pick(u8);
 
@@ -63,7 +66,7 @@
     }
 }
 
-/// A log stream with a clock and retention.
+/// An in-memory log stream with a clock and a retention.
 #[derive(Debug)]
 pub struct FakeLog<R> {
     pub now: u64,
@@ -84,7 +87,7 @@
         self.records.push((self.now, record));
     }
 
-    /// Offset of the oldest record still kept.
+    /// Returns the offset of the oldest retained record.
     pub fn oldest(&self) -> Offset {
         let kept = self
             .records
@@ -93,7 +96,7 @@
         Offset(kept.unwrap_or(self.records.len()) as u64)
     }
 
-    /// The record at an offset, with its time, unless it was dropped or never written.
+    /// Returns the record at an offset with its timestamp, unless it was dropped or never written.
     pub fn read(&self, offset: Offset) -> Option<(u64, R)> {
         if offset < self.oldest() {
             return None;
--- a/crates/sesamegap-policy/tests/agreement/tickets.rs
+++ b/crates/sesamegap-policy/tests/agreement/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets run at most once and tell the truth afterwards.
+//! A ticket's request runs at most once, and refusals report correctly whether it ran.
 
 use crate::support::{Pick, check, holder};
 use quickcheck::{Arbitrary, Gen};
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-const LIFE: Duration = Duration::from_secs(30);
-const MOST: usize = 8;
+const LIFETIME: Duration = Duration::from_secs(30);
+const CAPACITY: usize = 8;
 
 #[derive(Debug, Clone)]
 enum Op {
@@ -35,13 +35,13 @@
     format!("team-{}", pick.below(2)).parse().expect("valid")
 }
 
-/// Callers use tickets again and again, with wrong teams and after long waits, while the book is
-/// full. A ticket that ran twice would be a filing made twice; one refused as certainly not run
-/// after it had run would make the clerk file again.
+/// Callers reuse tickets, present them for the wrong team and after long delays, and exhaust the
+/// capacity. Guards against running a request twice, and against reporting a request that ran as
+/// certainly not run, after which the caller would send it again.
 #[test]
-fn a_ticket_runs_once_and_its_refusals_are_true() {
+fn a_ticket_runs_once_and_refusals_are_correct() {
     fn property(ops: Vec<Op>) -> bool {
-        let mut book = Tickets::new(holder(0, 7), LIFE, MOST);
+        let mut tickets = Tickets::new(holder(0, 7), LIFETIME, CAPACITY);
         let mut now = Moment(0);
         let mut minted: Vec<(Ticket, TeamId)> = Vec::new();
         let mut runs: HashMap<u64, u32> = HashMap::new();
@@ -49,14 +49,14 @@
             match op {
                 Op::Mint(pick) => {
                     let team = team(pick);
-                    minted.extend(book.mint(&team, now).map(|ticket| (ticket, team)));
+                    minted.extend(tickets.mint(&team, now).map(|ticket| (ticket, team)));
                 }
                 Op::Use { ticket, team: pick } if !minted.is_empty() => {
                     let (ticket, owner) = &minted[ticket.below(minted.len())];
-                    let asking = team(pick);
+                    let user = team(pick);
                     let ran = runs.entry(ticket.number).or_default();
-                    match book.admit(ticket, &asking, now) {
-                        Admission::Run if asking != *owner => return false,
+                    match tickets.admit(ticket, &user, now) {
+                        Admission::Run if user != *owner => return false,
                         Admission::Run => *ran += 1,
                         Admission::Used if *ran == 0 => return false,
                         Admission::Expired if *ran > 0 => return false,
@@ -70,7 +70,7 @@
                 Op::Pass(pick) => now = now + Duration::from_secs(pick.below(25) as u64),
                 Op::Use { .. } => {}
             }
-            if book.len() > MOST {
+            if tickets.len() > CAPACITY {
                 return false;
             }
         }
@@ -79,23 +79,23 @@
     check(property as fn(Vec<Op>) -> bool);
 }
 
-/// A clerk's save was sent under a ticket to a router that has since been replaced on its VM. The
-/// new life must not run it, since nobody can tell whether the old one did.
+/// The router that issued a ticket is replaced on its VM. The new incarnation must not run the
+/// request, because it cannot know whether the old one did.
 #[test]
-fn a_ticket_of_a_former_life_is_not_run() {
+fn a_ticket_of_an_earlier_incarnation_is_not_run() {
     let team: TeamId = "t".parse().expect("valid");
-    let mut old = Tickets::new(holder(0, 7), LIFE, MOST);
-    let ticket = old.mint(&team, Moment(0)).expect("room in the book");
-    let mut new = Tickets::new(holder(0, 8), LIFE, MOST);
+    let mut old = Tickets::new(holder(0, 7), LIFETIME, CAPACITY);
+    let ticket = old.mint(&team, Moment(0)).expect("below capacity");
+    let mut new = Tickets::new(holder(0, 8), LIFETIME, CAPACITY);
     let admission = new.admit(&ticket, &team, Moment(0));
     assert_eq!(admission, Admission::Other(holder(0, 7)));
 }
 
 #[test]
-fn a_ticket_reads_back_as_written() {
-    let mut book = Tickets::new(holder(3, 0xabc), LIFE, MOST);
+fn a_ticket_round_trips_through_its_text_form() {
+    let mut tickets = Tickets::new(holder(3, 0xabc), LIFETIME, CAPACITY);
     let team: TeamId = "t".parse().expect("valid");
-    let ticket = book.mint(&team, Moment(99)).expect("room in the book");
+    let ticket = tickets.mint(&team, Moment(99)).expect("below capacity");
     assert_eq!(ticket.to_string().parse(), Ok(ticket));
     assert!("t~vm~1~2".parse::<Ticket>().is_err());
 }
--- a/crates/sesamegap-policy/tests/agreement/timelines.rs
+++ b/crates/sesamegap-policy/tests/agreement/timelines.rs
@@ -3,7 +3,7 @@
 use sesamegap_wire::{LogPosition, Offset, Timeline};
 
 #[test]
-fn a_store_that_states_no_timeline_has_one() {
+fn a_store_that_reports_no_timeline_has_one() {
     let mut timelines = TimelineTracker::default();
     assert_eq!(
         timelines.observe(ReportedTimeline::Missing),
@@ -12,9 +12,9 @@
     assert_eq!(timelines.present(), Timeline(0));
 }
 
-/// Guards against views built on an answer of which nobody knows where it belongs.
+/// Guards against applying a response whose timeline is unknown.
 #[test]
-fn an_answer_that_states_none_where_one_was_stated_is_unknown() {
+fn a_response_without_a_timeline_after_one_was_reported_is_unknown() {
     let mut timelines = TimelineTracker::default();
     assert_eq!(
         timelines.observe(ReportedTimeline::At(Timeline(0))),
@@ -31,9 +31,9 @@
     assert_eq!(timelines.present(), Timeline(0));
 }
 
-/// Guards against a late answer of before a restoration that takes a view back.
+/// Guards against a delayed response from before a restore that reverts a reader's view.
 #[test]
-fn a_late_answer_of_a_former_timeline_is_known_as_such() {
+fn a_delayed_response_of_an_earlier_timeline_is_detected() {
     let mut timelines = TimelineTracker::default();
     timelines.observe(ReportedTimeline::At(Timeline(4)));
     assert_eq!(
@@ -47,17 +47,17 @@
     assert_eq!(timelines.present(), Timeline(6));
 }
 
-/// What happens to a log and to a reader of it.
+/// An event of the simulated log or its reader.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Append,
     Restore(u8),
-    /// A read whose answer comes at once.
+    /// A read whose response arrives at once.
     Read,
-    /// A read whose answer comes later.
-    Ask,
-    /// The oldest such answer comes.
-    Answer,
+    /// A read whose response is delayed.
+    DelayedRead,
+    /// The oldest delayed response arrives.
+    Deliver,
 }
 
 impl Arbitrary for Step {
@@ -66,16 +66,16 @@
             0..=4 => Self::Append,
             5 => Self::Restore(1 + u8::arbitrary(g) % 6),
             6..=8 => Self::Read,
-            9 => Self::Ask,
-            _ => Self::Answer,
+            9 => Self::DelayedRead,
+            _ => Self::Deliver,
         }
     }
 }
 
-/// What a read gave: where it began, what the answer stated, and the records from there on.
-type Answer = (LogPosition, Timeline, Option<Vec<u32>>);
+/// Response to a read: start position, reported timeline, and the records from there on.
+type Response = (LogPosition, Timeline, Option<Vec<u32>>);
 
-/// A log of numbered records, and a reader that goes on where it stopped.
+/// A log of numbered records, and a reader that continues where it stopped.
 #[derive(Debug, Default)]
 struct World {
     log: Vec<u32>,
@@ -84,11 +84,11 @@
     timelines: TimelineTracker,
     view: Vec<u32>,
     next: LogPosition,
-    under_way: Vec<Answer>,
+    in_flight: Vec<Response>,
 }
 
 impl World {
-    fn act(&mut self, step: Step, told: bool) {
+    fn act(&mut self, step: Step, reports_timeline: bool) {
         match step {
             Step::Append => {
                 self.written += 1;
@@ -100,43 +100,43 @@
                 self.log.truncate(kept);
             }
             Step::Read => {
-                let answer = self.ask();
-                self.take(answer, told);
+                let response = self.read();
+                self.receive(response, reports_timeline);
             }
-            Step::Ask => {
-                let answer = self.ask();
-                self.under_way.push(answer);
+            Step::DelayedRead => {
+                let response = self.read();
+                self.in_flight.push(response);
             }
-            Step::Answer if !self.under_way.is_empty() => {
-                let answer = self.under_way.remove(0);
-                self.take(answer, told);
+            Step::Deliver if !self.in_flight.is_empty() => {
+                let response = self.in_flight.remove(0);
+                self.receive(response, reports_timeline);
             }
-            Step::Answer => {}
+            Step::Deliver => {}
         }
     }
 
-    fn ask(&self) -> Answer {
+    fn read(&self) -> Response {
         let from = usize::try_from(self.next.offset.0).expect("small");
         let records = self.log.get(from..).map(<[u32]>::to_vec);
         (self.next, self.timeline, records)
     }
 
-    /// A reader that is not told takes every answer that joins its offset.
-    fn take(&mut self, (from, timeline, records): Answer, told: bool) {
-        let stated = if told {
+    /// Without reported timelines, the reader applies every response that starts at its offset.
+    fn receive(&mut self, (from, timeline, records): Response, reports_timeline: bool) {
+        let reported = if reports_timeline {
             ReportedTimeline::At(timeline)
         } else {
             ReportedTimeline::Missing
         };
-        let verdict = self.timelines.observe(stated);
+        let status = self.timelines.observe(reported);
         let present = self.timelines.present();
         if self.next.timeline < present {
             self.view.clear();
             self.next = LogPosition::new(present, Offset(0));
         }
-        let fits =
-            verdict != TimelineStatus::Unknown && !matches!(verdict, TimelineStatus::Former(_));
-        if !fits || from != self.next {
+        let applicable =
+            status != TimelineStatus::Unknown && !matches!(status, TimelineStatus::Former(_));
+        if !applicable || from != self.next {
             return;
         }
         let Some(records) = records else {
@@ -148,34 +148,34 @@
         self.next = LogPosition::new(present, Offset(self.view.len() as u64));
     }
 
-    /// Whether the reader knows the log when all is quiet.
-    fn settles(mut self, told: bool) -> bool {
+    /// Whether the reader's view equals the log once events have stopped.
+    fn converges(mut self, reports_timeline: bool) -> bool {
         for _ in 0..3 {
-            self.act(Step::Read, told);
+            self.act(Step::Read, reports_timeline);
         }
         self.view == self.log
     }
 }
 
-fn is_true(steps: &[Step], told: bool) -> bool {
+fn reader_converges(steps: &[Step], reports_timeline: bool) -> bool {
     let mut world = World::default();
     for step in steps {
-        world.act(*step, told);
+        world.act(*step, reports_timeline);
     }
-    world.settles(told)
+    world.converges(reports_timeline)
 }
 
 quickcheck! {
-    /// Guards against records that no longer exist, and those passed over, after offsets were given out again.
-    fn a_reader_knows_the_present_timeline(steps: Vec<Step>) -> bool {
-        is_true(&steps, true)
+    /// Guards against stale and missed records after a restored log reuses offsets.
+    fn a_reader_converges_to_the_present_timeline(steps: Vec<Step>) -> bool {
+        reader_converges(&steps, true)
     }
 }
 
-/// Guards against an oracle that would not notice a reader that goes by offsets alone.
+/// Verifies that the property above detects a reader that relies on offsets alone.
 #[test]
-fn a_reader_by_offsets_alone_is_caught() {
+fn a_reader_by_offsets_alone_is_detected() {
     let mut rng = Gen::new(60);
-    let caught = (0..2_000).any(|_| !is_true(&Vec::<Step>::arbitrary(&mut rng), false));
+    let caught = (0..2_000).any(|_| !reader_converges(&Vec::<Step>::arbitrary(&mut rng), false));
     assert!(caught);
 }
