--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::settings::Settings;
 use rand::Rng;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::membership::{
     MemberUpdate, Members, MembershipConfig, Probe, Status,
 };
@@ -55,7 +55,7 @@
 /// The table of peers, shared.
 #[derive(Debug)]
 pub struct Peers {
-    me: Holder,
+    me: ProcessId,
     members: Mutex<Members>,
     /// News of engines that is still to be sent.
     pub outbox: Outbox,
@@ -72,7 +72,7 @@
 impl Peers {
     /// Starts with nobody known.
     pub fn new(settings: &Settings) -> Self {
-        let me = Holder {
+        let me = ProcessId {
             vm: settings.vm.clone(),
             incarnation: Incarnation(clock::unix_ms()),
         };
@@ -100,7 +100,7 @@
     }
 
     /// This process.
-    pub fn me(&self) -> &Holder {
+    pub fn me(&self) -> &ProcessId {
         &self.me
     }
 
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -5,7 +5,7 @@
 use crate::ports::StoreError;
 use crate::telemetry::events;
 use bytes::Bytes;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, LeaseTiming, Step};
 use sesamegap_wire::{Fence, LogPosition, Moment, Timeline};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -47,7 +47,7 @@
     }
 
     /// Who held it by the last record seen.
-    pub fn last_holder(&self) -> Option<Holder> {
+    pub fn last_holder(&self) -> Option<ProcessId> {
         self.lock().holder().cloned()
     }
 
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -109,11 +109,11 @@
 /// were named, and neither tells the other of documents and weights.
 #[tokio::test]
 async fn a_vm_of_the_release_before_is_still_heard() {
-    use sesamegap_policy::agreement::Holder;
+    use sesamegap_policy::agreement::ProcessId;
     use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
     let newer = vm("new-1", Vec::new()).await;
     let me = MemberUpdate {
-        who: Holder {
+        who: ProcessId {
             vm: "old-1".parse().unwrap(),
             incarnation: sesamegap_wire::Incarnation(1),
         },
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -7,7 +7,7 @@
 use sesamegap_entry::peers;
 use sesamegap_entry::placing::choose;
 use sesamegap_entry::telemetry::Logging;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
 use sesamegap_policy::routing::engines::{Prefix, Prompt};
 use sesamegap_wire::{Incarnation, ServiceId, UpstreamId};
@@ -42,7 +42,7 @@
 
 fn knows(core: &Core, name: &str, addr: SocketAddr) {
     let news = MemberUpdate {
-        who: Holder {
+        who: ProcessId {
             vm: name.parse().unwrap(),
             incarnation: Incarnation(1),
         },
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -10,7 +10,7 @@
 use sesamegap_entry::quarantine::{self, UpstreamLoss};
 use sesamegap_entry::settings::Settings;
 use sesamegap_entry::telemetry::Logging;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
 use sesamegap_policy::quarantine::{COORDINATORS, Crash, Standing};
 use sesamegap_wire::{Fingerprint, Incarnation, UpstreamId};
@@ -56,7 +56,7 @@
 /// What a VM with these settings says of itself.
 fn news(settings: &Settings, status: Status, version: u32) -> MemberUpdate {
     MemberUpdate {
-        who: Holder {
+        who: ProcessId {
             vm: settings.vm.clone(),
             incarnation: Incarnation(1),
         },
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -4,7 +4,7 @@
 use super::{Row, Rows, resident};
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::claims::{ClaimId, ClaimKey, ClaimRecord, Claims};
 use sesamegap_policy::agreement::membership::{MemberUpdate, Members, MembershipConfig, Status};
 use sesamegap_wire::codec::{decode, encode};
@@ -30,8 +30,8 @@
     id(format!("entry-{at}"))
 }
 
-fn holder(at: usize) -> Holder {
-    Holder {
+fn holder(at: usize) -> ProcessId {
+    ProcessId {
         vm: vm(at),
         incarnation: Incarnation(0x0123_4567_89ab_cdef),
     }
--- a/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/cas_lease/mod.rs
@@ -16,7 +16,7 @@
 //! process holds the lease, and claims it again at once. Fencing numbers order by timeline before offset, so they
 //! increase even though offsets go back.
 
-use super::Holder;
+use super::ProcessId;
 use serde::{Deserialize, Serialize};
 use sesamegap_wire::{Fence, LogPosition, Moment, Offset, Timeline};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 #[serde(from = "Written", into = "Written")]
 pub struct Claim {
     /// Process that holds the lease according to this record.
-    pub holder: Holder,
+    pub holder: ProcessId,
     /// Fencing number of the renewed lease, or `None` in the record that acquires it.
     pub renews: Option<Fence>,
     /// Timeline of the log that the holder had read.
@@ -37,7 +37,7 @@
 /// held lease as free.
 #[derive(Debug, Serialize, Deserialize)]
 struct Written {
-    holder: Holder,
+    holder: ProcessId,
     /// The fencing number; if the record acquires the lease, the base number of the timeline instead.
     number: Option<Fence>,
 }
@@ -116,7 +116,7 @@
 /// The lease from the point of view of one process.
 #[derive(Debug)]
 pub struct CasLease {
-    me: Holder,
+    me: ProcessId,
     timing: LeaseTiming,
     end: LogPosition,
     /// Whether the log was read since the last doubt about its end.
@@ -129,7 +129,7 @@
 
 impl CasLease {
     /// Starts without the lease and with nothing read.
-    pub fn new(me: Holder, timing: LeaseTiming) -> Self {
+    pub fn new(me: ProcessId, timing: LeaseTiming) -> Self {
         Self {
             me,
             timing,
@@ -229,7 +229,7 @@
     }
 
     /// Returns the holder according to the last record seen.
-    pub fn holder(&self) -> Option<&Holder> {
+    pub fn holder(&self) -> Option<&ProcessId> {
         self.last_claim.as_ref().map(|seen| &seen.claim.holder)
     }
 
--- a/crates/sesamegap-policy/src/agreement/claims/claimant.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/claimant.rs
@@ -1,7 +1,7 @@
 //! State machine of one attempt to claim a key.
 
 use super::{ClaimId, ClaimKey, ClaimRecord, Claims, KeyState};
-use crate::agreement::Holder;
+use crate::agreement::ProcessId;
 use sesamegap_wire::{Moment, Offset};
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     /// The claim is the first for the key: run the request now.
     Run,
     /// Another process holds the key: relay the request to it and never run it here.
-    HeldByOther(Holder),
+    HeldByOther(ProcessId),
     /// This process already holds the key under an earlier attempt, whose result applies.
     EarlierAttempt(ClaimId),
     /// The claim was not confirmed before the deadline. The request was not run, but the claim may
@@ -53,7 +53,7 @@
 pub struct Claimant {
     key: ClaimKey,
     claim: ClaimId,
-    holder: Holder,
+    holder: ProcessId,
     deadline: Moment,
     state: State,
 }
@@ -67,7 +67,7 @@
     pub fn new(
         key: ClaimKey,
         claim: ClaimId,
-        holder: Holder,
+        holder: ProcessId,
         now: Moment,
         timeout: Duration,
     ) -> Self {
--- a/crates/sesamegap-policy/src/agreement/claims/fold.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/fold.rs
@@ -1,7 +1,7 @@
 //! State folded from the claims stream of the log.
 
 use super::{ClaimId, ClaimKey, ClaimRecord};
-use crate::agreement::Holder;
+use crate::agreement::ProcessId;
 use rustc_hash::{FxHashMap, FxHashSet};
 use sesamegap_wire::Offset;
 use std::collections::VecDeque;
@@ -13,13 +13,13 @@
     /// The key is not claimed.
     Free,
     /// The key is held by the first attempt, made by this process.
-    Held(ClaimId, &'a Holder),
+    Held(ClaimId, &'a ProcessId),
 }
 
 #[derive(Debug)]
 struct HeldKey {
     claim: ClaimId,
-    holder: Holder,
+    holder: ProcessId,
 }
 
 #[derive(Debug)]
@@ -104,7 +104,7 @@
         })
     }
 
-    fn claim(&mut self, time: u64, key: &ClaimKey, claim: ClaimId, holder: &Holder) {
+    fn claim(&mut self, time: u64, key: &ClaimKey, claim: ClaimId, holder: &ProcessId) {
         // An append whose response was lost is retried, and the retry may be delayed until after
         // the release. Treating it as a new claim would block the key permanently: callers would
         // get `ran: unknown` for a request that no router runs.
--- a/crates/sesamegap-policy/src/agreement/claims/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/claims/mod.rs
@@ -21,7 +21,7 @@
 pub use claimant::{Appended, ClaimOutcome, Claimant, Step};
 pub use fold::{Claims, KeyState};
 
-use super::Holder;
+use super::ProcessId;
 use serde::{Deserialize, Serialize};
 use sesamegap_wire::TeamId;
 use smol_str::SmolStr;
@@ -57,7 +57,7 @@
         /// The attempt.
         claim: ClaimId,
         /// Process that will run the request.
-        holder: Holder,
+        holder: ProcessId,
     },
     /// The holder never dispatched the request under this claim and never will.
     Release {
--- a/crates/sesamegap-policy/src/agreement/lease/holder.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/holder.rs
@@ -1,7 +1,7 @@
 //! State machine by which a process acquires and keeps the lease.
 
 use super::{Lease, LeaseRecord, Leases};
-use crate::agreement::Holder;
+use crate::agreement::ProcessId;
 use sesamegap_wire::{Fence, Moment, Offset};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 /// The lease from the point of view of one process.
 #[derive(Debug)]
 pub struct Leaseholder {
-    me: Holder,
+    me: ProcessId,
     timing: LeaseTiming,
     pending: Option<Attempt>,
     attempts: u64,
@@ -51,7 +51,7 @@
 
 impl Leaseholder {
     /// Starts without the lease.
-    pub fn new(me: Holder, timing: LeaseTiming) -> Self {
+    pub fn new(me: ProcessId, timing: LeaseTiming) -> Self {
         Self {
             me,
             timing,
--- a/crates/sesamegap-policy/src/agreement/lease/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/lease/mod.rs
@@ -15,7 +15,7 @@
 
 pub use holder::{Action, LeaseTiming, Leaseholder};
 
-use super::Holder;
+use super::ProcessId;
 use serde::{Deserialize, Serialize};
 use sesamegap_wire::{Fence, Offset};
 
@@ -26,7 +26,7 @@
     /// Acquires the lease if it has expired.
     Acquire {
         /// Process that acquires the lease.
-        holder: Holder,
+        holder: ProcessId,
         /// Duration in milliseconds from the record's timestamp.
         term: u64,
         /// Number of the holder's attempt, by which it recognizes its own record.
@@ -35,7 +35,7 @@
     /// Extends the lease if it has not expired.
     Renew {
         /// Process that holds the lease.
-        holder: Holder,
+        holder: ProcessId,
         /// Fencing number of the lease.
         fence: Fence,
         /// Duration in milliseconds from the record's timestamp.
@@ -46,7 +46,7 @@
     /// Releases the lease after all orders under it have ended.
     Release {
         /// Process that held the lease.
-        holder: Holder,
+        holder: ProcessId,
         /// Fencing number of the lease.
         fence: Fence,
     },
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease {
     /// Process that holds the lease.
-    pub holder: Holder,
+    pub holder: ProcessId,
     /// Fencing number of the orders under this lease.
     pub fence: Fence,
     /// When the lease expires, in Unix milliseconds by the log's clock.
@@ -139,7 +139,7 @@
         last.is_none_or(|last| last.released || time >= last.expires_at)
     }
 
-    fn acquire(&mut self, offset: Offset, holder: &Holder, expires_at: u64, attempt: u64) {
+    fn acquire(&mut self, offset: Offset, holder: &ProcessId, expires_at: u64, attempt: u64) {
         let predecessor_released = self.current.as_ref().is_none_or(|last| last.released);
         self.current = Some(Lease {
             holder: holder.clone(),
@@ -156,7 +156,7 @@
     ///
     /// A record after the expiry has no effect even if no other process acquired the lease: the
     /// holder has stopped giving orders, and other readers may already treat the lease as expired.
-    fn held_by(&mut self, holder: &Holder, fence: Fence, time: u64) -> Option<&mut Lease> {
+    fn held_by(&mut self, holder: &ProcessId, fence: Fence, time: u64) -> Option<&mut Lease> {
         let lease = self.current.as_mut()?;
         let same = lease.holder == *holder && lease.fence == fence;
         (same && !lease.released && time < lease.expires_at).then_some(lease)
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -1,7 +1,7 @@
 //! Table of peers and selection of the peer to probe in each round.
 
 use super::{MemberUpdate, Status};
-use crate::agreement::Holder;
+use crate::agreement::ProcessId;
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt};
 use sesamegap_wire::{Moment, VmId};
@@ -64,7 +64,7 @@
 
 impl Members {
     /// Starts without peers; this process listens at `addr`.
-    pub fn new(me: Holder, addr: SocketAddr, config: MembershipConfig) -> Self {
+    pub fn new(me: ProcessId, addr: SocketAddr, config: MembershipConfig) -> Self {
         let me = MemberUpdate {
             who: me,
             addr,
@@ -124,7 +124,7 @@
     }
 
     /// Whether this incarnation of a process is known to be gone.
-    pub fn is_gone(&self, who: &Holder) -> bool {
+    pub fn is_gone(&self, who: &ProcessId) -> bool {
         self.peers.get(&who.vm).is_some_and(|peer| {
             let newer = peer.news.who.incarnation > who.incarnation;
             newer || (peer.news.who == *who && peer.news.status == Status::Dead)
--- a/crates/sesamegap-policy/src/agreement/membership/update.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/update.rs
@@ -1,6 +1,6 @@
 //! Updates on the state of members, which processes exchange.
 
-use crate::agreement::Holder;
+use crate::agreement::ProcessId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The process described.
-    pub who: Holder,
+    pub who: ProcessId,
     /// Address on which the process listens.
     pub addr: SocketAddr,
     /// Incremented only by the process itself, when it changes its status or refutes a suspicion.
--- a/crates/sesamegap-policy/src/agreement/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/mod.rs
@@ -23,14 +23,14 @@
 
 /// Identity of a process: its VM and its incarnation there.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
+pub struct ProcessId {
     /// VM that the process runs on.
     pub vm: VmId,
     /// Incarnation of the process, which changes when it restarts.
     pub incarnation: Incarnation,
 }
 
-impl fmt::Display for Holder {
+impl fmt::Display for ProcessId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}~{:x}", self.vm, self.incarnation.0)
     }
--- a/crates/sesamegap-policy/src/agreement/tickets/mod.rs
+++ b/crates/sesamegap-policy/src/agreement/tickets/mod.rs
@@ -9,7 +9,7 @@
 //! Between the two, an unused ticket is refused as certainly not run; after that, whether it ran is
 //! unknown.
 
-use super::Holder;
+use super::ProcessId;
 use sesamegap_wire::{Incarnation, Moment, ParseError, TeamId, VmId};
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ticket {
     /// The issuing process, which is the only one that may run a request under the ticket.
-    pub holder: Holder,
+    pub holder: ProcessId,
     /// Sequence number among the tickets of this incarnation.
     pub number: u64,
     /// When the ticket was issued, by the issuing router's clock.
@@ -47,7 +47,7 @@
             return Err(invalid());
         };
         Ok(Self {
-            holder: Holder {
+            holder: ProcessId {
                 vm: vm.parse::<VmId>().map_err(|_| invalid())?,
                 incarnation: Incarnation(hex(incarnation)?),
             },
@@ -65,7 +65,7 @@
     /// The ticket was used before; reply with the stored response or the running stream.
     Used,
     /// Another incarnation issued the ticket: relay the request there and never run it here.
-    Other(Holder),
+    Other(ProcessId),
     /// The ticket is past its lifetime and was never used, so the request certainly did not run.
     Expired,
     /// The ticket is no longer remembered, so whether the request ran is unknown.
@@ -83,7 +83,7 @@
 /// The tickets issued by one incarnation.
 #[derive(Debug)]
 pub struct Tickets {
-    holder: Holder,
+    holder: ProcessId,
     lifetime: Duration,
     next_number: u64,
     /// Remembered tickets by number.
@@ -102,7 +102,7 @@
 
 impl Tickets {
     /// Starts without tickets; remembers at most `capacity` of them at a time.
-    pub fn new(holder: Holder, lifetime: Duration, capacity: usize) -> Self {
+    pub fn new(holder: ProcessId, lifetime: Duration, capacity: usize) -> Self {
         Self {
             holder,
             lifetime,
--- a/crates/sesamegap-policy/tests/agreement/cas_lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/cas_lease.rs
@@ -1,5 +1,5 @@
 use quickcheck::{Arbitrary, quickcheck};
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, LeaseTiming, Step};
 use sesamegap_wire::{Fence, Incarnation, LogPosition, Moment, Offset, Timeline};
 use std::time::Duration;
@@ -9,8 +9,8 @@
     handover_delay: Duration::from_secs(3),
 };
 
-fn holder(no: usize) -> Holder {
-    Holder {
+fn holder(no: usize) -> ProcessId {
+    ProcessId {
         vm: format!("vm-{no}").parse().expect("a name"),
         incarnation: Incarnation(1),
     }
@@ -77,7 +77,7 @@
     /// Replaces a process by a new one on the same VM.
     fn restart(&mut self, no: usize, timing: LeaseTiming) {
         let incarnation = Incarnation(self.orders.len() as u64 + 100);
-        let restarted = Holder {
+        let restarted = ProcessId {
             incarnation,
             ..holder(no)
         };
@@ -182,7 +182,7 @@
     world.step(0, 1, Fate::Appended);
     let before = world.leases[0].may_order(at(2));
     assert!(before.is_some());
-    let restarted = Holder {
+    let restarted = ProcessId {
         incarnation: Incarnation(77),
         ..holder(0)
     };
@@ -343,7 +343,7 @@
             timeline,
         };
         let bytes = rmp_serde::to_vec(&claim).expect("a claim");
-        let previous: (Holder, Option<Fence>) = rmp_serde::from_slice(&bytes).expect("two fields");
+        let previous: (ProcessId, Option<Fence>) = rmp_serde::from_slice(&bytes).expect("two fields");
         let decoded: Claim = rmp_serde::from_slice(&bytes).expect("a claim");
         previous.0 == claim.holder && decoded == claim
     }
--- a/crates/sesamegap-policy/tests/agreement/support.rs
+++ b/crates/sesamegap-policy/tests/agreement/support.rs
@@ -1,7 +1,7 @@
 //! Property test runner with a fixed seed, generators, and an in-memory log stream.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_wire::{Incarnation, Offset};
 use std::env;
 
@@ -59,8 +59,8 @@
     }
 }
 
-pub fn holder(vm: usize, incarnation: u64) -> Holder {
-    Holder {
+pub fn holder(vm: usize, incarnation: u64) -> ProcessId {
+    ProcessId {
         vm: format!("vm-{vm}").parse().expect("valid"),
         incarnation: Incarnation(incarnation),
     }
--- a/crates/sesamegap/src/controller/lease.rs
+++ b/crates/sesamegap/src/controller/lease.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use sesamegap_platform::log::streams;
 use sesamegap_platform::{Log, PlatformError, Reason};
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::lease::{Action, LeaseRecord, LeaseTiming, Leaseholder, Leases};
 use sesamegap_wire::{Fence, Moment, StreamId, codec};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 
 impl LeaseKeeper {
     /// Starts without the lease; `order` is the longest time that an order can take.
-    pub fn new(me: Holder, log: Arc<dyn Log>, config: &ProcessConfig, order: Duration) -> Self {
+    pub fn new(me: ProcessId, log: Arc<dyn Log>, config: &ProcessConfig, order: Duration) -> Self {
         let terms = LeaseTiming {
             term: config.timing.lease,
             margin: config.timing.lease / MARGIN,
--- a/crates/sesamegap/src/controller/mod.rs
+++ b/crates/sesamegap/src/controller/mod.rs
@@ -26,7 +26,7 @@
 use poem::Server;
 use poem::listener::TcpAcceptor;
 use sesamegap_platform::{Log, VmList};
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_wire::Incarnation;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -153,7 +153,7 @@
 
 impl Rounds {
     fn new(config: ProcessConfig, links: Links, shown: Arc<Shown>) -> anyhow::Result<Self> {
-        let me = Holder {
+        let me = ProcessId {
             vm: config.vm.clone(),
             incarnation: Incarnation(unix_ms()),
         };
--- a/crates/sesamegap/src/router/callers/relay.rs
+++ b/crates/sesamegap/src/router/callers/relay.rs
@@ -15,7 +15,7 @@
 use futures_util::StreamExt;
 use poem::http::{StatusCode, header};
 use poem::{Body, Response};
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_wire::{RequestId, TeamId};
 use std::io;
 use std::time::Duration;
@@ -27,13 +27,13 @@
 /// A request on its way to the router that holds its key.
 #[derive(Debug)]
 pub struct Relayed {
-    holder: Holder,
+    holder: ProcessId,
     message: Relay,
 }
 
 impl Relayed {
     /// Wraps a request for its holder.
-    pub fn new(asked: &Asked, holder: Holder, path: &str, body: &Bytes) -> Self {
+    pub fn new(asked: &Asked, holder: ProcessId, path: &str, body: &Bytes) -> Self {
         let message = Relay {
             incarnation: holder.incarnation,
             team: asked.team.clone(),
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -24,7 +24,7 @@
 use follow::SharedClaims;
 use poem::http::StatusCode;
 use runs::Runs;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::claims::{
     Appended, ClaimId, ClaimKey, ClaimOutcome, ClaimRecord, Claimant, KeyAge, KeyState,
     KeyValidity, Step,
@@ -51,13 +51,13 @@
     /// This one.
     Here,
     /// Another one.
-    There(Holder),
+    There(ProcessId),
 }
 
 /// The keys that this router knows of.
 #[derive(Debug)]
 pub struct Once {
-    me: Holder,
+    me: ProcessId,
     runs: Mutex<Runs>,
     tickets: Mutex<Tickets>,
     claims: SharedClaims,
@@ -67,7 +67,7 @@
 
 impl Once {
     /// Starts with no key; a ticket can be used for `keep`.
-    pub fn new(me: Holder, claims: SharedClaims, appender: Appender, timing: &Timing) -> Self {
+    pub fn new(me: ProcessId, claims: SharedClaims, appender: Appender, timing: &Timing) -> Self {
         Self {
             runs: Mutex::new(Runs::new(timing.retention)),
             tickets: Mutex::new(Tickets::new(me.clone(), timing.keep, TICKETS)),
@@ -240,7 +240,7 @@
     }
 
     /// Which life holds a key, as far as the log was read.
-    pub fn holder(&self, team: &TeamId, key: &SmolStr) -> Option<Holder> {
+    pub fn holder(&self, team: &TeamId, key: &SmolStr) -> Option<ProcessId> {
         let key = ClaimKey {
             team: team.clone(),
             key: key.clone(),
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -13,7 +13,7 @@
 use crate::router::lock;
 use crate::router::phase::Phase;
 use futures_util::future::join_all;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::membership::{
     MemberUpdate, Members, MembershipConfig, Probe, Status,
 };
@@ -45,7 +45,7 @@
 impl ProbedPeers {
     /// Starts with nobody but this router, which listens at `addr`; `round` is the time between
     /// two probes.
-    pub fn new(me: Holder, addr: SocketAddr, clock: Clock, round: Duration) -> Self {
+    pub fn new(me: ProcessId, addr: SocketAddr, clock: Clock, round: Duration) -> Self {
         let rules = MembershipConfig {
             suspicion: round * SUSPICION_ROUNDS,
             memory: round * MEMORY_ROUNDS,
--- a/crates/sesamegap/src/router/start.rs
+++ b/crates/sesamegap/src/router/start.rs
@@ -24,7 +24,7 @@
 use poem::{EndpointExt, Route};
 use sesamegap_platform::{HttpLog, HttpVms, Log, VmList};
 use sesamegap_policy::DeciderBuilder;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_wire::{Incarnation, UpstreamId};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -136,7 +136,7 @@
 
 impl Parts {
     fn new(config: ProcessConfig, links: &Links, addr: SocketAddr) -> anyhow::Result<Self> {
-        let me = Holder {
+        let me = ProcessId {
             vm: config.vm.clone(),
             incarnation: Incarnation(unix_ms()),
         };
