--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -116,9 +116,9 @@
         let members = self.lock();
         let mut known = Known::default();
         for peer in members.peers() {
-            match peer.news.status {
-                Status::Alive => known.alive.push(peer.news.addr),
-                Status::Suspect | Status::Dead => known.doubted.push(peer.news.addr),
+            match peer.latest.status {
+                Status::Alive => known.alive.push(peer.latest.addr),
+                Status::Suspect | Status::Dead => known.doubted.push(peer.latest.addr),
                 Status::Leaving => {}
             }
         }
@@ -128,7 +128,7 @@
     /// VMs that answer, this one included.
     pub fn alive(&self) -> Vec<VmId> {
         let members = self.lock();
-        let others = members.alive().map(|peer| peer.news.who.vm.clone());
+        let others = members.alive().map(|peer| peer.latest.who.vm.clone());
         others.chain([self.me.vm.clone()]).collect()
     }
 
@@ -139,8 +139,8 @@
         if roster.0.is_none_or(|at| now.since(at) >= ROSTER) {
             let members = self.lock();
             let others = members.alive().map(|peer| {
-                let addr = SocketAddr::new(peer.news.addr.ip(), self.loads_port);
-                (seed(peer.news.who.vm.as_str()), Some(addr))
+                let addr = SocketAddr::new(peer.latest.addr.ip(), self.loads_port);
+                (seed(peer.latest.who.vm.as_str()), Some(addr))
             });
             let me = (seed(self.me.vm.as_str()), None);
             *roster = (Some(now), Arc::new(others.chain([me]).collect()));
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -123,7 +123,7 @@
     fn until(&mut self, of: impl Fn(Option<&MemberUpdate>) -> bool) -> usize {
         for round in 0..MOST_ROUNDS {
             let first = vm(0);
-            let news = |node: &Members| of(node.peer(&first).map(|peer| &peer.news));
+            let news = |node: &Members| of(node.peer(&first).map(|peer| &peer.latest));
             if self.nodes[1..].iter().all(news) {
                 return round;
             }
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The newest update on the peer.
-    pub news: MemberUpdate,
+    pub latest: MemberUpdate,
     /// When that update was applied.
     pub since: Moment,
     /// How often that update was sent to other peers.
@@ -110,7 +110,7 @@
     pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.peers
             .values()
-            .filter(|peer| peer.news.status == Status::Alive)
+            .filter(|peer| peer.latest.status == Status::Alive)
     }
 
     /// Returns all known peers, whatever their status.
@@ -126,8 +126,8 @@
     /// Whether this incarnation of a process is known to be gone.
     pub fn is_gone(&self, who: &ProcessId) -> bool {
         self.peers.get(&who.vm).is_some_and(|peer| {
-            let newer = peer.news.who.incarnation > who.incarnation;
-            newer || (peer.news.who == *who && peer.news.status == Status::Dead)
+            let newer = peer.latest.who.incarnation > who.incarnation;
+            newer || (peer.latest.who == *who && peer.latest.status == Status::Dead)
         })
     }
 
@@ -137,7 +137,7 @@
         while let Some(vm) = self.next_target(rng) {
             if let Some(addr) = self.addr_of(&vm) {
                 let through = self.pick_helpers(&vm, rng);
-                let known = self.peers.get(&vm).map(|peer| peer.news.clone());
+                let known = self.peers.get(&vm).map(|peer| peer.latest.clone());
                 let news = known.into_iter().chain(self.select_updates()).collect();
                 return Some(Probe {
                     target: vm,
@@ -160,10 +160,10 @@
         let Some(peer) = self.peers.get(vm) else {
             return;
         };
-        if !matches!(peer.news.status, Status::Alive | Status::Leaving) {
+        if !matches!(peer.latest.status, Status::Alive | Status::Leaving) {
             return;
         }
-        let mut update = peer.news.clone();
+        let mut update = peer.latest.clone();
         update.status = Status::Suspect;
         self.merge(&update, now);
     }
@@ -188,7 +188,7 @@
         selected
             .map(|peer| {
                 peer.sends += 1;
-                peer.news.clone()
+                peer.latest.clone()
             })
             .collect()
     }
@@ -199,11 +199,11 @@
             return;
         }
         let known = self.peers.get(&update.who.vm);
-        if known.is_some_and(|known| !update.replaces(&known.news)) {
+        if known.is_some_and(|known| !update.replaces(&known.latest)) {
             return;
         }
         let peer = Peer {
-            news: update.clone(),
+            latest: update.clone(),
             since: now,
             sends: 0,
         };
@@ -225,8 +225,8 @@
     fn expire(&mut self, now: Moment) {
         let timeout = self.config.suspicion;
         for peer in self.peers.values_mut() {
-            if peer.news.status == Status::Suspect && now.since(peer.since) >= timeout {
-                peer.news.status = Status::Dead;
+            if peer.latest.status == Status::Suspect && now.since(peer.since) >= timeout {
+                peer.latest.status = Status::Dead;
                 peer.since = now;
                 peer.sends = 0;
             }
@@ -234,7 +234,7 @@
         let memory = self.config.memory;
         let seeds = &self.seeds;
         self.peers.retain(|vm, peer| {
-            let old = peer.news.status == Status::Dead && now.since(peer.since) >= memory;
+            let old = peer.latest.status == Status::Dead && now.since(peer.since) >= memory;
             !old || seeds.contains_key(vm)
         });
     }
@@ -252,10 +252,9 @@
     /// A dead peer that is still listed continues to be probed: after a network partition both
     /// sides consider each other dead, and without probes they would never reconnect.
     fn targets(&self) -> Vec<VmId> {
-        let live = self
-            .peers
-            .iter()
-            .filter(|(vm, peer)| peer.news.status != Status::Dead && !self.seeds.contains_key(*vm));
+        let live = self.peers.iter().filter(|(vm, peer)| {
+            peer.latest.status != Status::Dead && !self.seeds.contains_key(*vm)
+        });
         let seeds = self.seeds.keys();
         seeds.chain(live.map(|(vm, _)| vm)).cloned().collect()
     }
@@ -266,19 +265,19 @@
     /// peer is alive or leaving.
     fn addr_of(&self, vm: &VmId) -> Option<SocketAddr> {
         let known = self.peers.get(vm);
-        let answering = known.filter(|peer| peer.news.status <= Status::Leaving);
+        let answering = known.filter(|peer| peer.latest.status <= Status::Leaving);
         answering
-            .map(|peer| peer.news.addr)
+            .map(|peer| peer.latest.addr)
             .or_else(|| self.seeds.get(vm).copied())
-            .or_else(|| known.map(|peer| peer.news.addr))
+            .or_else(|| known.map(|peer| peer.latest.addr))
     }
 
     /// Selects random peers that can probe `target` on our behalf.
     fn pick_helpers(&self, target: &VmId, rng: &mut dyn Rng) -> Vec<SocketAddr> {
         let mut helpers: Vec<SocketAddr> = self
             .alive()
-            .filter(|peer| peer.news.who.vm != *target)
-            .map(|peer| peer.news.addr)
+            .filter(|peer| peer.latest.who.vm != *target)
+            .map(|peer| peer.latest.addr)
             .collect();
         let count = self.config.indirect.min(helpers.len());
         for i in 0..count {
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -122,7 +122,7 @@
     /// Returns the status of `about` as `observer` sees it.
     fn status(&self, observer: usize, about: usize) -> Option<Status> {
         let node = self.nodes[observer].as_ref()?;
-        node.peer(&vm(about)).map(|peer| peer.news.status)
+        node.peer(&vm(about)).map(|peer| peer.latest.status)
     }
 
     /// Whether every live node sees the actual state of all others.
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -97,12 +97,12 @@
     /// All that is believed, for a dump.
     pub fn beliefs(&self) -> Vec<MemberUpdate> {
         let members = lock(&self.members);
-        members.peers().map(|peer| peer.news.clone()).collect()
+        members.peers().map(|peer| peer.latest.clone()).collect()
     }
 
     fn belief(&self, vm: &VmId) -> Option<MemberUpdate> {
         let members = lock(&self.members);
-        members.peer(vm).map(|peer| peer.news.clone())
+        members.peer(vm).map(|peer| peer.latest.clone())
     }
 }
 
@@ -128,11 +128,11 @@
         let members = lock(&self.members);
         let unlisted = members
             .alive()
-            .filter(|peer| !listed.iter().any(|entry| entry.vm == peer.news.who.vm));
+            .filter(|peer| !listed.iter().any(|entry| entry.vm == peer.latest.who.vm));
         peers.extend(unlisted.map(|peer| Peer {
-            vm: peer.news.who.vm.clone(),
-            router: peer.news.addr,
-            incarnation: Some(peer.news.who.incarnation),
+            vm: peer.latest.who.vm.clone(),
+            router: peer.latest.addr,
+            incarnation: Some(peer.latest.who.incarnation),
             leaving: false,
             settings: Offset(0),
         }));
