--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -57,7 +57,7 @@
         if let Some(probe) = probe {
             let core = Arc::clone(&core);
             tokio::spawn(async move {
-                let found = ask(&core, probe.addr, probe.news).await;
+                let found = ask(&core, probe.addr, probe.updates).await;
                 if let Err(error) = found {
                     warn!(event = events::PEER, peer = %probe.target, error, "no answer to a probe");
                     core.peers.lock().probe_failed(&probe.target, clock::now());
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -93,7 +93,7 @@
             return;
         };
         let asker = self.nodes[from].me().clone();
-        self.nodes[to].apply_updates(&probe.news, self.now);
+        self.nodes[to].apply_updates(&probe.updates, self.now);
         self.nodes[to].apply_update(&asker, self.now);
         let back = self.nodes[to].select_updates();
         let answer = self.nodes[to].me().clone();
@@ -101,7 +101,7 @@
         self.nodes[from].apply_update(&answer, self.now);
         self.took += start.elapsed();
         self.turns += 1;
-        for message in [(&asker, &probe.news), (&answer, &back)] {
+        for message in [(&asker, &probe.updates), (&answer, &back)] {
             self.bytes += encode(&message).map_or(0, |bytes| bytes.len());
         }
     }
--- a/crates/sesamegap-policy/src/agreement/membership/table.rs
+++ b/crates/sesamegap-policy/src/agreement/membership/table.rs
@@ -37,7 +37,7 @@
     /// Peers that can probe the target on our behalf if it does not answer us.
     pub through: Vec<SocketAddr>,
     /// Updates to send along. The one on the target comes first, so that the target can refute it.
-    pub news: Vec<MemberUpdate>,
+    pub updates: Vec<MemberUpdate>,
 }
 
 /// Current state of a peer.
@@ -138,12 +138,12 @@
             if let Some(addr) = self.addr_of(&vm) {
                 let through = self.pick_helpers(&vm, rng);
                 let known = self.peers.get(&vm).map(|peer| peer.latest.clone());
-                let news = known.into_iter().chain(self.select_updates()).collect();
+                let updates = known.into_iter().chain(self.select_updates()).collect();
                 return Some(Probe {
                     target: vm,
                     addr,
                     through,
-                    news,
+                    updates,
                 });
             }
         }
--- a/crates/sesamegap-policy/tests/agreement/membership.rs
+++ b/crates/sesamegap-policy/tests/agreement/membership.rs
@@ -99,7 +99,7 @@
             self.node(from).probe_failed(&probe.target, now);
             return;
         }
-        self.exchange(from, to, &probe.news);
+        self.exchange(from, to, &probe.updates);
     }
 
     fn exchange(&mut self, from: usize, to: usize, updates: &[MemberUpdate]) {
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -167,7 +167,7 @@
 }
 
 async fn send(core: &Core, probe: Probe) {
-    let message = core.members.message(probe.news);
+    let message = core.members.message(probe.updates);
     let answer = match core.peer_client.probe(probe.addr, &message).await {
         Ok(answer) => Some(answer),
         Err(_) => through_others(core, probe.addr, &probe.through, &message).await,
