--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use sesamegap_policy::agreement::membership::News;
+use sesamegap_policy::agreement::membership::MemberUpdate;
 use smol_str::ToSmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,10 +57,10 @@
         if let Some(probe) = probe {
             let core = Arc::clone(&core);
             tokio::spawn(async move {
-                let found = ask(&core, probe.addr, probe.news).await;
+                let found = ask(&core, probe.addr, probe.updates).await;
                 if let Err(error) = found {
                     warn!(event = events::PEER, peer = %probe.target, error, "no answer to a probe");
-                    core.peers.lock().missed(&probe.target, clock::now());
+                    core.peers.lock().probe_failed(&probe.target, clock::now());
                 }
             });
         }
@@ -80,7 +80,8 @@
 /// Asks some VMs that the store lists: those that the settings name may all be down.
 async fn ask_listed(core: Arc<Core>) {
     let until = clock::now() + LISTED;
-    let listed = || -> Vec<SocketAddr> { core.peers.lock().listed().take(MOST_ASKED).collect() };
+    let listed =
+        || -> Vec<SocketAddr> { core.peers.lock().seed_addrs().take(MOST_ASKED).collect() };
     while listed().is_empty() && clock::now() < until {
         sleep(LISTED / 5).await;
     }
@@ -115,7 +116,7 @@
     }
 }
 
-async fn ask(core: &Core, addr: SocketAddr, news: Vec<News>) -> Result<(), String> {
+async fn ask(core: &Core, addr: SocketAddr, news: Vec<MemberUpdate>) -> Result<(), String> {
     let hello = Hello {
         me: core.peers.me_now(),
         news,
@@ -127,8 +128,8 @@
     let source = welcome.me.who.vm.to_smolstr();
     {
         let mut members = core.peers.lock();
-        members.heard(&welcome.me, now);
-        members.take(&welcome.news, now);
+        members.apply_update(&welcome.me, now);
+        members.apply_updates(&welcome.news, now);
     }
     learn(core, welcome.document, &welcome.weights, &source);
     Ok(())
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -22,8 +22,10 @@
 use crate::clock;
 use crate::settings::Settings;
 use rand::Rng;
-use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, Rules, Status};
+use sesamegap_policy::agreement::ProcessId;
+use sesamegap_policy::agreement::membership::{
+    MemberUpdate, Members, MembershipConfig, Probe, Status,
+};
 use sesamegap_policy::routing::engines::{rank, seed};
 use sesamegap_wire::{Incarnation, Moment, VmId};
 use std::net::SocketAddr;
@@ -53,7 +55,7 @@
 /// The table of peers, shared.
 #[derive(Debug)]
 pub struct Peers {
-    me: Holder,
+    me: ProcessId,
     members: Mutex<Members>,
     /// News of engines that is still to be sent.
     pub outbox: Outbox,
@@ -70,11 +72,11 @@
 impl Peers {
     /// Starts with nobody known.
     pub fn new(settings: &Settings) -> Self {
-        let me = Holder {
+        let me = ProcessId {
             vm: settings.vm.clone(),
             incarnation: Incarnation(clock::unix_ms()),
         };
-        let rules = Rules {
+        let rules = MembershipConfig {
             suspicion: SUSPICION,
             memory: MEMORY,
             indirect: 0,
@@ -98,7 +100,7 @@
     }
 
     /// This process.
-    pub fn me(&self) -> &Holder {
+    pub fn me(&self) -> &ProcessId {
         &self.me
     }
 
@@ -114,9 +116,9 @@
         let members = self.lock();
         let mut known = Known::default();
         for peer in members.peers() {
-            match peer.news.status {
-                Status::Alive => known.alive.push(peer.news.addr),
-                Status::Suspect | Status::Dead => known.doubted.push(peer.news.addr),
+            match peer.latest.status {
+                Status::Alive => known.alive.push(peer.latest.addr),
+                Status::Suspect | Status::Dead => known.doubted.push(peer.latest.addr),
                 Status::Leaving => {}
             }
         }
@@ -126,7 +128,7 @@
     /// VMs that answer, this one included.
     pub fn alive(&self) -> Vec<VmId> {
         let members = self.lock();
-        let others = members.alive().map(|peer| peer.news.who.vm.clone());
+        let others = members.alive().map(|peer| peer.latest.who.vm.clone());
         others.chain([self.me.vm.clone()]).collect()
     }
 
@@ -137,8 +139,8 @@
         if roster.0.is_none_or(|at| now.since(at) >= ROSTER) {
             let members = self.lock();
             let others = members.alive().map(|peer| {
-                let addr = SocketAddr::new(peer.news.addr.ip(), self.loads_port);
-                (seed(peer.news.who.vm.as_str()), Some(addr))
+                let addr = SocketAddr::new(peer.latest.addr.ip(), self.loads_port);
+                (seed(peer.latest.who.vm.as_str()), Some(addr))
             });
             let me = (seed(self.me.vm.as_str()), None);
             *roster = (Some(now), Arc::new(others.chain([me]).collect()));
@@ -171,8 +173,8 @@
     }
 
     /// Takes in what a peer says of itself.
-    pub fn hear(&self, news: &News, now: Moment) {
-        self.lock().heard(news, now);
+    pub fn hear(&self, news: &MemberUpdate, now: Moment) {
+        self.lock().apply_update(news, now);
     }
 
     /// Takes the store's list of entry VMs.
@@ -193,7 +195,7 @@
         self.lock().tick(clock::now(), rng)
     }
 
-    fn me_now(&self) -> News {
+    fn me_now(&self) -> MemberUpdate {
         self.lock().me().clone()
     }
 }
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -5,8 +5,8 @@
 use crate::ports::StoreError;
 use crate::telemetry::events;
 use bytes::Bytes;
-use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, Step, Terms};
+use sesamegap_policy::agreement::ProcessId;
+use sesamegap_policy::agreement::cas_lease::{CasLease, Claim, LeaseTiming, Step};
 use sesamegap_wire::{Fence, LogPosition, Moment, Timeline};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -33,9 +33,9 @@
 impl Lease {
     /// Starts without it.
     pub fn new(core: &Core) -> Self {
-        let terms = Terms {
+        let terms = LeaseTiming {
             term: TERM,
-            rest: core.settings().spans.lease,
+            handover_delay: core.settings().spans.lease,
         };
         let lease = CasLease::new(core.peers.me().clone(), terms);
         Self {
@@ -47,7 +47,7 @@
     }
 
     /// Who held it by the last record seen.
-    pub fn last_holder(&self) -> Option<Holder> {
+    pub fn last_holder(&self) -> Option<ProcessId> {
         self.lock().holder().cloned()
     }
 
@@ -58,7 +58,7 @@
 
     /// Gives it up, as when an engine has seen a higher fencing number.
     pub fn lose(&self) {
-        self.lock().lose();
+        self.lock().invalidate();
     }
 
     /// How long to wait before trying again.
@@ -78,7 +78,7 @@
         self.free = None;
         if self.may_order().is_none() {
             // What was read before may be old, and a claim on it would only be refused.
-            self.lock().doubt();
+            self.lock().require_read();
         }
         // A claim follows a read, and a read that shows another's record ends the try.
         for _ in 0..3 {
@@ -89,7 +89,7 @@
                     self.free = Some(until);
                     self.tell_wait(until);
                     // Its holder may have gone on since; the next try reads again.
-                    self.lock().doubt();
+                    self.lock().require_read();
                     return None;
                 }
                 Step::Read(from) => {
@@ -157,7 +157,7 @@
                 }
             }
             Err(error) => {
-                self.lock().lose();
+                self.lock().invalidate();
                 info!(event = events::LEASE, %error, at = %at, "lease not held");
             }
         }
@@ -166,7 +166,7 @@
     /// The lease on the store's present timeline.
     fn lock(&self) -> MutexGuard<'_, CasLease> {
         let mut lease = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        lease.begin(*self.timeline.borrow(), clock::now());
+        lease.enter_timeline(*self.timeline.borrow(), clock::now());
         lease
     }
 }
--- a/crates/sesamegap-measure/src/slopes/agreement.rs
+++ b/crates/sesamegap-measure/src/slopes/agreement.rs
@@ -4,9 +4,9 @@
 use super::{Row, Rows, resident};
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::claims::{ClaimId, ClaimKey, ClaimRecord, Claims};
-use sesamegap_policy::agreement::membership::{Members, News, Rules, Status};
+use sesamegap_policy::agreement::membership::{MemberUpdate, Members, MembershipConfig, Status};
 use sesamegap_wire::codec::{decode, encode};
 use sesamegap_wire::{Incarnation, Moment, Offset, VmId};
 use std::collections::HashMap;
@@ -30,8 +30,8 @@
     id(format!("entry-{at}"))
 }
 
-fn holder(at: usize) -> Holder {
-    Holder {
+fn holder(at: usize) -> ProcessId {
+    ProcessId {
         vm: vm(at),
         incarnation: Incarnation(0x0123_4567_89ab_cdef),
     }
@@ -55,7 +55,7 @@
 
 impl Swarm {
     fn new(size: usize) -> Self {
-        let rules = Rules {
+        let rules = MembershipConfig {
             suspicion: ROUND * 6,
             memory: ROUND * 240,
             indirect: 2,
@@ -93,15 +93,15 @@
             return;
         };
         let asker = self.nodes[from].me().clone();
-        self.nodes[to].take(&probe.news, self.now);
-        self.nodes[to].heard(&asker, self.now);
-        let back = self.nodes[to].give();
+        self.nodes[to].apply_updates(&probe.updates, self.now);
+        self.nodes[to].apply_update(&asker, self.now);
+        let back = self.nodes[to].select_updates();
         let answer = self.nodes[to].me().clone();
-        self.nodes[from].take(&back, self.now);
-        self.nodes[from].heard(&answer, self.now);
+        self.nodes[from].apply_updates(&back, self.now);
+        self.nodes[from].apply_update(&answer, self.now);
         self.took += start.elapsed();
         self.turns += 1;
-        for message in [(&asker, &probe.news), (&answer, &back)] {
+        for message in [(&asker, &probe.updates), (&answer, &back)] {
             self.bytes += encode(&message).map_or(0, |bytes| bytes.len());
         }
     }
@@ -120,10 +120,10 @@
     }
 
     /// Rounds until every process but the first believes what `of` asks of the first.
-    fn until(&mut self, of: impl Fn(Option<&News>) -> bool) -> usize {
+    fn until(&mut self, of: impl Fn(Option<&MemberUpdate>) -> bool) -> usize {
         for round in 0..MOST_ROUNDS {
             let first = vm(0);
-            let news = |node: &Members| of(node.peer(&first).map(|peer| &peer.news));
+            let news = |node: &Members| of(node.peer(&first).map(|peer| &peer.latest));
             if self.nodes[1..].iter().all(news) {
                 return round;
             }
--- a/crates/sesamegap/src/router/once/mod.rs
+++ b/crates/sesamegap/src/router/once/mod.rs
@@ -24,9 +24,10 @@
 use follow::SharedClaims;
 use poem::http::StatusCode;
 use runs::Runs;
-use sesamegap_policy::agreement::Holder;
+use sesamegap_policy::agreement::ProcessId;
 use sesamegap_policy::agreement::claims::{
-    Appended, ClaimId, ClaimKey, ClaimRecord, Claimant, KeyAge, KeyLife, Standing, Step, Verdict,
+    Appended, ClaimId, ClaimKey, ClaimOutcome, ClaimRecord, Claimant, KeyAge, KeyState,
+    KeyValidity, Step,
 };
 use sesamegap_policy::agreement::tickets::{Admission, Ticket, Tickets};
 use sesamegap_wire::{RequestId, TeamId};
@@ -50,29 +51,29 @@
     /// This one.
     Here,
     /// Another one.
-    There(Holder),
+    There(ProcessId),
 }
 
 /// The keys that this router knows of.
 #[derive(Debug)]
 pub struct Once {
-    me: Holder,
+    me: ProcessId,
     runs: Mutex<Runs>,
     tickets: Mutex<Tickets>,
     claims: SharedClaims,
     appender: Appender,
-    life: KeyLife,
+    life: KeyValidity,
 }
 
 impl Once {
     /// Starts with no key; a ticket can be used for `keep`.
-    pub fn new(me: Holder, claims: SharedClaims, appender: Appender, timing: &Timing) -> Self {
+    pub fn new(me: ProcessId, claims: SharedClaims, appender: Appender, timing: &Timing) -> Self {
         Self {
             runs: Mutex::new(Runs::new(timing.retention)),
             tickets: Mutex::new(Tickets::new(me.clone(), timing.keep, TICKETS)),
             claims,
             appender,
-            life: KeyLife::new(timing.retention, SKEW.min(timing.retention / 4)),
+            life: KeyValidity::new(timing.retention, SKEW.min(timing.retention / 4)),
             me,
         }
     }
@@ -181,10 +182,10 @@
 
     /// Refuses a key whose claim the log may have dropped already.
     fn check_age(&self, key: &str) -> Result<(), ApiError> {
-        match self.life.judge(key, unix_ms()) {
-            KeyAge::Fresh | KeyAge::Timeless => Ok(()),
+        match self.life.classify(key, unix_ms()) {
+            KeyAge::Fresh | KeyAge::Untimed => Ok(()),
             KeyAge::Stale => Err(expired("the key is older than the log keeps claims")),
-            KeyAge::Ahead => Err(ApiError::bad(
+            KeyAge::InFuture => Err(ApiError::bad(
                 "bad_key",
                 "the key's time lies in the future",
             )),
@@ -210,16 +211,16 @@
                     }
                 }
                 Step::Wait => drop(timeout_at(until, moved.changed()).await),
-                Step::Done(Verdict::Run) => {
+                Step::Done(ClaimOutcome::Run) => {
                     let release = ClaimRecord::Release {
                         key: key.clone(),
                         claim: id,
                     };
                     return self.won(key, release).await;
                 }
-                Step::Done(Verdict::Earlier(_)) => return Ok(Place::Here),
-                Step::Done(Verdict::Other(holder)) => return Ok(Place::There(holder)),
-                Step::Done(Verdict::GivenUp(release)) => {
+                Step::Done(ClaimOutcome::EarlierAttempt(_)) => return Ok(Place::Here),
+                Step::Done(ClaimOutcome::HeldByOther(holder)) => return Ok(Place::There(holder)),
+                Step::Done(ClaimOutcome::TimedOut(release)) => {
                     // The claim may stand: this router goes on holding the key and runs it if the
                     // caller comes again; only at its end does it give the claim back.
                     lock(&self.runs).unused(key, release);
@@ -239,14 +240,14 @@
     }
 
     /// Which life holds a key, as far as the log was read.
-    pub fn holder(&self, team: &TeamId, key: &SmolStr) -> Option<Holder> {
+    pub fn holder(&self, team: &TeamId, key: &SmolStr) -> Option<ProcessId> {
         let key = ClaimKey {
             team: team.clone(),
             key: key.clone(),
         };
-        self.claims.with(|claims| match claims.standing(&key) {
-            Standing::Held(_, holder) => Some(holder.clone()),
-            Standing::Free => None,
+        self.claims.with(|claims| match claims.key_state(&key) {
+            KeyState::Held(_, holder) => Some(holder.clone()),
+            KeyState::Free => None,
         })
     }
 }
--- a/crates/sesamegap/src/router/peers/probing.rs
+++ b/crates/sesamegap/src/router/peers/probing.rs
@@ -13,8 +13,10 @@
 use crate::router::lock;
 use crate::router::phase::Phase;
 use futures_util::future::join_all;
-use sesamegap_policy::agreement::Holder;
-use sesamegap_policy::agreement::membership::{Members, News, Probe, Rules, Status};
+use sesamegap_policy::agreement::ProcessId;
+use sesamegap_policy::agreement::membership::{
+    MemberUpdate, Members, MembershipConfig, Probe, Status,
+};
 use sesamegap_wire::{Offset, VmId};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -43,8 +45,8 @@
 impl ProbedPeers {
     /// Starts with nobody but this router, which listens at `addr`; `round` is the time between
     /// two probes.
-    pub fn new(me: Holder, addr: SocketAddr, clock: Clock, round: Duration) -> Self {
-        let rules = Rules {
+    pub fn new(me: ProcessId, addr: SocketAddr, clock: Clock, round: Duration) -> Self {
+        let rules = MembershipConfig {
             suspicion: round * SUSPICION_ROUNDS,
             memory: round * MEMORY_ROUNDS,
             indirect: INDIRECT,
@@ -66,7 +68,7 @@
         lock(&self.members).tick(self.clock.now(), &mut rand::rng())
     }
 
-    fn message(&self, news: Vec<News>) -> Probed {
+    fn message(&self, news: Vec<MemberUpdate>) -> Probed {
         Probed {
             from: lock(&self.members).me().clone(),
             news,
@@ -76,14 +78,14 @@
     fn take(&self, heard: &Probed) {
         let now = self.clock.now();
         let mut members = lock(&self.members);
-        members.take(&heard.news, now);
-        members.heard(&heard.from, now);
+        members.apply_updates(&heard.news, now);
+        members.apply_update(&heard.from, now);
     }
 
     /// Answers a probe, after taking in what it says.
     pub fn answer(&self, probe: &Probed) -> Probed {
         self.take(probe);
-        let news = lock(&self.members).give();
+        let news = lock(&self.members).select_updates();
         self.message(news)
     }
 
@@ -93,14 +95,14 @@
     }
 
     /// All that is believed, for a dump.
-    pub fn beliefs(&self) -> Vec<News> {
+    pub fn beliefs(&self) -> Vec<MemberUpdate> {
         let members = lock(&self.members);
-        members.peers().map(|peer| peer.news.clone()).collect()
+        members.peers().map(|peer| peer.latest.clone()).collect()
     }
 
-    fn belief(&self, vm: &VmId) -> Option<News> {
+    fn belief(&self, vm: &VmId) -> Option<MemberUpdate> {
         let members = lock(&self.members);
-        members.peer(vm).map(|peer| peer.news.clone())
+        members.peer(vm).map(|peer| peer.latest.clone())
     }
 }
 
@@ -126,11 +128,11 @@
         let members = lock(&self.members);
         let unlisted = members
             .alive()
-            .filter(|peer| !listed.iter().any(|entry| entry.vm == peer.news.who.vm));
+            .filter(|peer| !listed.iter().any(|entry| entry.vm == peer.latest.who.vm));
         peers.extend(unlisted.map(|peer| Peer {
-            vm: peer.news.who.vm.clone(),
-            router: peer.news.addr,
-            incarnation: Some(peer.news.who.incarnation),
+            vm: peer.latest.who.vm.clone(),
+            router: peer.latest.addr,
+            incarnation: Some(peer.latest.who.incarnation),
             leaving: false,
             settings: Offset(0),
         }));
@@ -165,7 +167,7 @@
 }
 
 async fn send(core: &Core, probe: Probe) {
-    let message = core.members.message(probe.news);
+    let message = core.members.message(probe.updates);
     let answer = match core.peer_client.probe(probe.addr, &message).await {
         Ok(answer) => Some(answer),
         Err(_) => through_others(core, probe.addr, &probe.through, &message).await,
@@ -175,7 +177,7 @@
         return;
     }
     let now = core.members.clock.now();
-    lock(&core.members.members).missed(&probe.target, now);
+    lock(&core.members.members).probe_failed(&probe.target, now);
 }
 
 /// Asks others to probe in this router's place; the first answer counts.
