--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -1,8 +1,9 @@
-//! Whether a request is let in.
+//! Admission control.
 //!
-//! A caller is best served by an early answer, also when that is a refusal: it can ask elsewhere
-//! or later. So everything that can be known at arrival is decided at arrival, and what becomes
-//! hopeless while it waits is refused at that moment and not at its deadline.
+//! An early answer serves the caller best even if it is a refusal, because the caller can then
+//! try elsewhere or later. So whatever can be decided on arrival is decided on arrival, and a
+//! queued request that can no longer meet its deadline is refused at once and not when the
+//! deadline passes.
 
 use super::{Decider, Decision, Refusal, RefusalCode, Work};
 use crate::load::limits::{Claim, spread};
@@ -12,23 +13,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which to ask again when settings, budget or fleet are in the way: about what a
-/// restart or a change of settings takes to show.
+/// Retry delay for refusals due to settings, the retry budget or missing engines: about the time
+/// that a restart or a settings change takes to become visible.
 const SOON: Duration = Duration::from_secs(1);
 
-/// Deviations on top of the mean first-token time that an admitted request must have time for
-/// when it has to wait first: one in a hundred of the highest class may miss, no more.
+/// Deviations above the mean first-token time that a request of the highest class must have time
+/// for if it has to queue: at most one in a hundred of that class may miss its deadline.
 const MARGIN: f64 = 2.0;
 
-/// The same for other classes: with as much as the highest has, the lightest team was refused
-/// half as often again, and no more answers came in time (docs/design/load.md).
+/// The same margin for other classes: with the margin of the highest class, the team with the
+/// least weight was refused 50% more often, and no more answers met their deadline
+/// (docs/design/load.md).
 const LOW_MARGIN: f64 = 0.5;
 
-/// How far beyond its time queued work must be before it is given up; below that, the estimate
-/// is no surer than the request.
+/// Factor by which the estimated wait of a queued request must exceed its remaining time before
+/// it is refused; below that, the estimate is not certain enough to refuse on.
 const SURE: f64 = 1.25;
 
-/// Why and until when a request is kept out.
+/// Reason for not admitting a request, and the earliest time at which a retry may help.
 #[derive(Debug)]
 struct Barrier {
     code: RefusalCode,
@@ -41,7 +43,7 @@
     }
 }
 
-/// What settings say of a request.
+/// Settings that apply to a request.
 #[derive(Debug, Clone, Copy)]
 struct Terms<'a> {
     team: &'a TeamSpec,
@@ -85,7 +87,9 @@
         }
     }
 
-    /// Load: one team sends more than its rate. Harm prevented: its excess crowds out others.
+    /// Charges the team's rate limit.
+    ///
+    /// Guards against one team that exceeds its rate and displaces the requests of others.
     fn check_team(&mut self, work: &Work, terms: Terms<'_>, now: Moment) -> Result<(), Barrier> {
         let taken = self
             .teams
@@ -93,9 +97,12 @@
         taken.map_err(|wait| Barrier::new(RefusalCode::TeamLimit, wait))
     }
 
-    /// Load: much fails at once and is tried again. Harm prevented: retries that double the load
-    /// of engines already short, and retries that cannot be in time. The class bounds attempts,
-    /// the budget their sum, the deadline their use.
+    /// Checks whether a retry is allowed and charges the retry budget.
+    ///
+    /// Guards against many requests failing at once: their retries would double the load of
+    /// engines that are already short of capacity, and some could not meet their deadline. The
+    /// class bounds the attempts of one request, the budget bounds the sum of all retries, and the
+    /// deadline rules out those that would be useless.
     fn check_retry(&mut self, work: &Work, terms: Terms<'_>, now: Moment) -> Result<(), Barrier> {
         let left = (work.arrived + terms.class.deadline).since(now);
         let rank = Rank::new(false, terms.class.priority);
@@ -109,7 +116,7 @@
         Ok(())
     }
 
-    /// Gives back what a refused request had paid.
+    /// Refunds what a refused request was charged.
     fn give_back(&mut self, work: &Work) {
         if work.attempt == 0 {
             self.teams.give_back(&work.team, work.chain.tokens);
@@ -136,7 +143,7 @@
         let deadline = work.arrived + terms.class.deadline;
         let rank = Rank::new(excess, terms.class.priority);
         let first = self.outlook.first_time(&work, rank, now);
-        // The quickest first token that is still likely.
+        // The shortest first-token time that is still likely: one deviation below the mean.
         let least = first.map_or(Duration::ZERO, |time| time.with(-1.0));
         let left = deadline.since(now).saturating_sub(least);
         Item {
@@ -150,10 +157,14 @@
         }
     }
 
-    /// Load: saturation. Harm prevented: work that engines do for an answer that comes too late,
-    /// and callers who wait for nothing. The estimate counts what is queued ahead at the learned
-    /// rate, and the engines' own time with a margin once there is a queue at all; without one,
-    /// the mean has to do, since an idle system must not refuse on a spread seen in a busy hour.
+    /// Checks that a request can meet its deadline and that its queue has room, and refuses queued
+    /// requests that it displaces.
+    ///
+    /// Guards against saturation: engines would compute answers that come too late, and callers
+    /// would wait for nothing. The estimate is the time for the work queued ahead at the learned
+    /// rate plus the engines' first-token time, which gets a margin only if the request has to
+    /// queue. Otherwise the mean is used, since an idle system must not refuse requests because of
+    /// a variance that was observed under load.
     fn admit(&mut self, item: &Item, class: &ClassSpec, now: Moment) -> Result<(), Barrier> {
         let needed = self.needed(item, now);
         let left = item.deadline.since(now);
@@ -172,7 +183,7 @@
         Ok(())
     }
 
-    /// Time to the first token, from now.
+    /// Estimates the time from now to the first token, margin included.
     fn needed(&self, item: &Item, now: Moment) -> Duration {
         let wait = self.outlook.wait(&self.queue, item, item.cost, now);
         let margin = match wait.is_zero() {
@@ -192,7 +203,7 @@
         self.queue.push(item);
     }
 
-    /// Refuses what has become hopeless by the clock.
+    /// Refuses queued requests whose latest useful start time has passed.
     pub(super) fn expire(&mut self, now: Moment) {
         while let Some(item) = self.queue.expired(now) {
             let wait = self.outlook.wait(&self.queue, &item, item.cost, now);
@@ -200,12 +211,13 @@
         }
     }
 
-    /// Refuses what has become hopeless by the estimate.
+    /// Refuses queued requests that are estimated to miss their deadline.
     ///
-    /// Load: engines slow down, or higher classes surge, after work was admitted. Harm prevented:
-    /// callers who are kept until their deadline for an answer that was lost long before.
-    /// Only the last of a team in each lane is looked at, since all before it are better off,
-    /// and another team each time, so that the cost does not grow with the queue.
+    /// Engines may slow down, or traffic of higher classes may surge, after a request was
+    /// admitted. Without the sweep, callers would wait until the deadline for an answer that
+    /// could no longer be in time. In each lane only the last request of one team is examined,
+    /// since those before it wait less, and a different team each time, so that the cost does not
+    /// grow with the queue.
     pub(super) fn sweep(&mut self, now: Moment) {
         for item in self.queue.tails() {
             let wait = self.outlook.wait(&self.queue, &item, 0, now);
@@ -216,7 +228,7 @@
         }
     }
 
-    /// Refuses a request and reserves its return.
+    /// Refuses a request, with a retry delay reserved so that retries are spread over time.
     pub(super) fn refuse(
         &mut self,
         item: &Item,
--- a/crates/sesamegap-policy/src/decider/builder.rs
+++ b/crates/sesamegap-policy/src/decider/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a decider.
+//! Builder for [`Decider`].
 
 use super::Decider;
 use super::flights::Flights;
@@ -14,7 +14,7 @@
 use sesamegap_wire::{DomainId, Moment};
 use std::sync::Arc;
 
-/// Gathers what a decider needs.
+/// Configures and builds a [`Decider`].
 #[derive(Debug)]
 pub struct DeciderBuilder {
     domain: DomainId,
@@ -25,7 +25,7 @@
 }
 
 impl DeciderBuilder {
-    /// Starts with the router's own failure domain.
+    /// Creates a builder for a router in the given failure domain.
     pub fn new(domain: DomainId) -> Self {
         Self {
             domain,
@@ -36,35 +36,35 @@
         }
     }
 
-    /// Seeds random choices, differently in each router.
+    /// Sets the seed for random choices; it should differ between routers.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Sets the settings in force at the start.
+    /// Sets the initial settings.
     #[must_use]
     pub fn catalogue(mut self, catalogue: Arc<Catalogue>) -> Self {
         self.catalogue = catalogue;
         self
     }
 
-    /// Sets another placer than the one that routers use.
+    /// Replaces the placer that routers use by default.
     #[must_use]
     pub fn placer(mut self, placer: Box<dyn Placer>) -> Self {
         self.placer = Some(placer);
         self
     }
 
-    /// Sets another kind of window than the one that routers use.
+    /// Replaces the kind of window that routers use by default.
     #[must_use]
     pub fn window(mut self, kind: WindowKind) -> Self {
         self.window = kind;
         self
     }
 
-    /// Makes the decider.
+    /// Builds the decider.
     pub fn build(self) -> Decider {
         let domain = self.domain;
         let placer = self
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending what waits to engines with room.
+//! Dispatch of queued requests to engines with room, and hedging.
 
 use super::flights::{Flight, Flights};
 use super::outlook::Outlook;
@@ -11,22 +11,23 @@
 use sesamegap_wire::{Moment, RequestId};
 use std::time::Duration;
 
-/// Part of the deadline after which a first token counts as late for the window: by then little
-/// is left for a second attempt.
+/// Fraction of the deadline after which the window counts a first token as late: by then little
+/// time is left for a second attempt.
 const LATE: f64 = 0.5;
 
-/// Deviations above the mean after which a second attempt starts beside the first; about one
-/// request in twenty is that late on a healthy engine, which the budget bears.
+/// Deviations above the mean first-token time after which a hedge is sent. About one request in
+/// twenty is that late on a healthy engine, which the retry budget can bear.
 const HEDGE_AFTER: f64 = 4.0;
 
-/// Bounds on when to look for room again that opens without news, as when a cap on cold
-/// prefills lapses.
+/// Bounds on the delay before room is checked again without an observation, for room that opens
+/// by time alone, such as when a cap on cold prefills lapses.
 const RETRY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(250));
 
-/// Time beyond a class's last promise after which a lost attempt is taken for over.
+/// Time beyond the longest duration that a class allows after which an attempt is treated as lost
+/// and finished.
 const GRACE: Duration = Duration::from_mins(1);
 
-/// The parts of a decider that sending needs while the queue is being served.
+/// The parts of a decider that are borrowed while the queue is served.
 struct Sender<'a> {
     outlook: &'a Outlook,
     placer: &'a mut dyn Placer,
@@ -74,10 +75,12 @@
         }
     }
 
-    /// Load: every engine with room has a long queue of other routers' work. Harm prevented: a
-    /// prefill that is computed for an answer no one waits for. The expected wait is a guess, so
-    /// an engine on which this router has nothing in flight is tried all the same: with no
-    /// answers there would be nothing to correct the guess by.
+    /// Whether a request is expected to miss its deadline at this placement.
+    ///
+    /// Every engine with room may have a long queue of other routers' requests; sending would then
+    /// compute a prefill for an answer that nobody waits for. Since the expected wait is only an
+    /// estimate, an engine on which this router has nothing in flight is used regardless: without
+    /// answers from it, the estimate could never be corrected.
     fn comes_late(&self, item: &Item, at: &Placement) -> bool {
         let wait = self.outlook.corrected(item.rank, at.wait);
         self.now + wait > item.deadline && self.windows.busy(&at.engine)
@@ -99,7 +102,7 @@
     }
 }
 
-/// An attempt that starts now.
+/// Creates the record of an attempt that starts now.
 fn flight(work: &Work, rank: Rank, at: &Placement, class: &ClassSpec, now: Moment) -> Flight {
     Flight {
         engine: at.engine.clone(),
@@ -117,7 +120,7 @@
 }
 
 impl Decider {
-    /// Sends what has room, in the queue's order.
+    /// Sends queued requests in queue order, as far as engines have room.
     pub(super) fn dispatch(&mut self, now: Moment) {
         let outlook = &self.outlook;
         let mut sender = Sender {
@@ -147,12 +150,12 @@
         }
     }
 
-    /// Starts second attempts beside late first ones.
+    /// Sends a second attempt for each request whose first token is late.
     ///
-    /// Load: one engine is slow or silent. Harm prevented: callers on it who miss their deadline
-    /// while other engines are idle. The class must allow it and the request must be repeatable;
-    /// the retry budget pays, so that slowness everywhere does not double the load; and it must
-    /// find room at once, since a hedge that queues takes the place of first attempts.
+    /// If one engine is slow or silent, its requests would miss their deadline while other engines
+    /// are idle. The class must allow hedging and the request must be repeatable. Hedges are
+    /// charged to the retry budget, so that general slowness does not double the load, and are
+    /// never queued, since a queued hedge would take the place of a first attempt.
     pub(super) fn hedge(&mut self, now: Moment) {
         while let Some((work, engine)) = self.flights.due_hedge(now) {
             let mut twin = *work;
@@ -197,5 +200,5 @@
     }
 }
 
-/// Marks a second attempt's id; routers count their requests from 0 and never get this far.
+/// Bit that marks the id of a hedge. Routers number their requests from 0 and never reach it.
 const TWIN: u64 = 1 << 63;
--- a/crates/sesamegap-policy/src/decider/flights.rs
+++ b/crates/sesamegap-policy/src/decider/flights.rs
@@ -1,4 +1,4 @@
-//! What is sent and not over.
+//! Attempts in flight on engines.
 
 use super::Work;
 use crate::load::queue::Rank;
@@ -7,34 +7,34 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// One attempt on an engine.
+/// One attempt to run a request on an engine.
 #[derive(Debug)]
 pub struct Flight {
     /// The engine.
     pub engine: UpstreamId,
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelId,
-    /// Length of the prompt.
+    /// Number of prompt tokens.
     pub tokens: Tokens,
-    /// Its cost as the queue reckons.
+    /// Cost, in the unit of the queue.
     pub cost: u64,
     /// When it was sent.
     pub sent: Moment,
-    /// Where it stood in the queue.
+    /// Rank in the queue.
     pub rank: Rank,
-    /// First-token time that the placer expected.
+    /// First-token time expected by the placer.
     pub expected: Duration,
-    /// Time after which its first token counts as late.
+    /// Time after sending at which a missing first token counts as late.
     pub patience: Duration,
-    /// Whether its first token came.
+    /// Whether the first token has arrived.
     pub first: bool,
-    /// When it is taken for over at the latest.
+    /// When the attempt is treated as finished even if its end is never reported.
     pub end: Moment,
-    /// When to hedge, and the work to send again.
+    /// When to send a hedge, and the request to send.
     pub hedge: Option<(Moment, Box<Work>)>,
 }
 
-/// Attempts in flight.
+/// The attempts in flight, with their timers.
 #[derive(Debug, Default)]
 pub struct Flights {
     running: FxHashMap<RequestId, Flight>,
@@ -43,12 +43,12 @@
 }
 
 impl Flights {
-    /// Number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn len(&self) -> usize {
         self.running.len()
     }
 
-    /// Notes an attempt.
+    /// Adds an attempt, replacing one of the same id.
     pub fn start(&mut self, request: &RequestId, flight: Flight) {
         self.end(request);
         self.ends.insert((flight.end, request.clone()));
@@ -58,7 +58,7 @@
         self.running.insert(request.clone(), flight);
     }
 
-    /// Notes that an attempt's first token came; gives nothing if it came before.
+    /// Records the first token of an attempt; returns `None` if it was recorded before.
     pub fn first(&mut self, request: &RequestId) -> Option<&Flight> {
         self.no_hedge(request);
         let flight = self.running.get_mut(request)?;
@@ -68,7 +68,7 @@
         Some(flight)
     }
 
-    /// Notes that an attempt is over.
+    /// Removes an attempt.
     pub fn end(&mut self, request: &RequestId) -> Option<Flight> {
         self.no_hedge(request);
         let flight = self.running.remove(request)?;
@@ -76,7 +76,7 @@
         Some(flight)
     }
 
-    /// Gives up hedging an attempt.
+    /// Cancels the pending hedge of an attempt and returns its request.
     pub fn no_hedge(&mut self, request: &RequestId) -> Option<Box<Work>> {
         let flight = self.running.get_mut(request)?;
         let (at, work) = flight.hedge.take()?;
@@ -84,12 +84,12 @@
         Some(work)
     }
 
-    /// When the first hedge is due.
+    /// Returns when the next hedge is due.
     pub fn first_hedge(&self) -> Option<Moment> {
         self.hedges.first().map(|(at, _)| *at)
     }
 
-    /// Takes out a hedge that is due, with the engine that is late.
+    /// Removes and returns a request that is due to be hedged, with the engine of the late attempt.
     pub fn due_hedge(&mut self, now: Moment) -> Option<(Box<Work>, UpstreamId)> {
         let (at, request) = self.hedges.first()?;
         if *at > now {
@@ -101,7 +101,7 @@
         Some((work, engine))
     }
 
-    /// An attempt that is taken for over.
+    /// Returns an attempt that has expired.
     pub fn overdue(&self, now: Moment) -> Option<RequestId> {
         let (at, request) = self.ends.first()?;
         (*at <= now).then(|| request.clone())
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -1,13 +1,15 @@
-//! The one owner of a router's decisions.
+//! Admission, queueing, placement and hedging of one router's requests.
 //!
-//! Requests come in with [`Decider::submit`], news with [`Decider::observe`]; after either, and
-//! at [`Decider::wake`], the owner calls [`Decider::poll`] and carries out the decisions it gets.
-//! A request that fails before its first token and may run again is submitted again with the
-//! engine barred and the attempt counted. Every submitted request gets exactly one decision per
-//! submission; a hedge is a decision on a request that was sent before.
+//! Requests are passed in with [`Decider::submit`] and observations with [`Decider::observe`].
+//! After either, and at the time returned by [`Decider::wake`], the caller runs
+//! [`Decider::poll`] and carries out the returned decisions. A request that fails before its
+//! first token and may be retried is submitted again with the failed engine in `barred` and
+//! `attempt` incremented. Each submission gets exactly one decision; a hedge is an additional
+//! decision on a request that was already sent.
 //!
-//! [`arrivals`] admits or refuses what is submitted, [`dispatch`] sends what waits, [`flights`]
-//! knows what is sent and not over, and [`outlook`] says how long a request would wait.
+//! [`admission`] admits or refuses submitted requests, [`dispatch`] sends queued requests,
+//! [`attempts`] tracks the attempts in flight, and [`estimator`] predicts how long a request
+//! would wait.
 
 mod arrivals;
 mod builder;
@@ -34,7 +36,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often queued work is looked over for what has become hopeless.
+/// Interval between sweeps for queued requests that can no longer meet their deadline, and for
+/// attempts that have expired.
 const SWEEP: Duration = Duration::from_millis(100);
 
 /// Admits, queues, places and refuses requests.
@@ -58,12 +61,12 @@
 }
 
 impl Decider {
-    /// Takes in a request; its decision comes from [`Decider::poll`].
+    /// Submits a request; its decision is returned by [`Decider::poll`].
     pub fn submit(&mut self, work: Work, now: Moment) {
         self.arrive(work, now);
     }
 
-    /// Takes in news.
+    /// Applies an observation.
     pub fn observe(&mut self, news: Observation, now: Moment) {
         match news {
             Observation::Settings(catalogue) => self.settings(catalogue),
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Gives all decisions that are due.
+    /// Returns all decisions that are due.
     pub fn poll(&mut self, now: Moment) -> Vec<Decision> {
         self.expire(now);
         if now.since(self.swept) >= SWEEP {
@@ -112,7 +115,7 @@
         std::mem::take(&mut self.ready)
     }
 
-    /// When to call [`Decider::poll`] next even if nothing happens.
+    /// Returns when to call [`Decider::poll`] next if nothing is submitted or observed before.
     pub fn wake(&self) -> Option<Moment> {
         let sweep = (!self.queue.is_empty()).then(|| self.swept + SWEEP);
         let times = [
@@ -124,7 +127,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// What peers should know of this router's traffic.
+    /// Returns the digest of this router's traffic that is sent to its peers.
     pub fn digest(&mut self, now: Moment) -> Digest {
         let mut digest = Digest::default();
         self.placer.digest(&mut digest, now);
@@ -132,12 +135,12 @@
         digest
     }
 
-    /// What a peer that has just started should take over.
+    /// Returns the state that a peer imports when it has just started.
     pub fn warmth(&self, now: Moment) -> Warmth {
         self.placer.warmth(now)
     }
 
-    /// Describes the state for a dump.
+    /// Returns the state as JSON, for diagnostics.
     pub fn dump(&self, now: Moment) -> serde_json::Value {
         serde_json::json!({
             "queue": self.queue.dump(),
@@ -186,8 +189,9 @@
         } else {
             Signal::Timely
         };
-        // Beyond the deadline it no longer matters how late an answer is, and one that was
-        // overtaken on its engine for a minute must not stand for all that follow.
+        // The sample is capped, at the deadline: past it, how late an answer is no longer matters,
+        // and one request that others overtook on its engine for a minute must not dominate the
+        // estimate for those that follow.
         self.outlook
             .first(flight, time.min(flight.patience * 2), now);
         self.windows.computed(request, signal, now);
@@ -219,11 +223,11 @@
         self.windows.routers(self.teams.shared_by());
     }
 
-    /// Ends bookings whose end was never reported.
+    /// Finishes attempts whose end was never reported.
     ///
-    /// An owner that loses track of a stream would leave its place on the engine taken for good;
-    /// the dump would show flights without traffic. Long after its class's last promise a
-    /// request is taken for over.
+    /// If the caller loses track of a stream, its place on the engine would stay taken forever
+    /// and the dump would show flights without traffic. An attempt is therefore treated as
+    /// finished some time after the longest duration that its class allows.
     fn reap(&mut self, now: Moment) {
         while let Some(request) = self.flights.overdue(now) {
             self.finished(&request, false, now);
@@ -231,7 +235,7 @@
     }
 }
 
-/// What a placer is asked for a request.
+/// Builds the placement query for a request.
 fn ask<'a>(work: &'a Work, class: &'a ClassSpec) -> Ask<'a> {
     Ask {
         request: &work.request,
--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -1,4 +1,4 @@
-//! How long a request would wait, from what was learned.
+//! Estimates of queueing delay and first-token time, learned from this router's traffic.
 
 use super::Work;
 use super::flights::Flight;
@@ -9,30 +9,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Least part of the service rate reckoned for a rank whose betters use it all: keeps the
-/// estimate finite.
+/// Minimum fraction of the service rate assumed for a rank when higher ranks use all of it;
+/// keeps the estimate finite.
 const LEAST_PART: f64 = 0.02;
 
-/// Longest wait told; anything above is as hopeless.
+/// Upper bound on estimates; a longer wait makes no difference to any decision.
 const LONGEST: Duration = Duration::from_mins(10);
 
-/// Share of a new comparison in how far a placer's expectations are off.
+/// Weight of a new sample in the moving averages of observed and expected first-token times.
 const GAIN: f64 = 0.1;
 
-/// Bounds on the correction, so that a few odd answers do not turn the estimate over.
+/// Bounds on the correction factor, so that a few outliers cannot distort the estimate.
 const OFF: (f64, f64) = (0.1, 3.0);
 
-/// First-token times as they came and as they were expected, in seconds.
+/// Moving averages of observed and expected first-token times, in seconds.
 ///
-/// Both are averaged before they are divided: a mean of ratios is ruled by the shortest
-/// expectations, which are off by the largest factor and matter least.
+/// Both are averaged before they are divided: a mean of ratios would be dominated by the shortest
+/// expectations, which are wrong by the largest factor and matter least.
 #[derive(Debug, Clone, Copy)]
 struct Off {
     came: f64,
     expected: f64,
 }
 
-/// Rates and times learned from own traffic.
+/// Service rates and first-token times learned from this router's traffic.
 #[derive(Debug, Default)]
 pub struct Outlook {
     paces: Paces,
@@ -42,16 +42,17 @@
 }
 
 impl Outlook {
-    /// Cost a second that engines of a model take from this router, once known.
+    /// Returns the rate, in cost per second, at which the engines of a model serve this router, if
+    /// known.
     pub fn rate(&self, model: &ModelId) -> Option<f64> {
         self.paces.rate(model)
     }
 
-    /// Time that a request would wait in the queue.
+    /// Estimates the time that a request would wait in the queue.
     ///
-    /// What waits ahead is served at the rate that admitted work of higher rank leaves over,
-    /// because that work goes on arriving and goes first. `extra` is the request's own cost if
-    /// it is not queued.
+    /// The work queued ahead is assumed to be served at the rate that work of higher rank leaves
+    /// over, because such work keeps arriving and is served first. `extra` is the request's own
+    /// cost if it is not in the queue yet, and 0 otherwise.
     pub fn wait(&self, queue: &Queue, item: &Item, extra: u64, now: Moment) -> Duration {
         let model = &item.work.model;
         let Some(rate) = self.paces.rate(model) else {
@@ -67,26 +68,26 @@
         Duration::try_from_secs_f64(seconds).map_or(LONGEST, |wait| wait.min(LONGEST))
     }
 
-    /// Time that engines take for so much work of a model.
+    /// Estimates the time that the engines of a model take for work of the given cost.
     pub fn span(&self, model: &ModelId, cost: u64) -> Duration {
         let seconds = self.rate(model).map_or(0.0, |rate| cost as f64 / rate);
         Duration::try_from_secs_f64(seconds).map_or(LONGEST, |span| span.min(LONGEST))
     }
 
-    /// First-token time to expect of engines, as others of this size and rank had it.
+    /// Estimates the first-token time from requests of similar size and rank.
     pub fn first_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<FirstTime> {
         self.firsts.get(&work.model, rank, work.chain.tokens, now)
     }
 
-    /// Notes admitted work.
+    /// Records an admitted request.
     pub fn admitted(&mut self, item: &Item, now: Moment) {
         self.inflow.add(&item.work.model, item.rank, item.cost, now);
     }
 
-    /// Notes a first-token time, and how far off the placer's expectation was.
+    /// Records an observed first-token time beside the placer's expectation.
     ///
-    /// Placers expect engines to go first come, first served; an engine that minds priority
-    /// is quicker than that for the high classes and slower for the low ones.
+    /// Placers assume that engines serve requests in order of arrival; an engine that respects
+    /// priorities is faster than that for high classes and slower for low ones.
     pub fn first(&mut self, flight: &Flight, time: Duration, now: Moment) {
         self.firsts
             .add(&flight.model, flight.rank, flight.tokens, time, now);
@@ -102,7 +103,7 @@
         off.expected += (expected - off.expected) * GAIN;
     }
 
-    /// A placer's expectation, corrected by how others of its kind came out.
+    /// Corrects a placer's expectation by the error observed for requests of the same rank.
     pub fn corrected(&self, rank: Rank, expected: Duration) -> Duration {
         let off = self
             .off
@@ -111,17 +112,17 @@
         expected.min(LONGEST).mul_f64(off.clamp(OFF.0, OFF.1))
     }
 
-    /// Notes finished work.
+    /// Records completed work.
     pub fn done(&mut self, model: &ModelId, cost: u64, now: Moment) {
         self.paces.done(model, cost, now);
     }
 
-    /// Takes due samples.
+    /// Samples the service rates if a sample is due.
     pub fn tick(&mut self, waiting: impl Fn(&ModelId) -> u64, now: Moment) {
         self.paces.tick(waiting, now);
     }
 
-    /// Keeps to the models that settings know.
+    /// Discards models that are not in the settings.
     pub fn keep(&mut self, catalogue: &Catalogue) {
         self.paces.keep(catalogue.models.keys());
         self.firsts
@@ -130,7 +131,7 @@
             .keep(|model| catalogue.models.contains_key(model));
     }
 
-    /// Describes the rates for a dump.
+    /// Returns the learned rates as JSON, for diagnostics.
     pub fn dump(&self) -> serde_json::Value {
         self.paces.dump()
     }
--- a/crates/sesamegap-policy/src/decider/work.rs
+++ b/crates/sesamegap-policy/src/decider/work.rs
@@ -1,4 +1,4 @@
-//! What comes into a decider and what comes out.
+//! Inputs and outputs of the decider.
 
 use crate::placing::Placement;
 use sesamegap_settings::Catalogue;
@@ -11,47 +11,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One request that wants an engine.
+/// A request to be placed on an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Work {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Team that asks.
+    /// Team that sent the request.
     pub team: TeamId,
-    /// Its traffic class.
+    /// Traffic class.
     pub class: ClassId,
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelId,
-    /// Weights that its chain was seeded with.
+    /// Weights version that the hashes of `chain` are seeded with.
     pub version: WeightsVersion,
-    /// The prompt's blocks.
+    /// Blocks of the prompt.
     pub chain: Chain,
-    /// Tokens to answer at most.
+    /// Maximum number of tokens to generate.
     pub answer: Tokens,
-    /// When it came to the router; a retry keeps it.
+    /// When the router received the request; a retry keeps the original time.
     pub arrived: Moment,
-    /// Counts submissions, from 0.
+    /// Number of this submission, from 0.
     pub attempt: u32,
-    /// Engines on which it failed before.
+    /// Engines on which an earlier attempt failed.
     pub barred: Vec<UpstreamId>,
-    /// Whether it may run twice; only then is it retried after a byte was written, or hedged.
+    /// Whether the request may run more than once. Otherwise it is neither hedged nor retried after
+    /// a byte was written.
     pub repeatable: bool,
 }
 
-/// Why a request is refused; nothing of it was run.
+/// Reason for refusing a request, no part of which has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalCode {
     /// The deadline for the first token cannot be met.
     Deadline,
     /// The queue of its class is full.
     QueueFull,
-    /// The team is over its rate or share.
+    /// The team exceeds its rate or share.
     TeamLimit,
-    /// No live engine holds the model in the wanted version.
+    /// No live engine has the model loaded in the requested version.
     NoEngine,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// Settings no longer know the model, team or class.
+    /// The model, team or class is not in the settings.
     Unknown,
 }
 
@@ -68,23 +69,23 @@
     }
 }
 
-/// A refusal, with the time after which asking again may help.
+/// A refusal, with the delay after which a retry may succeed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub code: RefusalCode,
-    /// When to ask again; spread over callers so that they do not come back together.
+    /// Delay before a retry, spread over callers so that they do not all retry at once.
     pub after: Duration,
 }
 
-/// What the owner must do now.
+/// An action for the caller of [`super::Decider::poll`] to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Send the request; it is already booked on the engine.
+    /// Send the request. It is already counted as in flight on the engine.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// Engine to send it to.
         at: Placement,
         /// Priority in the engine's own batch.
         priority: u8,
@@ -93,61 +94,62 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason and retry delay.
         refusal: Refusal,
     },
-    /// Send a second attempt beside a late first one.
+    /// Send a second, concurrent attempt because the first token is late.
     ///
-    /// It is booked, and reported to [`super::Decider::observe`], under the id `twin`, as if it
-    /// were a request of its own. The attempt that gives a token first answers the caller; the
-    /// other is cancelled upstream and reported as finished without a whole answer. An owner that
-    /// cannot run it reports `twin` as finished at once.
+    /// The second attempt is tracked, and reported to [`super::Decider::observe`], under the id
+    /// `twin`, like a separate request. The attempt that returns a token first answers the caller;
+    /// the other is cancelled upstream and reported as finished without a complete answer. If the
+    /// second attempt cannot be started, `twin` is reported as finished at once.
     Hedge {
         /// The request whose first token is late.
         request: RequestId,
         /// Id of the second attempt.
         twin: RequestId,
-        /// Where to.
+        /// Engine to send it to.
         at: Placement,
         /// Priority in the engine's own batch.
         priority: u8,
     },
-    /// Ask an engine for a listing of its cache.
+    /// Request a listing of an engine's cache.
     List {
         /// The engine.
         engine: UpstreamId,
     },
 }
 
-/// News that bears on decisions.
+/// An event or state change that affects decisions.
 #[derive(Debug, Clone)]
 pub enum Observation {
-    /// New settings are in force.
+    /// New settings take effect.
     Settings(Arc<Catalogue>),
-    /// The engines in use.
+    /// The engines in use, replacing the previous list.
     Fleet(Vec<EngineEntry>),
     /// The kept-KV store in use.
     Store(Option<UpstreamId>),
-    /// An engine's report of itself.
+    /// Load report of an engine.
     Report(UpstreamId, LoadReport),
     /// Cache events of an engine.
     Cache(UpstreamId, CacheBatch),
-    /// All that an engine holds.
+    /// Full listing of an engine's cache.
     Listing(UpstreamId, Listing),
-    /// An engine took a request and found so many tokens cached.
+    /// An engine accepted a request and found this many prompt tokens in its cache.
     Started(RequestId, Tokens),
-    /// The first token of an answer came.
+    /// The first token of an answer arrived.
     First(RequestId),
-    /// A request is over on its engine; `true` if the answer is whole.
+    /// A request ended on its engine; `true` if the answer is complete.
     Finished(RequestId, bool),
-    /// An engine could not be reached, went mute or refused for its incarnation.
+    /// An engine was unreachable, stopped responding, or refused a request because of its
+    /// incarnation.
     Failed(UpstreamId),
-    /// The caller is gone; a queued request is dropped without a decision.
+    /// The caller disconnected; a queued request is dropped without a decision.
     Cancelled(RequestId),
-    /// How many routers are live, this one included; team limits are shared among them.
+    /// Number of live routers, this one included; team limits are divided among them.
     Routers(u32),
-    /// A peer's digest.
+    /// Traffic digest of a peer.
     Peer(VmId, Digest),
-    /// A peer's knowledge, taken over at start.
+    /// State exported by a peer, imported at startup.
     Warm(Warmth),
 }
