--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/admission.rs
@@ -15,74 +15,74 @@
 
 /// Retry delay for refusals due to settings, the retry budget or missing engines: about the time
 /// that a restart or a settings change takes to become visible.
-const SOON: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Deviations above the mean first-token time that a request of the highest class must have time
 /// for if it has to queue: at most one in a hundred of that class may miss its deadline.
-const MARGIN: f64 = 2.0;
+const HIGHEST_CLASS_MARGIN: f64 = 2.0;
 
 /// The same margin for other classes: with the margin of the highest class, the team with the
 /// least weight was refused 50% more often, and no more answers met their deadline
 /// (docs/design/load.md).
-const LOW_MARGIN: f64 = 0.5;
+const OTHER_CLASSES_MARGIN: f64 = 0.5;
 
 /// Factor by which the estimated wait of a queued request must exceed its remaining time before
 /// it is refused; below that, the estimate is not certain enough to refuse on.
-const SURE: f64 = 1.25;
+const HOPELESS_FACTOR: f64 = 1.25;
 
 /// Reason for not admitting a request, and the earliest time at which a retry may help.
 #[derive(Debug)]
-struct Barrier {
+struct Rejection {
     code: RefusalCode,
-    earliest: Duration,
+    min_delay: Duration,
 }
 
-impl Barrier {
-    fn new(code: RefusalCode, earliest: Duration) -> Self {
-        Self { code, earliest }
+impl Rejection {
+    fn new(code: RefusalCode, min_delay: Duration) -> Self {
+        Self { code, min_delay }
     }
 }
 
 /// Settings that apply to a request.
 #[derive(Debug, Clone, Copy)]
-struct Terms<'a> {
+struct RequestSettings<'a> {
     team: &'a TeamSpec,
     class: &'a ClassSpec,
 }
 
-impl Terms<'_> {
-    fn of<'a>(work: &Work, catalogue: &'a Catalogue) -> Option<Terms<'a>> {
+impl RequestSettings<'_> {
+    fn of<'a>(work: &Work, catalogue: &'a Catalogue) -> Option<RequestSettings<'a>> {
         catalogue.models.get(&work.model)?;
         let team = catalogue.teams.get(&work.team)?;
         let class = catalogue.classes.get(&work.class)?;
-        Some(Terms { team, class })
+        Some(RequestSettings { team, class })
     }
 }
 
 impl Decider {
     /// Queues a request or refuses it.
-    pub(super) fn arrive(&mut self, work: Work, now: Moment) {
+    pub(super) fn admit_or_refuse(&mut self, work: Work, now: Moment) {
         let catalogue = Arc::clone(&self.catalogue);
-        let Some(terms) = Terms::of(&work, &catalogue) else {
-            let after = spread(SOON, &mut self.rng);
+        let Some(settings) = RequestSettings::of(&work, &catalogue) else {
+            let after = spread(DEFAULT_RETRY_DELAY, &mut self.rng);
             self.refuse_after(&work, RefusalCode::Unknown, after);
             return;
         };
-        let paid = match work.attempt {
-            0 => self.check_team(&work, terms, now),
-            _ => self.check_retry(&work, terms, now),
+        let charged = match work.attempt {
+            0 => self.check_team(&work, settings, now),
+            _ => self.check_retry(&work, settings, now),
         };
-        if let Err(barrier) = paid {
-            let after = spread(barrier.earliest, &mut self.rng);
-            self.refuse_after(&work, barrier.code, after);
+        if let Err(rejection) = charged {
+            let after = spread(rejection.min_delay, &mut self.rng);
+            self.refuse_after(&work, rejection.code, after);
             return;
         }
-        let item = self.item(work, terms, now);
-        match self.admit(&item, terms.class, now) {
-            Ok(()) => self.enter(item, now),
-            Err(barrier) => {
-                self.give_back(&item.work);
-                self.refuse(&item, barrier.code, barrier.earliest, now);
+        let item = self.item(work, settings, now);
+        match self.check_admission(&item, settings.class, now) {
+            Ok(()) => self.enqueue(item, now),
+            Err(rejection) => {
+                self.refund(&item.work);
+                self.refuse(&item, rejection.code, rejection.min_delay, now);
             }
         }
     }
@@ -90,11 +90,16 @@
     /// Charges the team's rate limit.
     ///
     /// Guards against one team that exceeds its rate and displaces the requests of others.
-    fn check_team(&mut self, work: &Work, terms: Terms<'_>, now: Moment) -> Result<(), Barrier> {
-        let taken = self
+    fn check_team(
+        &mut self,
+        work: &Work,
+        settings: RequestSettings<'_>,
+        now: Moment,
+    ) -> Result<(), Rejection> {
+        let charge = self
             .teams
-            .take(&work.team, terms.team, work.chain.tokens, now);
-        taken.map_err(|wait| Barrier::new(RefusalCode::TeamLimit, wait))
+            .take(&work.team, settings.team, work.chain.tokens, now);
+        charge.map_err(|wait| Rejection::new(RefusalCode::TeamLimit, wait))
     }
 
     /// Checks whether a retry is allowed and charges the retry budget.
@@ -103,21 +108,29 @@
     /// engines that are already short of capacity, and some could not meet their deadline. The
     /// class bounds the attempts of one request, the budget bounds the sum of all retries, and the
     /// deadline rules out those that would be useless.
-    fn check_retry(&mut self, work: &Work, terms: Terms<'_>, now: Moment) -> Result<(), Barrier> {
-        let left = (work.arrived + terms.class.deadline).since(now);
-        let rank = Rank::new(false, terms.class.priority);
-        let needed = self.outlook.first_time(work, rank, now);
-        if needed.is_some_and(|time| time.with(0.0) > left) || left.is_zero() {
-            return Err(Barrier::new(RefusalCode::Deadline, SOON));
+    fn check_retry(
+        &mut self,
+        work: &Work,
+        settings: RequestSettings<'_>,
+        now: Moment,
+    ) -> Result<(), Rejection> {
+        let left = (work.arrived + settings.class.deadline).since(now);
+        let rank = Rank::new(false, settings.class.priority);
+        let time_to_first_token = self.estimator.first_token_time(work, rank, now);
+        if time_to_first_token.is_some_and(|time| time.with(0.0) > left) || left.is_zero() {
+            return Err(Rejection::new(RefusalCode::Deadline, DEFAULT_RETRY_DELAY));
         }
-        if work.attempt > terms.class.retries || !self.budget.pay() {
-            return Err(Barrier::new(RefusalCode::RetryBudget, SOON));
+        if work.attempt > settings.class.retries || !self.budget.pay() {
+            return Err(Rejection::new(
+                RefusalCode::RetryBudget,
+                DEFAULT_RETRY_DELAY,
+            ));
         }
         Ok(())
     }
 
     /// Refunds what a refused request was charged.
-    fn give_back(&mut self, work: &Work) {
+    fn refund(&mut self, work: &Work) {
         if work.attempt == 0 {
             self.teams.give_back(&work.team, work.chain.tokens);
         } else {
@@ -125,24 +138,24 @@
         }
     }
 
-    fn item(&mut self, work: Work, terms: Terms<'_>, now: Moment) -> Item {
+    fn item(&mut self, work: Work, settings: RequestSettings<'_>, now: Moment) -> Item {
         let cost = work.chain.tokens.0 + ANSWER_COST * work.answer.0;
-        let weight = terms.team.weight.max(LEAST_WEIGHT);
+        let weight = settings.team.weight.max(LEAST_WEIGHT);
         let claim = Claim {
             model: &work.model,
             team: &work.team,
             weight,
-            priority: terms.class.priority,
+            priority: settings.class.priority,
             cost,
         };
         if work.attempt == 0 {
             self.shares.arrive(&claim, now);
         }
-        let rate = self.outlook.rate(&work.model);
+        let rate = self.estimator.rate(&work.model);
         let excess = self.shares.exceeds(&claim, rate, now);
-        let deadline = work.arrived + terms.class.deadline;
-        let rank = Rank::new(excess, terms.class.priority);
-        let first = self.outlook.first_time(&work, rank, now);
+        let deadline = work.arrived + settings.class.deadline;
+        let rank = Rank::new(excess, settings.class.priority);
+        let first = self.estimator.first_token_time(&work, rank, now);
         // The shortest first-token time that is still likely: one deviation below the mean.
         let least = first.map_or(Duration::ZERO, |time| time.with(-1.0));
         let left = deadline.since(now).saturating_sub(least);
@@ -165,48 +178,59 @@
     /// rate plus the engines' first-token time, which gets a margin only if the request has to
     /// queue. Otherwise the mean is used, since an idle system must not refuse requests because of
     /// a variance that was observed under load.
-    fn admit(&mut self, item: &Item, class: &ClassSpec, now: Moment) -> Result<(), Barrier> {
-        let needed = self.needed(item, now);
+    fn check_admission(
+        &mut self,
+        item: &Item,
+        class: &ClassSpec,
+        now: Moment,
+    ) -> Result<(), Rejection> {
+        let time_to_first_token = self.time_to_first_token(item, now);
         let left = item.deadline.since(now);
-        if left.is_zero() || needed > left {
-            let short = needed.saturating_sub(class.deadline);
-            return Err(Barrier::new(RefusalCode::Deadline, short));
+        if left.is_zero() || time_to_first_token > left {
+            let short = time_to_first_token.saturating_sub(class.deadline);
+            return Err(Rejection::new(RefusalCode::Deadline, short));
         }
         let Some(victims) = self.queue.make_room(item, class.queue) else {
-            let drained = self.outlook.span(&item.work.model, class.queue.0 / 2);
-            return Err(Barrier::new(RefusalCode::QueueFull, drained));
+            let drained = self
+                .estimator
+                .service_time(&item.work.model, class.queue.0 / 2);
+            return Err(Rejection::new(RefusalCode::QueueFull, drained));
         };
         for victim in victims {
-            let wait = self.outlook.wait(&self.queue, &victim, victim.cost, now);
+            let wait = self
+                .estimator
+                .queue_wait(&self.queue, &victim, victim.cost, now);
             self.refuse(&victim, RefusalCode::QueueFull, wait, now);
         }
         Ok(())
     }
 
     /// Estimates the time from now to the first token, margin included.
-    fn needed(&self, item: &Item, now: Moment) -> Duration {
-        let wait = self.outlook.wait(&self.queue, item, item.cost, now);
+    fn time_to_first_token(&self, item: &Item, now: Moment) -> Duration {
+        let wait = self.estimator.queue_wait(&self.queue, item, item.cost, now);
         let margin = match wait.is_zero() {
             true => 0.0,
-            false if item.rank.priority.0 >= self.highest => MARGIN,
-            false => LOW_MARGIN,
+            false if item.rank.priority.0 >= self.highest_priority => HIGHEST_CLASS_MARGIN,
+            false => OTHER_CLASSES_MARGIN,
         };
-        let first = self.outlook.first_time(&item.work, item.rank, now);
+        let first = self.estimator.first_token_time(&item.work, item.rank, now);
         wait + first.map_or(Duration::ZERO, |time| time.with(margin))
     }
 
-    fn enter(&mut self, item: Item, now: Moment) {
+    fn enqueue(&mut self, item: Item, now: Moment) {
         if item.work.attempt == 0 {
             self.budget.earn();
         }
-        self.outlook.admitted(&item, now);
+        self.estimator.record_admitted(&item, now);
         self.queue.push(item);
     }
 
     /// Refuses queued requests whose latest useful start time has passed.
     pub(super) fn expire(&mut self, now: Moment) {
         while let Some(item) = self.queue.expired(now) {
-            let wait = self.outlook.wait(&self.queue, &item, item.cost, now);
+            let wait = self
+                .estimator
+                .queue_wait(&self.queue, &item, item.cost, now);
             self.refuse(&item, RefusalCode::Deadline, wait, now);
         }
     }
@@ -220,8 +244,8 @@
     /// grow with the queue.
     pub(super) fn sweep(&mut self, now: Moment) {
         for item in self.queue.tails() {
-            let wait = self.outlook.wait(&self.queue, &item, 0, now);
-            if wait > item.deadline.since(now).mul_f64(SURE) {
+            let wait = self.estimator.queue_wait(&self.queue, &item, 0, now);
+            if wait > item.deadline.since(now).mul_f64(HOPELESS_FACTOR) {
                 self.queue.remove(&item.work.request);
                 self.refuse(&item, RefusalCode::Deadline, wait, now);
             }
@@ -233,19 +257,19 @@
         &mut self,
         item: &Item,
         code: RefusalCode,
-        earliest: Duration,
+        min_delay: Duration,
         now: Moment,
     ) {
-        let step = self.outlook.span(&item.work.model, item.cost);
+        let step = self.estimator.service_time(&item.work.model, item.cost);
         let priority = item.rank.priority.0;
         let after = self
             .comebacks
-            .reserve(priority, earliest, step, now, &mut self.rng);
+            .reserve(priority, min_delay, step, now, &mut self.rng);
         self.refuse_after(&item.work, code, after);
     }
 
     pub(super) fn refuse_after(&mut self, work: &Work, code: RefusalCode, after: Duration) {
-        self.ready.push(Decision::Refuse {
+        self.decisions.push(Decision::Refuse {
             request: work.request.clone(),
             refusal: Refusal { code, after },
         });
--- a/crates/sesamegap-policy/src/decider/builder.rs
+++ b/crates/sesamegap-policy/src/decider/builder.rs
@@ -1,8 +1,8 @@
 //! Builder for [`Decider`].
 
 use super::Decider;
-use super::flights::Flights;
-use super::outlook::Outlook;
+use super::attempts::AttemptTable;
+use super::estimator::WaitEstimator;
 use crate::load::Windows;
 use crate::load::limits::{Comebacks, RetryBudget, Shares, TeamLimits};
 use crate::load::queue::Queue;
@@ -76,16 +76,16 @@
             catalogue: Arc::default(),
             rng: ChaCha12Rng::seed_from_u64(self.seed),
             queue: Queue::default(),
-            flights: Flights::default(),
-            outlook: Outlook::default(),
+            attempts: AttemptTable::default(),
+            estimator: WaitEstimator::default(),
             teams: TeamLimits::default(),
             shares: Shares::default(),
             budget: RetryBudget::default(),
             comebacks: Comebacks::default(),
-            highest: 0,
-            retry: None,
-            swept: Moment::default(),
-            ready: Vec::new(),
+            highest_priority: 0,
+            recheck_at: None,
+            last_sweep: Moment::default(),
+            decisions: Vec::new(),
         };
         decider.settings(self.catalogue);
         decider
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch of queued requests to engines with room, and hedging.
 
-use super::flights::{Flight, Flights};
-use super::outlook::Outlook;
+use super::attempts::{Attempt, AttemptTable};
+use super::estimator::WaitEstimator;
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
 use crate::load::queue::{ANSWER_COST, Item, Offer, Rank};
@@ -13,7 +13,7 @@
 
 /// Fraction of the deadline after which the window counts a first token as late: by then little
 /// time is left for a second attempt.
-const LATE: f64 = 0.5;
+const LATE_FRACTION: f64 = 0.5;
 
 /// Deviations above the mean first-token time after which a hedge is sent. About one request in
 /// twenty is that late on a healthy engine, which the retry budget can bear.
@@ -21,51 +21,54 @@
 
 /// Bounds on the delay before room is checked again without an observation, for room that opens
 /// by time alone, such as when a cap on cold prefills lapses.
-const RETRY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(250));
+const ROOM_CHECK_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(10), Duration::from_millis(250));
 
 /// Time beyond the longest duration that a class allows after which an attempt is treated as lost
 /// and finished.
-const GRACE: Duration = Duration::from_mins(1);
+const COMPLETION_GRACE: Duration = Duration::from_mins(1);
 
 /// The parts of a decider that are borrowed while the queue is served.
 struct Sender<'a> {
-    outlook: &'a Outlook,
+    estimator: &'a WaitEstimator,
     placer: &'a mut dyn Placer,
     windows: &'a mut Windows,
-    flights: &'a mut Flights,
+    attempts: &'a mut AttemptTable,
     catalogue: &'a Catalogue,
     rng: &'a mut ChaCha12Rng,
-    ready: &'a mut Vec<Decision>,
+    decisions: &'a mut Vec<Decision>,
     refused: Vec<(Item, RefusalCode)>,
-    retry: Option<Moment>,
-    highest: u8,
+    recheck_at: Option<Moment>,
+    highest_priority: u8,
     now: Moment,
 }
 
 impl Sender<'_> {
-    fn offer(&mut self, item: &Item, hedge: Option<Moment>) -> Offer {
+    fn try_send(&mut self, item: &Item, hedge: Option<Moment>) -> Offer {
         let catalogue = self.catalogue;
         let Some(class) = catalogue.classes.get(&item.work.class) else {
-            return self.drop(item, RefusalCode::Unknown);
+            return self.drop_item(item, RefusalCode::Unknown);
         };
         let ask = ask(&item.work, class);
-        let highest = class.priority >= self.highest && !item.rank.excess;
-        let room = self.windows.room(highest);
+        let is_highest = class.priority >= self.highest_priority && !item.rank.excess;
+        let room = self.windows.room(is_highest);
         let placed = self.placer.place(&ask, &room, self.now, self.rng);
         drop(room);
         match placed {
-            Placed::Nowhere => self.drop(item, RefusalCode::NoEngine),
+            Placed::Nowhere => self.drop_item(item, RefusalCode::NoEngine),
             Placed::Full(wait) => {
-                let again = self.now + wait.clamp(RETRY.0, RETRY.1);
-                self.retry = Some(self.retry.map_or(again, |at| at.min(again)));
+                let again = self.now + wait.clamp(ROOM_CHECK_BOUNDS.0, ROOM_CHECK_BOUNDS.1);
+                self.recheck_at = Some(self.recheck_at.map_or(again, |at| at.min(again)));
                 Offer::Full
             }
-            Placed::At(at) if self.comes_late(item, &at) => self.drop(item, RefusalCode::Deadline),
+            Placed::At(at) if self.misses_deadline(item, &at) => {
+                self.drop_item(item, RefusalCode::Deadline)
+            }
             Placed::At(at) => {
                 let hedge = hedge.filter(|_| class.hedge);
-                self.book(&ask, item, &at, hedge);
+                self.start_attempt(&ask, item, &at, hedge);
                 let missing = (item.work.chain.tokens - at.cached).0;
-                self.ready.push(Decision::Send {
+                self.decisions.push(Decision::Send {
                     request: item.work.request.clone(),
                     at,
                     priority: item.rank.in_engine(),
@@ -81,40 +84,41 @@
     /// compute a prefill for an answer that nobody waits for. Since the expected wait is only an
     /// estimate, an engine on which this router has nothing in flight is used regardless: without
     /// answers from it, the estimate could never be corrected.
-    fn comes_late(&self, item: &Item, at: &Placement) -> bool {
-        let wait = self.outlook.corrected(item.rank, at.wait);
+    fn misses_deadline(&self, item: &Item, at: &Placement) -> bool {
+        let wait = self.estimator.corrected(item.rank, at.wait);
         self.now + wait > item.deadline && self.windows.busy(&at.engine)
     }
 
-    fn drop(&mut self, item: &Item, code: RefusalCode) -> Offer {
+    fn drop_item(&mut self, item: &Item, code: RefusalCode) -> Offer {
         self.refused.push((item.clone(), code));
         Offer::Dropped
     }
 
-    fn book(&mut self, ask: &Ask<'_>, item: &Item, at: &Placement, hedge: Option<Moment>) {
+    fn start_attempt(&mut self, ask: &Ask<'_>, item: &Item, at: &Placement, hedge: Option<Moment>) {
         let (work, rank) = (&item.work, item.rank);
         self.placer.sent(ask, at, self.now);
         let missing = work.chain.tokens - at.cached;
         self.windows.take(ask.request, at, missing, self.now);
-        let flight = flight(work, rank, at, ask.class, self.now);
+        let attempt = new_attempt(work, rank, at, ask.class, self.now);
         let hedge = hedge.map(|due| (due, Box::new(work.clone())));
-        self.flights.start(ask.request, Flight { hedge, ..flight });
+        self.attempts
+            .insert(ask.request, Attempt { hedge, ..attempt });
     }
 }
 
 /// Creates the record of an attempt that starts now.
-fn flight(work: &Work, rank: Rank, at: &Placement, class: &ClassSpec, now: Moment) -> Flight {
-    Flight {
+fn new_attempt(work: &Work, rank: Rank, at: &Placement, class: &ClassSpec, now: Moment) -> Attempt {
+    Attempt {
         engine: at.engine.clone(),
         model: work.model.clone(),
         tokens: work.chain.tokens,
         cost: work.chain.tokens.0 + ANSWER_COST * work.answer.0,
-        sent: now,
+        sent_at: now,
         rank,
-        expected: at.wait,
-        patience: class.deadline.mul_f64(LATE),
-        first: false,
-        end: now + class.total.max(class.deadline) + GRACE,
+        expected_first_token: at.wait,
+        late_after: class.deadline.mul_f64(LATE_FRACTION),
+        first_token_seen: false,
+        expires_at: now + class.total.max(class.deadline) + COMPLETION_GRACE,
         hedge: None,
     }
 }
@@ -122,30 +126,32 @@
 impl Decider {
     /// Sends queued requests in queue order, as far as engines have room.
     pub(super) fn dispatch(&mut self, now: Moment) {
-        let outlook = &self.outlook;
+        let estimator = &self.estimator;
         let mut sender = Sender {
-            outlook,
+            estimator,
             placer: &mut *self.placer,
             windows: &mut self.windows,
-            flights: &mut self.flights,
+            attempts: &mut self.attempts,
             catalogue: &self.catalogue,
             rng: &mut self.rng,
-            ready: &mut self.ready,
+            decisions: &mut self.decisions,
             refused: Vec::new(),
-            retry: self.retry,
-            highest: self.highest,
+            recheck_at: self.recheck_at,
+            highest_priority: self.highest_priority,
             now,
         };
         self.queue.serve(|item| {
             let work = &item.work;
-            let time = outlook.first_time(work, item.rank, now);
+            let time = estimator.first_token_time(work, item.rank, now);
             let due = time.map(|time| now + time.with(HEDGE_AFTER));
             let hedge = due.filter(|_| work.repeatable && work.attempt == 0);
-            sender.offer(item, hedge)
+            sender.try_send(item, hedge)
         });
-        self.retry = sender.retry.filter(|_| !self.queue.is_empty());
+        self.recheck_at = sender.recheck_at.filter(|_| !self.queue.is_empty());
         for (item, code) in sender.refused {
-            let wait = self.outlook.wait(&self.queue, &item, item.cost, now);
+            let wait = self
+                .estimator
+                .queue_wait(&self.queue, &item, item.cost, now);
             self.refuse(&item, code, wait, now);
         }
     }
@@ -156,30 +162,30 @@
     /// are idle. The class must allow hedging and the request must be repeatable. Hedges are
     /// charged to the retry budget, so that general slowness does not double the load, and are
     /// never queued, since a queued hedge would take the place of a first attempt.
-    pub(super) fn hedge(&mut self, now: Moment) {
-        while let Some((work, engine)) = self.flights.due_hedge(now) {
+    pub(super) fn send_due_hedges(&mut self, now: Moment) {
+        while let Some((work, engine)) = self.attempts.take_due_hedge(now) {
             let mut twin = *work;
             let request = twin.request.clone();
-            twin.request.seq |= TWIN;
+            twin.request.seq |= HEDGE_BIT;
             twin.barred.push(engine);
-            self.hedge_one(request, &twin, now);
+            self.send_hedge(request, &twin, now);
         }
     }
 
-    fn hedge_one(&mut self, request: RequestId, twin: &Work, now: Moment) {
+    fn send_hedge(&mut self, request: RequestId, twin: &Work, now: Moment) {
         let Some(class) = self.catalogue.classes.get(&twin.class) else {
             return;
         };
         let deadline = twin.arrived + class.deadline;
         let rank = Rank::new(false, class.priority);
-        let time = self.outlook.first_time(twin, rank, now);
-        let late = time.is_some_and(|time| now + time.with(0.0) >= deadline);
-        if !class.hedge || late || !self.budget.pay() {
+        let time = self.estimator.first_token_time(twin, rank, now);
+        let too_late = time.is_some_and(|time| now + time.with(0.0) >= deadline);
+        if !class.hedge || too_late || !self.budget.pay() {
             return;
         }
         let ask = ask(twin, class);
-        let highest = class.priority >= self.highest;
-        let room = self.windows.room(highest);
+        let is_highest = class.priority >= self.highest_priority;
+        let room = self.windows.room(is_highest);
         let placed = self.placer.place(&ask, &room, now, &mut self.rng);
         drop(room);
         let Placed::At(at) = placed else {
@@ -189,9 +195,9 @@
         self.placer.sent(&ask, &at, now);
         let missing = twin.chain.tokens - at.cached;
         self.windows.take(&twin.request, &at, missing, now);
-        let flight = flight(twin, rank, &at, class, now);
-        self.flights.start(&twin.request, flight);
-        self.ready.push(Decision::Hedge {
+        let attempt = new_attempt(twin, rank, &at, class, now);
+        self.attempts.insert(&twin.request, attempt);
+        self.decisions.push(Decision::Hedge {
             request,
             twin: twin.request.clone(),
             at,
@@ -201,4 +207,4 @@
 }
 
 /// Bit that marks the id of a hedge. Routers number their requests from 0 and never reach it.
-const TWIN: u64 = 1 << 63;
+const HEDGE_BIT: u64 = 1 << 63;
--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/estimator.rs
@@ -1,7 +1,7 @@
 //! Estimates of queueing delay and first-token time, learned from this router's traffic.
 
 use super::Work;
-use super::flights::Flight;
+use super::attempts::Attempt;
 use crate::load::learned::{FirstTime, FirstTimes, Inflow, Paces};
 use crate::load::queue::{Item, Queue, Rank};
 use sesamegap_settings::Catalogue;
@@ -11,37 +11,37 @@
 
 /// Minimum fraction of the service rate assumed for a rank when higher ranks use all of it;
 /// keeps the estimate finite.
-const LEAST_PART: f64 = 0.02;
+const MIN_RATE_FRACTION: f64 = 0.02;
 
-/// Upper bound on estimates; a longer wait makes no difference to any decision.
-const LONGEST: Duration = Duration::from_mins(10);
+/// Upper bound on estimates; a longer wait is no less hopeless.
+const MAX_ESTIMATE: Duration = Duration::from_mins(10);
 
 /// Weight of a new sample in the moving averages of observed and expected first-token times.
-const GAIN: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Bounds on the correction factor, so that a few outliers cannot distort the estimate.
-const OFF: (f64, f64) = (0.1, 3.0);
+const CORRECTION_BOUNDS: (f64, f64) = (0.1, 3.0);
 
 /// Moving averages of observed and expected first-token times, in seconds.
 ///
 /// Both are averaged before they are divided: a mean of ratios would be dominated by the shortest
 /// expectations, which are wrong by the largest factor and matter least.
 #[derive(Debug, Clone, Copy)]
-struct Off {
-    came: f64,
+struct ExpectationError {
+    observed: f64,
     expected: f64,
 }
 
 /// Service rates and first-token times learned from this router's traffic.
 #[derive(Debug, Default)]
-pub struct Outlook {
+pub struct WaitEstimator {
     paces: Paces,
     firsts: FirstTimes,
     inflow: Inflow,
-    off: BTreeMap<Rank, Off>,
+    errors: BTreeMap<Rank, ExpectationError>,
 }
 
-impl Outlook {
+impl WaitEstimator {
     /// Returns the rate, in cost per second, at which the engines of a model serve this router, if
     /// known.
     pub fn rate(&self, model: &ModelId) -> Option<f64> {
@@ -53,7 +53,7 @@
     /// The work queued ahead is assumed to be served at the rate that work of higher rank leaves
     /// over, because such work keeps arriving and is served first. `extra` is the request's own
     /// cost if it is not in the queue yet, and 0 otherwise.
-    pub fn wait(&self, queue: &Queue, item: &Item, extra: u64, now: Moment) -> Duration {
+    pub fn queue_wait(&self, queue: &Queue, item: &Item, extra: u64, now: Moment) -> Duration {
         let model = &item.work.model;
         let Some(rate) = self.paces.rate(model) else {
             return Duration::ZERO;
@@ -64,23 +64,23 @@
             return Duration::ZERO;
         }
         let left = rate - self.inflow.above(model, item.rank, now);
-        let seconds = ahead / left.max(rate * LEAST_PART);
-        Duration::try_from_secs_f64(seconds).map_or(LONGEST, |wait| wait.min(LONGEST))
+        let seconds = ahead / left.max(rate * MIN_RATE_FRACTION);
+        Duration::try_from_secs_f64(seconds).map_or(MAX_ESTIMATE, |wait| wait.min(MAX_ESTIMATE))
     }
 
     /// Estimates the time that the engines of a model take for work of the given cost.
-    pub fn span(&self, model: &ModelId, cost: u64) -> Duration {
+    pub fn service_time(&self, model: &ModelId, cost: u64) -> Duration {
         let seconds = self.rate(model).map_or(0.0, |rate| cost as f64 / rate);
-        Duration::try_from_secs_f64(seconds).map_or(LONGEST, |span| span.min(LONGEST))
+        Duration::try_from_secs_f64(seconds).map_or(MAX_ESTIMATE, |span| span.min(MAX_ESTIMATE))
     }
 
     /// Estimates the first-token time from requests of similar size and rank.
-    pub fn first_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<FirstTime> {
+    pub fn first_token_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<FirstTime> {
         self.firsts.get(&work.model, rank, work.chain.tokens, now)
     }
 
     /// Records an admitted request.
-    pub fn admitted(&mut self, item: &Item, now: Moment) {
+    pub fn record_admitted(&mut self, item: &Item, now: Moment) {
         self.inflow.add(&item.work.model, item.rank, item.cost, now);
     }
 
@@ -88,42 +88,44 @@
     ///
     /// Placers assume that engines serve requests in order of arrival; an engine that respects
     /// priorities is faster than that for high classes and slower for low ones.
-    pub fn first(&mut self, flight: &Flight, time: Duration, now: Moment) {
+    pub fn record_first_token(&mut self, attempt: &Attempt, time: Duration, now: Moment) {
         self.firsts
-            .add(&flight.model, flight.rank, flight.tokens, time, now);
-        if flight.expected.is_zero() {
+            .add(&attempt.model, attempt.rank, attempt.tokens, time, now);
+        if attempt.expected_first_token.is_zero() {
             return;
         }
-        let expected = flight.expected.as_secs_f64();
-        let off = self.off.entry(flight.rank).or_insert(Off {
-            came: expected,
+        let expected = attempt.expected_first_token.as_secs_f64();
+        let error = self.errors.entry(attempt.rank).or_insert(ExpectationError {
+            observed: expected,
             expected,
         });
-        off.came += (time.as_secs_f64() - off.came) * GAIN;
-        off.expected += (expected - off.expected) * GAIN;
+        error.observed += (time.as_secs_f64() - error.observed) * SAMPLE_WEIGHT;
+        error.expected += (expected - error.expected) * SAMPLE_WEIGHT;
     }
 
     /// Corrects a placer's expectation by the error observed for requests of the same rank.
     pub fn corrected(&self, rank: Rank, expected: Duration) -> Duration {
-        let off = self
-            .off
+        let ratio = self
+            .errors
             .get(&rank)
-            .map_or(1.0, |off| off.came / off.expected);
-        expected.min(LONGEST).mul_f64(off.clamp(OFF.0, OFF.1))
+            .map_or(1.0, |error| error.observed / error.expected);
+        expected
+            .min(MAX_ESTIMATE)
+            .mul_f64(ratio.clamp(CORRECTION_BOUNDS.0, CORRECTION_BOUNDS.1))
     }
 
     /// Records completed work.
-    pub fn done(&mut self, model: &ModelId, cost: u64, now: Moment) {
+    pub fn record_done(&mut self, model: &ModelId, cost: u64, now: Moment) {
         self.paces.done(model, cost, now);
     }
 
     /// Samples the service rates if a sample is due.
-    pub fn tick(&mut self, waiting: impl Fn(&ModelId) -> u64, now: Moment) {
+    pub fn sample(&mut self, waiting: impl Fn(&ModelId) -> u64, now: Moment) {
         self.paces.tick(waiting, now);
     }
 
     /// Discards models that are not in the settings.
-    pub fn keep(&mut self, catalogue: &Catalogue) {
+    pub fn retain_models(&mut self, catalogue: &Catalogue) {
         self.paces.keep(catalogue.models.keys());
         self.firsts
             .keep(|model| catalogue.models.contains_key(model));
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -11,11 +11,11 @@
 //! [`attempts`] tracks the attempts in flight, and [`estimator`] predicts how long a request
 //! would wait.
 
-mod arrivals;
+mod admission;
+mod attempts;
 mod builder;
 mod dispatch;
-mod flights;
-mod outlook;
+mod estimator;
 mod work;
 
 pub use builder::DeciderBuilder;
@@ -26,8 +26,8 @@
 use crate::load::queue::Queue;
 use crate::load::windows::Signal;
 use crate::placing::{Ask, Need, Placer};
-use flights::Flights;
-use outlook::Outlook;
+use attempts::AttemptTable;
+use estimator::WaitEstimator;
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
 use sesamegap_wire::engine::{CacheBatch, EngineEntry};
@@ -38,7 +38,7 @@
 
 /// Interval between sweeps for queued requests that can no longer meet their deadline, and for
 /// attempts that have expired.
-const SWEEP: Duration = Duration::from_millis(100);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Admits, queues, places and refuses requests.
 #[derive(Debug)]
@@ -48,22 +48,22 @@
     catalogue: Arc<Catalogue>,
     rng: ChaCha12Rng,
     queue: Queue,
-    flights: Flights,
-    outlook: Outlook,
+    attempts: AttemptTable,
+    estimator: WaitEstimator,
     teams: TeamLimits,
     shares: Shares,
     budget: RetryBudget,
     comebacks: Comebacks,
-    highest: u8,
-    retry: Option<Moment>,
-    swept: Moment,
-    ready: Vec<Decision>,
+    highest_priority: u8,
+    recheck_at: Option<Moment>,
+    last_sweep: Moment,
+    decisions: Vec<Decision>,
 }
 
 impl Decider {
     /// Submits a request; its decision is returned by [`Decider::poll`].
     pub fn submit(&mut self, work: Work, now: Moment) {
-        self.arrive(work, now);
+        self.admit_or_refuse(work, now);
     }
 
     /// Applies an observation.
@@ -96,32 +96,32 @@
     /// Returns all decisions that are due.
     pub fn poll(&mut self, now: Moment) -> Vec<Decision> {
         self.expire(now);
-        if now.since(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now);
-            self.reap(now);
+            self.finish_expired(now);
         }
-        if self.retry.is_some_and(|at| at <= now) {
-            self.retry = None;
+        if self.recheck_at.is_some_and(|at| at <= now) {
+            self.recheck_at = None;
             self.queue.room();
         }
         self.dispatch(now);
-        self.hedge(now);
+        self.send_due_hedges(now);
         let queue = &self.queue;
-        self.outlook.tick(|model| queue.cost(model), now);
+        self.estimator.sample(|model| queue.cost(model), now);
         while let Some(engine) = self.placer.wants(now) {
-            self.ready.push(Decision::List { engine });
+            self.decisions.push(Decision::List { engine });
         }
-        std::mem::take(&mut self.ready)
+        std::mem::take(&mut self.decisions)
     }
 
     /// Returns when to call [`Decider::poll`] next if nothing is submitted or observed before.
     pub fn wake(&self) -> Option<Moment> {
-        let sweep = (!self.queue.is_empty()).then(|| self.swept + SWEEP);
+        let sweep = (!self.queue.is_empty()).then(|| self.last_sweep + SWEEP_INTERVAL);
         let times = [
             self.queue.first_expiry(),
-            self.flights.first_hedge(),
-            self.retry,
+            self.attempts.next_hedge(),
+            self.recheck_at,
             sweep,
         ];
         times.into_iter().flatten().min()
@@ -145,9 +145,9 @@
         serde_json::json!({
             "queue": self.queue.dump(),
             "windows": self.windows.dump(),
-            "flights": self.flights.len(),
+            "flights": self.attempts.len(),
             "shares": self.shares.dump(),
-            "rates": self.outlook.dump(),
+            "rates": self.estimator.dump(),
             "budget": self.budget.left(),
             "placing": self.placer.dump(now),
         })
@@ -156,11 +156,11 @@
     fn settings(&mut self, catalogue: Arc<Catalogue>) {
         self.placer.settings(&catalogue);
         let priorities = catalogue.classes.values().map(|class| class.priority);
-        self.highest = priorities.max().unwrap_or(0);
+        self.highest_priority = priorities.max().unwrap_or(0);
         self.teams.keep(&catalogue);
         self.shares
             .keep(|model| catalogue.models.contains_key(model));
-        self.outlook.keep(&catalogue);
+        self.estimator.retain_models(&catalogue);
         self.catalogue = catalogue;
         self.queue.room();
     }
@@ -174,17 +174,17 @@
 
     fn cache(&mut self, engine: UpstreamId, batch: &CacheBatch, now: Moment) {
         if self.placer.cache(&engine, batch, now) == Need::Listing {
-            self.ready.push(Decision::List { engine });
+            self.decisions.push(Decision::List { engine });
         }
     }
 
     fn first(&mut self, request: &RequestId, now: Moment) {
         self.placer.first(request, now);
-        let Some(flight) = self.flights.first(request) else {
+        let Some(attempt) = self.attempts.record_first_token(request) else {
             return;
         };
-        let time = now.since(flight.sent);
-        let signal = if time > flight.patience {
+        let time = now.since(attempt.sent_at);
+        let signal = if time > attempt.late_after {
             Signal::Late
         } else {
             Signal::Timely
@@ -192,18 +192,19 @@
         // The sample is capped, at the deadline: past it, how late an answer is no longer matters,
         // and one request that others overtook on its engine for a minute must not dominate the
         // estimate for those that follow.
-        self.outlook
-            .first(flight, time.min(flight.patience * 2), now);
+        self.estimator
+            .record_first_token(attempt, time.min(attempt.late_after * 2), now);
         self.windows.computed(request, signal, now);
         self.queue.room();
     }
 
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment) {
         self.placer.finished(request, whole, now);
-        if let Some(flight) = self.flights.end(request) {
+        if let Some(attempt) = self.attempts.remove(request) {
             if whole {
-                self.outlook.done(&flight.model, flight.cost, now);
-            } else if !flight.first {
+                self.estimator
+                    .record_done(&attempt.model, attempt.cost, now);
+            } else if !attempt.first_token_seen {
                 self.windows.failed(request, now);
             }
         }
@@ -214,7 +215,7 @@
 
     fn cancelled(&mut self, request: &RequestId) {
         self.queue.remove(request);
-        self.flights.no_hedge(request);
+        self.attempts.cancel_hedge(request);
     }
 
     fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
@@ -228,8 +229,8 @@
     /// If the caller loses track of a stream, its place on the engine would stay taken forever
     /// and the dump would show flights without traffic. An attempt is therefore treated as
     /// finished some time after the longest duration that its class allows.
-    fn reap(&mut self, now: Moment) {
-        while let Some(request) = self.flights.overdue(now) {
+    fn finish_expired(&mut self, now: Moment) {
+        while let Some(request) = self.attempts.next_expired(now) {
             self.finished(&request, false, now);
         }
     }
