--- a/crates/sesamegap-policy/src/quarantine/mod.rs
+++ b/crates/sesamegap-policy/src/quarantine/mod.rs
@@ -1,17 +1,18 @@
-//! Requests under which upstreams end: which ones run alone, and which are refused.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Load: one request crashes every upstream that begins to run it. It comes again about once a second, at any VM, and
-//! up to a hundred others run beside it each time. Prevents that upstreams are lost as fast as they start, with all that
-//! runs there.
+//! A request may crash every upstream that starts to run it. Retried about once a second, through any VM, and with up to
+//! a hundred other requests running beside it each time, it would take upstreams down as fast as they start, together
+//! with everything that runs on them.
 //!
-//! A lost upstream has many suspects and one culprit at most, so a loss alone condemns nobody. A request that was at two
-//! lost upstreams is a suspect: it runs only by itself, one suspect at a time in the whole fleet, where the fewest others
-//! run. A suspect whose answer comes whole is cleared, one that loses upstreams in trials is quarantined, and the losses that it
-//! explains count against nobody else any more.
+//! At most one of the many requests on a crashed upstream caused the crash, so a single crash quarantines nothing. A
+//! request that was running on two crashed upstreams is a suspect: it runs only as a trial, one trial at a time in the
+//! whole fleet, on the upstream that runs the fewest other requests. A suspect that completes is cleared. A suspect
+//! whose trials crash upstreams is condemned, that is, quarantined, and the crashes that it explains no longer count
+//! against any other request.
 //!
-//! A [`Record`] tells all that is known of a request. Records merge to the same whatever their order, so that VMs may tell
-//! each other what they know over datagrams that are lost and repeated. [`Registry`] keeps them; that of the
-//! coordinator, the first VM in the order of [`COORDINATORS`], also grants trials and judges them.
+//! A [`Record`] holds what is known of one request. Merging records gives the same result in any order, so VMs can
+//! exchange them in datagrams that may be lost or repeated. A [`Registry`] stores the records; that of the coordinator,
+//! the first VM in the order given by [`COORDINATORS`], also grants and judges trials.
 
 mod record;
 mod registry;
@@ -19,8 +20,9 @@
 pub use record::{Crash, Record, Standing};
 pub use registry::{Grant, Registry};
 
-/// The order in which VMs become the coordinator, which grants trials.
+/// Key of the ranking in which VMs become the coordinator, which grants trials.
 pub const COORDINATORS: u64 = 0x7175_6172;
 
-/// VMs first in that order that losses are reported to: the next coordinator knows them when the present one is lost.
+/// Number of VMs, from the start of that ranking, that crashes are reported to, so that the next coordinator knows them
+/// if the present one is lost.
 pub const REPLICAS: usize = 3;
--- a/crates/sesamegap-policy/src/quarantine/record.rs
+++ b/crates/sesamegap-policy/src/quarantine/record.rs
@@ -1,59 +1,59 @@
-//! What is known of one request.
+//! Crash record of one request.
 
 use serde::{Deserialize, Serialize};
 use sesamegap_wire::Fingerprint;
 use std::time::Duration;
 
-/// Lost upstreams that make a request a suspect.
+/// Crashes after which a request is a suspect.
 pub(super) const SUSPECT: usize = 2;
 
-/// Upstreams lost in trials that condemn a request, whatever else may have ended them.
+/// Crashes during trials after which a request is condemned, whatever else may have caused them.
 const CONDEMNED: usize = 4;
 
-/// Lost upstreams kept in a record; more say nothing new.
+/// Maximum number of crashes in a record; further ones add no information.
 const MOST_CRASHES: usize = 8;
 
-/// Time after the last loss from which a quarantined request gets one more trial: its upstreams may run other
+/// Time after the last crash at which a quarantined request is granted another trial, since its upstreams may run other
 /// software by then.
 const TERM: Duration = Duration::from_hours(24);
 
-/// An upstream that ended under a request.
+/// Crash of an upstream while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Number of the upstream's life.
+    /// Number of the upstream's instance; a restarted upstream has another one.
     pub life: u64,
-    /// Whether the request was on trial there.
+    /// Whether the request ran there as a trial.
     pub trial: bool,
 }
 
-/// What is to be done with a request.
+/// How a request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It runs like any other.
+    /// It runs without restriction.
     Clear,
-    /// It runs on trial only.
+    /// It runs as a trial only.
     Suspect,
     /// It is refused.
     Quarantined,
 }
 
-/// What is known of a request.
+/// What is known of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Times that it was cleared; a record of fewer is outdated.
+    /// Number of times that the request was cleared; a record with a lower epoch is outdated.
     pub epoch: u32,
-    /// Upstreams that ended under it since.
+    /// Crashes since the request was last cleared, ordered by `life`.
     pub crashes: Vec<Crash>,
-    /// Whether a trial has condemned it.
+    /// Whether the request was condemned.
     pub condemned: bool,
-    /// When it last lost an upstream, in Unix milliseconds.
+    /// Time of the last crash, in Unix milliseconds.
     pub lost_ms: u64,
 }
 
 impl Record {
-    /// A request that has lost nothing.
+    /// Creates a record without crashes.
     pub fn new(fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What is to be done with it at a time in Unix milliseconds.
+    /// Returns how the request is treated at the given Unix time in milliseconds.
     pub fn standing(&self, unix_ms: u64) -> Standing {
         if !self.is_condemned() {
             return match self.crashes.len() {
@@ -80,22 +80,22 @@
         }
     }
 
-    /// Whether trials have condemned it.
+    /// Whether the request is condemned, by a verdict or by its number of failed trials.
     pub fn is_condemned(&self) -> bool {
         self.condemned || self.failed() >= CONDEMNED
     }
 
-    /// Trials that lost an upstream.
+    /// Returns the number of trials that ended in a crash.
     pub fn failed(&self) -> usize {
         self.crashes.iter().filter(|crash| crash.trial).count()
     }
 
-    /// Whether an upstream ended under it in one of its lives.
+    /// Whether the record has a crash of the given upstream instance.
     pub fn has(&self, life: u64) -> bool {
         self.crashes.iter().any(|crash| crash.life == life)
     }
 
-    /// Adds a lost upstream; whether that was news.
+    /// Adds a crash; returns whether the record changed.
     pub fn add(&mut self, crash: Crash, unix_ms: u64) -> bool {
         self.lost_ms = self.lost_ms.max(unix_ms);
         if let Some(known) = self
@@ -114,7 +114,7 @@
             };
             self.crashes.remove(at);
         }
-        // In one order on all VMs, so that equal records compare so.
+        // Sorted, so that equal records compare as equal on all VMs.
         let at = self
             .crashes
             .partition_point(|known| known.life < crash.life);
@@ -122,14 +122,14 @@
         true
     }
 
-    /// Starts anew: all that was known no longer counts.
+    /// Clears the request and starts a new epoch, in which earlier crashes no longer count.
     pub fn clear(&mut self) {
         self.epoch += 1;
         self.crashes.clear();
         self.condemned = false;
     }
 
-    /// Takes in what another VM knows; whether that was news.
+    /// Merges the record of another VM; returns whether this record changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         if other.epoch != self.epoch {
             let newer = other.epoch > self.epoch;
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -1,4 +1,4 @@
-//! What one VM knows of requests under which upstreams ended.
+//! Crash records of all requests, as known to one VM.
 
 use super::record::{Crash, Record, SUSPECT, Standing};
 use crate::routing::engines::rank;
@@ -8,67 +8,69 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests kept at most, at some 200 bytes each. All that run on a lost upstream are noted, a hundred at a time.
+/// Maximum number of requests tracked, at about 200 bytes each. A crash adds every request that ran on the upstream, up
+/// to a hundred at a time.
 const MOST: usize = 4_096;
 
-/// Part of them that goes when there are more.
+/// Number of requests that are dropped when the maximum is exceeded.
 const DROPPED: usize = MOST / 8;
 
-/// Span over which lost upstreams are compared with those of a suspect.
+/// Time window in which all crashes are compared with those of a suspect.
 const LATELY: Duration = Duration::from_secs(30);
 
-/// Lost upstreams remembered for that.
+/// Maximum number of crashes remembered for that comparison.
 const MOST_LATELY: usize = 1_024;
 
-/// Shortest time from the crash of an upstream to that of its next instance; repeated reports of one crash come sooner.
+/// Minimum time between the crashes of an upstream and of its next instance. Repeated reports of the same crash arrive
+/// sooner.
 const REBIRTH: Duration = Duration::from_millis(600);
 
-/// Losses of one request that are told apart so.
+/// Maximum number of upstream instances per request for which repeated reports are told from new crashes.
 const MOST_LOSSES: usize = 16;
 
-/// Time after a trial's loss in which other VMs' reports of the same moment arrive.
+/// Time after a failed trial in which other VMs' reports of crashes at the same moment arrive.
 const SETTLING: Duration = Duration::from_millis(250);
 
-/// Time after a trial's loss in which what else was lost lately says something about it.
+/// Time after a failed trial in which the other recent crashes are evidence about its cause.
 const FRESH: Duration = Duration::from_secs(5);
 
-/// Longest time for which one trial holds up the others: a run that goes on after it delays nobody.
+/// Maximum time for which a trial blocks other trials; it may continue to run after that.
 const TURN: Duration = Duration::from_secs(2);
 
-/// The answer to a VM that wants to run a suspect.
+/// Answer to a VM that requests permission to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// It is no suspect.
+    /// The request is not a suspect and may run.
     Free,
-    /// It may run once, by itself.
+    /// The request may run once, as the only trial.
     Trial,
-    /// Another suspect runs.
+    /// Another trial is running, or the result of this request's last trial is still open.
     Busy,
-    /// It is quarantined.
+    /// The request is quarantined.
     Refused,
 }
 
 #[derive(Debug)]
 struct Tracked {
     record: Record,
-    /// When it was last changed.
+    /// When the record last changed.
     changed: Moment,
-    /// When a trial of it last lost an upstream.
+    /// When a trial of the request last ended in a crash.
     failed: Option<Moment>,
-    /// Its losses by the lives that the list gave the upstreams.
+    /// Crashes by instance number as reported, that is, as in the list of upstreams.
     losses: Vec<Loss>,
 }
 
-/// An upstream that ended under a request, maybe more than once under one life.
+/// Crashes of an upstream that were reported with the same instance number.
 ///
-/// One that crashed may be back before the list shows its new life. Its next crash bears the number of the former life and
-/// would count for nothing.
+/// A crashed upstream may be running again before the list shows its new instance number. Its next crash is then reported
+/// with the former number and, without this count, would be ignored as a repeated report.
 #[derive(Debug)]
 struct Loss {
     life: u64,
-    /// Instances that ended before the last one.
+    /// Number of crashes before the last one.
     count: u64,
-    /// When the first report of the last one came.
+    /// When the last crash was first reported.
     at: Moment,
 }
 
@@ -78,23 +80,23 @@
     until: Moment,
 }
 
-/// What one VM knows of requests under which upstreams ended.
+/// Crash records of all requests, as known to one VM.
 #[derive(Debug, Default)]
 pub struct Registry {
     requests: FxHashMap<Fingerprint, Tracked>,
-    /// Upstreams that were lost lately, by their lives.
+    /// Recent crashes, by instance number.
     lately: VecDeque<(u64, Moment)>,
     trial: Option<Trial>,
-    /// Requests to be published.
+    /// Requests whose records are to be published.
     news: FxHashSet<Fingerprint>,
-    /// Suspects that another one's condemnation cleared.
+    /// Suspects whose crashes were all explained by condemned requests.
     cleared: Vec<Fingerprint>,
-    /// Lost upstreams with the condemned request that ended each.
+    /// Crashed instances, with the condemned request that explains each crash.
     explained: FxHashMap<u64, Fingerprint>,
 }
 
 impl Tracked {
-    /// The number of the instance that ended, by its life in the list.
+    /// Returns the number of the instance that crashed, given the reported one.
     fn instance(&mut self, life: u64, now: Moment) -> u64 {
         if self.losses.len() >= MOST_LOSSES {
             self.losses.clear();
@@ -116,30 +118,30 @@
 }
 
 impl Registry {
-    /// Whether nothing is known of any request.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// What is to be done with a request at a time in Unix milliseconds.
+    /// Returns how a request is treated at the given Unix time in milliseconds.
     pub fn standing(&self, request: Fingerprint, unix_ms: u64) -> Standing {
         let known = self.requests.get(&request);
         known.map_or(Standing::Clear, |known| known.record.standing(unix_ms))
     }
 
-    /// What is known of a request.
+    /// Returns the record of a request.
     pub fn get(&self, request: Fingerprint) -> Option<&Record> {
         self.requests.get(&request).map(|known| &known.record)
     }
 
-    /// Requests that do not run like any other, and those that were cleared.
+    /// Returns the records of requests that are restricted or were cleared.
     pub fn published(&self, unix_ms: u64) -> impl Iterator<Item = &Record> {
         let records = self.requests.values().map(|known| &known.record);
         records
             .filter(move |record| record.epoch > 0 || record.standing(unix_ms) != Standing::Clear)
     }
 
-    /// Notes that an upstream ended under a request.
+    /// Records that an upstream crashed while it ran a request.
     pub fn record_crash(&mut self, request: Fingerprint, crash: Crash, now: Moment, unix_ms: u64) {
         let known = self.track(request, now);
         let life = known.instance(crash.life, now);
@@ -160,7 +162,7 @@
         self.trim(unix_ms);
     }
 
-    /// Notes that a request ran to its end, as of an epoch; whether that clears it of anything.
+    /// Records that a request completed, as of the given epoch; returns whether that cleared any crashes.
     pub fn record_success(&mut self, request: Fingerprint, epoch: u32, now: Moment) -> bool {
         self.end_trial(request);
         let Some(known) = self.requests.get_mut(&request) else {
@@ -177,13 +179,13 @@
         true
     }
 
-    /// Lets a request run like any other again; whether it did not.
+    /// Clears a request; returns whether it had any crashes.
     pub fn lift(&mut self, request: Fingerprint, now: Moment) -> bool {
         let epoch = self.get(request).map(|record| record.epoch);
         epoch.is_some_and(|epoch| self.record_success(request, epoch, now))
     }
 
-    /// Takes in what another VM knows of a request.
+    /// Merges the record of another VM.
     pub fn merge(&mut self, other: &Record, now: Moment, unix_ms: u64) {
         let request = other.fingerprint;
         let known = self.track(request, now);
@@ -200,7 +202,7 @@
         self.trim(unix_ms);
     }
 
-    /// Decides whether a VM may run a request; only the coordinator does.
+    /// Decides whether a VM may run a request. Called on the coordinator only.
     pub fn request_trial(
         &mut self,
         request: Fingerprint,
@@ -225,12 +227,13 @@
         Grant::Trial
     }
 
-    /// Ends the turn of a request's trial.
+    /// Ends a request's trial, so that another one may start.
     pub fn end_trial(&mut self, request: Fingerprint) {
         self.trial = self.trial.filter(|trial| trial.fingerprint != request);
     }
 
-    /// Condemns suspects whose trial has settled, and names them; only the coordinator does.
+    /// Condemns the suspects that are found to be the cause of their failed trials, once all reports have had time to
+    /// arrive, and returns them. Called on the coordinator only.
     pub fn judge(&mut self, now: Moment, unix_ms: u64) -> Vec<Fingerprint> {
         let failed = self.requests.values_mut().filter(|known| {
             let at = known.failed;
@@ -260,23 +263,24 @@
         condemned
     }
 
-    /// Requests whose standing changed since the last call.
+    /// Returns the records to be published that changed since the last call.
     pub fn take_news(&mut self) -> Vec<Record> {
         let news = std::mem::take(&mut self.news);
         let known = news.iter().filter_map(|request| self.get(*request));
         known.cloned().collect()
     }
 
-    /// Suspects that another one's condemnation cleared since the last call.
+    /// Returns the suspects that were cleared since the last call because condemned requests explain their crashes.
     pub fn take_cleared(&mut self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.cleared)
     }
 
-    /// Whether the trials that a request has failed are enough to condemn it.
+    /// Whether the failed trials of a request are enough to condemn it.
     ///
-    /// Others run beside a trial, and one that is no suspect yet may have ended its upstream. A single trial condemns if
-    /// nothing else was lost lately, two do if it was at half of the losses, three in any case. None do while another
-    /// request was at the same ones, and those that a condemned request explains do not count.
+    /// Other requests run beside a trial, and one that is not a suspect yet may have caused the crash. One failed trial is
+    /// enough if there were no other recent crashes, two if the request was involved in at least half of the recent
+    /// crashes, and three in any case. No number is enough while another request was involved in the same crashes, and
+    /// crashes that a condemned request explains do not count.
     fn is_cause(&self, record: &Record, fresh: bool, now: Moment) -> bool {
         let lately = self.lately.iter();
         let lately = lately.filter(|(_, at)| now.since(*at) < LATELY);
@@ -292,7 +296,8 @@
         }
     }
 
-    /// Upstreams that a request lost in trials or otherwise, and that no condemned request explains.
+    /// Returns the instances that crashed under a request, in trials or outside them, and that no condemned request
+    /// explains.
     fn unexplained(&self, record: &Record, trial: bool) -> Vec<u64> {
         let ended = record.crashes.iter().filter(|crash| crash.trial == trial);
         let lives = ended.map(|crash| crash.life);
@@ -301,19 +306,19 @@
             .collect()
     }
 
-    /// Whether a condemned request other than this one was at an upstream that was lost.
+    /// Whether a condemned request other than this one explains the crash of an instance.
     fn is_explained(&self, request: Fingerprint, life: u64) -> bool {
         self.explained.get(&life).is_some_and(|by| *by != request)
     }
 
-    /// Whether another request that is not condemned was at all of these upstreams as well.
+    /// Whether another request that is not condemned was running on all of these instances as well.
     fn is_covered(&self, record: &Record, lives: &[u64]) -> bool {
         let covers = |other: &Record| lives.iter().all(|life| other.has(*life));
         self.rivals(record).any(covers)
     }
 
-    /// Whether a single failed trial may as well be another's: one was on trial at the same upstream, or was at all that were
-    /// lost before.
+    /// Whether another request may have caused the crash of a single failed trial: it was on trial on the same instance, or
+    /// was running on all that crashed before.
     fn is_shared(&self, record: &Record, trial: u64) -> bool {
         let tried = |crash: &Crash| crash.trial && crash.life == trial;
         let before = self.unexplained(record, false);
@@ -350,7 +355,7 @@
         })
     }
 
-    /// Has a request published that does not run like any other, or no longer does.
+    /// Marks a record for publication if the request is restricted or was cleared.
     fn publish(&mut self, request: Fingerprint, unix_ms: u64) {
         let Some(record) = self.get(request) else {
             return;
@@ -363,7 +368,7 @@
         }
     }
 
-    /// Notes the losses that a condemned request explains.
+    /// Records the crashes that a condemned request explains.
     fn note_explained(&mut self, condemned: Fingerprint) {
         let Some(record) = self.get(condemned).cloned() else {
             return;
@@ -381,7 +386,7 @@
             .retain(|_, known| known.record.epoch > 0 || !known.record.crashes.is_empty());
     }
 
-    /// Drops what is held against a request if condemned ones were at all upstreams that it lost.
+    /// Clears the crashes of a request if condemned requests explain all of them.
     fn drop_explained(&mut self, request: Fingerprint) {
         let Some(known) = self.requests.get_mut(&request) else {
             return;
@@ -397,7 +402,7 @@
         }
     }
 
-    /// Forgets requests beyond the bound, those of least consequence and the oldest first.
+    /// Drops requests if the maximum is exceeded: the least restricted first, and among these the least recently changed.
     fn trim(&mut self, unix_ms: u64) {
         if self.requests.len() <= MOST {
             return;
