--- a/crates/sesamegap-policy/src/quarantine/record.rs
+++ b/crates/sesamegap-policy/src/quarantine/record.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 /// Crashes after which a request is a suspect.
-pub(super) const SUSPECT: usize = 2;
+pub(super) const SUSPECT_CRASHES: usize = 2;
 
 /// Crashes during trials after which a request is condemned, whatever else may have caused them.
-const CONDEMNED: usize = 4;
+const CONDEMNING_TRIALS: usize = 4;
 
 /// Maximum number of crashes in a record; further ones add no information.
-const MOST_CRASHES: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// Time after the last crash at which a quarantined request is granted another trial, since its upstreams may run other
 /// software by then.
-const TERM: Duration = Duration::from_hours(24);
+const QUARANTINE_TIME: Duration = Duration::from_hours(24);
 
 /// Crash of an upstream while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,12 +68,12 @@
     pub fn standing(&self, unix_ms: u64) -> Standing {
         if !self.is_condemned() {
             return match self.crashes.len() {
-                0..SUSPECT => Standing::Clear,
+                0..SUSPECT_CRASHES => Standing::Clear,
                 _ => Standing::Suspect,
             };
         }
         let age = Duration::from_millis(unix_ms.saturating_sub(self.lost_ms));
-        if age < TERM {
+        if age < QUARANTINE_TIME {
             Standing::Quarantined
         } else {
             Standing::Suspect
@@ -82,7 +82,7 @@
 
     /// Whether the request is condemned, by a verdict or by its number of failed trials.
     pub fn is_condemned(&self) -> bool {
-        self.condemned || self.failed() >= CONDEMNED
+        self.condemned || self.failed() >= CONDEMNING_TRIALS
     }
 
     /// Returns the number of trials that ended in a crash.
@@ -103,13 +103,13 @@
             .iter_mut()
             .find(|known| known.life == crash.life)
         {
-            let news = crash.trial && !known.trial;
+            let changed = crash.trial && !known.trial;
             known.trial |= crash.trial;
-            return news;
+            return changed;
         }
-        if self.crashes.len() >= MOST_CRASHES {
-            let plain = self.crashes.iter().position(|crash| !crash.trial);
-            let Some(at) = plain.filter(|_| crash.trial) else {
+        if self.crashes.len() >= MAX_CRASHES {
+            let outside_trial = self.crashes.iter().position(|crash| !crash.trial);
+            let Some(at) = outside_trial.filter(|_| crash.trial) else {
                 return false;
             };
             self.crashes.remove(at);
@@ -132,18 +132,18 @@
     /// Merges the record of another VM; returns whether this record changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         if other.epoch != self.epoch {
-            let newer = other.epoch > self.epoch;
-            if newer {
+            let is_newer = other.epoch > self.epoch;
+            if is_newer {
                 self.clone_from(other);
             }
-            return newer;
+            return is_newer;
         }
-        let mut news = other.condemned && !self.condemned;
+        let mut changed = other.condemned && !self.condemned;
         self.condemned |= other.condemned;
         self.lost_ms = self.lost_ms.max(other.lost_ms);
         for crash in &other.crashes {
-            news |= self.add(*crash, other.lost_ms);
+            changed |= self.add(*crash, other.lost_ms);
         }
-        news
+        changed
     }
 }
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -1,6 +1,6 @@
 //! Crash records of all requests, as known to one VM.
 
-use super::record::{Crash, Record, SUSPECT, Standing};
+use super::record::{Crash, Record, SUSPECT_CRASHES, Standing};
 use crate::routing::engines::rank;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::{Deserialize, Serialize};
@@ -10,32 +10,32 @@
 
 /// Maximum number of requests tracked, at about 200 bytes each. A crash adds every request that ran on the upstream, up
 /// to a hundred at a time.
-const MOST: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 
 /// Number of requests that are dropped when the maximum is exceeded.
-const DROPPED: usize = MOST / 8;
+const TRIM_COUNT: usize = MAX_REQUESTS / 8;
 
 /// Time window in which all crashes are compared with those of a suspect.
-const LATELY: Duration = Duration::from_secs(30);
+const RECENT_WINDOW: Duration = Duration::from_secs(30);
 
 /// Maximum number of crashes remembered for that comparison.
-const MOST_LATELY: usize = 1_024;
+const MAX_RECENT_CRASHES: usize = 1_024;
 
 /// Minimum time between the crashes of an upstream and of its next instance. Repeated reports of the same crash arrive
 /// sooner.
-const REBIRTH: Duration = Duration::from_millis(600);
+const MIN_CRASH_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Maximum number of upstream instances per request for which repeated reports are told from new crashes.
-const MOST_LOSSES: usize = 16;
+const MAX_REPORTED_INSTANCES: usize = 16;
 
 /// Time after a failed trial in which other VMs' reports of crashes at the same moment arrive.
-const SETTLING: Duration = Duration::from_millis(250);
+const SETTLE_TIME: Duration = Duration::from_millis(250);
 
 /// Time after a failed trial in which the other recent crashes are evidence about its cause.
-const FRESH: Duration = Duration::from_secs(5);
+const EVIDENCE_WINDOW: Duration = Duration::from_secs(5);
 
 /// Maximum time for which a trial blocks other trials; it may continue to run after that.
-const TURN: Duration = Duration::from_secs(2);
+const MAX_TRIAL_HOLD: Duration = Duration::from_secs(2);
 
 /// Answer to a VM that requests permission to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,11 +54,11 @@
 struct Tracked {
     record: Record,
     /// When the record last changed.
-    changed: Moment,
+    changed_at: Moment,
     /// When a trial of the request last ended in a crash.
-    failed: Option<Moment>,
+    trial_failed_at: Option<Moment>,
     /// Crashes by instance number as reported, that is, as in the list of upstreams.
-    losses: Vec<Loss>,
+    reported: Vec<ReportedCrashes>,
 }
 
 /// Crashes of an upstream that were reported with the same instance number.
@@ -66,12 +66,12 @@
 /// A crashed upstream may be running again before the list shows its new instance number. Its next crash is then reported
 /// with the former number and, without this count, would be ignored as a repeated report.
 #[derive(Debug)]
-struct Loss {
+struct ReportedCrashes {
     life: u64,
     /// Number of crashes before the last one.
     count: u64,
     /// When the last crash was first reported.
-    at: Moment,
+    last_at: Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -85,10 +85,10 @@
 pub struct Registry {
     requests: FxHashMap<Fingerprint, Tracked>,
     /// Recent crashes, by instance number.
-    lately: VecDeque<(u64, Moment)>,
+    recent_crashes: VecDeque<(u64, Moment)>,
     trial: Option<Trial>,
     /// Requests whose records are to be published.
-    news: FxHashSet<Fingerprint>,
+    unpublished: FxHashSet<Fingerprint>,
     /// Suspects whose crashes were all explained by condemned requests.
     cleared: Vec<Fingerprint>,
     /// Crashed instances, with the condemned request that explains each crash.
@@ -97,20 +97,24 @@
 
 impl Tracked {
     /// Returns the number of the instance that crashed, given the reported one.
-    fn instance(&mut self, life: u64, now: Moment) -> u64 {
-        if self.losses.len() >= MOST_LOSSES {
-            self.losses.clear();
+    fn instance_number(&mut self, life: u64, now: Moment) -> u64 {
+        if self.reported.len() >= MAX_REPORTED_INSTANCES {
+            self.reported.clear();
         }
-        let Some(loss) = self.losses.iter_mut().find(|loss| loss.life == life) else {
-            let at = now;
-            self.losses.push(Loss { life, count: 0, at });
+        let Some(known) = self.reported.iter_mut().find(|known| known.life == life) else {
+            let last_at = now;
+            self.reported.push(ReportedCrashes {
+                life,
+                count: 0,
+                last_at,
+            });
             return life;
         };
-        if now.since(loss.at) >= REBIRTH {
-            loss.count += 1;
-            loss.at = now;
+        if now.since(known.last_at) >= MIN_CRASH_INTERVAL {
+            known.count += 1;
+            known.last_at = now;
         }
-        match loss.count {
+        match known.count {
             0 => life,
             count => rank(life, count),
         }
@@ -144,20 +148,20 @@
     /// Records that an upstream crashed while it ran a request.
     pub fn record_crash(&mut self, request: Fingerprint, crash: Crash, now: Moment, unix_ms: u64) {
         let known = self.track(request, now);
-        let life = known.instance(crash.life, now);
+        let life = known.instance_number(crash.life, now);
         let crash = Crash { life, ..crash };
         let added = known.record.add(crash, unix_ms);
-        self.note_loss(life, now);
+        self.record_recent_crash(life, now);
         if !added {
             return;
         }
         let known = self.track(request, now);
-        known.changed = now;
+        known.changed_at = now;
         if crash.trial {
-            known.failed = Some(now);
+            known.trial_failed_at = Some(now);
         }
         self.end_trial(request);
-        self.drop_explained(request);
+        self.clear_if_explained(request);
         self.publish(request, unix_ms);
         self.trim(unix_ms);
     }
@@ -172,10 +176,10 @@
             return false;
         }
         known.record.clear();
-        known.changed = now;
-        known.failed = None;
+        known.changed_at = now;
+        known.trial_failed_at = None;
         self.explained.retain(|_, by| *by != request);
-        self.news.insert(request);
+        self.unpublished.insert(request);
         true
     }
 
@@ -193,11 +197,11 @@
         if !known.record.merge(other) {
             return;
         }
-        known.changed = now;
+        known.changed_at = now;
         if known.record.failed() > failed {
-            known.failed = Some(now);
+            known.trial_failed_at = Some(now);
         }
-        self.drop_explained(request);
+        self.clear_if_explained(request);
         self.publish(request, unix_ms);
         self.trim(unix_ms);
     }
@@ -222,7 +226,7 @@
         }
         self.trial = Some(Trial {
             fingerprint: request,
-            until: now + left.min(TURN),
+            until: now + left.min(MAX_TRIAL_HOLD),
         });
         Grant::Trial
     }
@@ -236,12 +240,14 @@
     /// arrive, and returns them. Called on the coordinator only.
     pub fn judge(&mut self, now: Moment, unix_ms: u64) -> Vec<Fingerprint> {
         let failed = self.requests.values_mut().filter(|known| {
-            let at = known.failed;
-            at.is_some_and(|at| now.since(at) >= SETTLING) && !known.record.is_condemned()
+            let at = known.trial_failed_at;
+            at.is_some_and(|at| now.since(at) >= SETTLE_TIME) && !known.record.is_condemned()
         });
         let failed: Vec<(Fingerprint, bool)> = failed
             .map(|known| {
-                let fresh = known.failed.is_some_and(|at| now.since(at) < FRESH);
+                let fresh = known
+                    .trial_failed_at
+                    .is_some_and(|at| now.since(at) < EVIDENCE_WINDOW);
                 (known.record.fingerprint, fresh)
             })
             .collect();
@@ -256,7 +262,7 @@
         for request in &condemned {
             if let Some(known) = self.requests.get_mut(request) {
                 known.record.condemned = true;
-                known.changed = now;
+                known.changed_at = now;
             }
             self.publish(*request, unix_ms);
         }
@@ -265,8 +271,8 @@
 
     /// Returns the records to be published that changed since the last call.
     pub fn take_news(&mut self) -> Vec<Record> {
-        let news = std::mem::take(&mut self.news);
-        let known = news.iter().filter_map(|request| self.get(*request));
+        let unpublished = std::mem::take(&mut self.unpublished);
+        let known = unpublished.iter().filter_map(|request| self.get(*request));
         known.cloned().collect()
     }
 
@@ -282,17 +288,17 @@
     /// crashes, and three in any case. No number is enough while another request was involved in the same crashes, and
     /// crashes that a condemned request explains do not count.
     fn is_cause(&self, record: &Record, fresh: bool, now: Moment) -> bool {
-        let lately = self.lately.iter();
-        let lately = lately.filter(|(_, at)| now.since(*at) < LATELY);
-        let (own, others): (Vec<u64>, Vec<u64>) = lately
+        let recent_crashes = self.recent_crashes.iter();
+        let recent_crashes = recent_crashes.filter(|(_, at)| now.since(*at) < RECENT_WINDOW);
+        let (own, others): (Vec<u64>, Vec<u64>) = recent_crashes
             .map(|(life, _)| *life)
             .partition(|life| record.has(*life));
         let trials = self.unexplained(record, true);
         match trials.len() {
             0 => false,
-            1 => fresh && others.is_empty() && !self.is_shared(record, trials[0]),
-            2 => fresh && own.len() >= others.len() && !self.is_covered(record, &trials),
-            _ => !self.is_covered(record, &trials),
+            1 => fresh && others.is_empty() && !self.may_have_other_cause(record, trials[0]),
+            2 => fresh && own.len() >= others.len() && !self.is_shared_by_another(record, &trials),
+            _ => !self.is_shared_by_another(record, &trials),
         }
     }
 
@@ -312,46 +318,52 @@
     }
 
     /// Whether another request that is not condemned was running on all of these instances as well.
-    fn is_covered(&self, record: &Record, lives: &[u64]) -> bool {
+    fn is_shared_by_another(&self, record: &Record, lives: &[u64]) -> bool {
         let covers = |other: &Record| lives.iter().all(|life| other.has(*life));
-        self.rivals(record).any(covers)
+        self.other_uncondemned(record).any(covers)
     }
 
     /// Whether another request may have caused the crash of a single failed trial: it was on trial on the same instance, or
     /// was running on all that crashed before.
-    fn is_shared(&self, record: &Record, trial: u64) -> bool {
+    fn may_have_other_cause(&self, record: &Record, trial: u64) -> bool {
         let tried = |crash: &Crash| crash.trial && crash.life == trial;
         let before = self.unexplained(record, false);
         let beside = self
-            .rivals(record)
+            .other_uncondemned(record)
             .any(|other| other.crashes.iter().any(tried));
-        beside || self.is_covered(record, &before)
+        beside || self.is_shared_by_another(record, &before)
     }
 
-    fn rivals(&self, record: &Record) -> impl Iterator<Item = &Record> {
+    fn other_uncondemned(&self, record: &Record) -> impl Iterator<Item = &Record> {
         let request = record.fingerprint;
         let others = self.requests.values().map(|known| &known.record);
         others.filter(move |other| other.fingerprint != request && !other.is_condemned())
     }
 
     fn is_settling(&self, request: Fingerprint, now: Moment) -> bool {
-        let failed = self.requests.get(&request).and_then(|known| known.failed);
-        failed.is_some_and(|at| now.since(at) < SETTLING)
+        let failed_at = self
+            .requests
+            .get(&request)
+            .and_then(|known| known.trial_failed_at);
+        failed_at.is_some_and(|at| now.since(at) < SETTLE_TIME)
     }
 
-    fn note_loss(&mut self, life: u64, now: Moment) {
-        self.lately.retain(|(_, at)| now.since(*at) < LATELY);
-        if self.lately.iter().all(|(known, _)| *known != life) && self.lately.len() < MOST_LATELY {
-            self.lately.push_back((life, now));
+    fn record_recent_crash(&mut self, life: u64, now: Moment) {
+        self.recent_crashes
+            .retain(|(_, at)| now.since(*at) < RECENT_WINDOW);
+        if self.recent_crashes.iter().all(|(known, _)| *known != life)
+            && self.recent_crashes.len() < MAX_RECENT_CRASHES
+        {
+            self.recent_crashes.push_back((life, now));
         }
     }
 
     fn track(&mut self, request: Fingerprint, now: Moment) -> &mut Tracked {
         self.requests.entry(request).or_insert_with(|| Tracked {
             record: Record::new(request),
-            changed: now,
-            failed: None,
-            losses: Vec::new(),
+            changed_at: now,
+            trial_failed_at: None,
+            reported: Vec::new(),
         })
     }
 
@@ -361,33 +373,33 @@
             return;
         };
         if record.epoch > 0 || record.standing(unix_ms) != Standing::Clear {
-            self.news.insert(request);
+            self.unpublished.insert(request);
         }
         if self.get(request).is_some_and(Record::is_condemned) {
-            self.note_explained(request);
+            self.record_explained(request);
         }
     }
 
     /// Records the crashes that a condemned request explains.
-    fn note_explained(&mut self, condemned: Fingerprint) {
+    fn record_explained(&mut self, condemned: Fingerprint) {
         let Some(record) = self.get(condemned).cloned() else {
             return;
         };
-        if self.explained.len() >= MOST_LATELY {
+        if self.explained.len() >= MAX_RECENT_CRASHES {
             self.explained.clear();
         }
         let lives = record.crashes.iter().map(|crash| crash.life);
         self.explained.extend(lives.map(|life| (life, condemned)));
         let requests: Vec<Fingerprint> = self.requests.keys().copied().collect();
         for request in requests {
-            self.drop_explained(request);
+            self.clear_if_explained(request);
         }
         self.requests
             .retain(|_, known| known.record.epoch > 0 || !known.record.crashes.is_empty());
     }
 
     /// Clears the crashes of a request if condemned requests explain all of them.
-    fn drop_explained(&mut self, request: Fingerprint) {
+    fn clear_if_explained(&mut self, request: Fingerprint) {
         let Some(known) = self.requests.get_mut(&request) else {
             return;
         };
@@ -395,7 +407,7 @@
         let is_explained = |life: u64| explained.get(&life).is_some_and(|by| *by != request);
         let ended = &mut known.record.crashes;
         if !known.record.condemned && ended.iter().all(|crash| is_explained(crash.life)) {
-            if ended.len() >= SUSPECT {
+            if ended.len() >= SUSPECT_CRASHES {
                 self.cleared.push(request);
             }
             ended.clear();
@@ -404,7 +416,7 @@
 
     /// Drops requests if the maximum is exceeded: the least restricted first, and among these the least recently changed.
     fn trim(&mut self, unix_ms: u64) {
-        if self.requests.len() <= MOST {
+        if self.requests.len() <= MAX_REQUESTS {
             return;
         }
         let class = |record: &Record| match record.standing(unix_ms) {
@@ -417,13 +429,13 @@
             .map(|known| {
                 (
                     class(&known.record),
-                    known.changed,
+                    known.changed_at,
                     known.record.fingerprint,
                 )
             })
             .collect();
         order.sort_unstable();
-        for (_, _, request) in order.into_iter().take(DROPPED) {
+        for (_, _, request) in order.into_iter().take(TRIM_COUNT) {
             self.requests.remove(&request);
         }
     }
