--- a/crates/sesamegap-entry/src/quarantine/admission.rs
+++ b/crates/sesamegap-entry/src/quarantine/admission.rs
@@ -6,7 +6,7 @@
 use crate::core::Core;
 use crate::relay::Job;
 use crate::telemetry::events;
-use sesamegap_policy::quarantine::{COORDINATORS, Grant, Record, Standing};
+use sesamegap_policy::quarantine::{COORDINATOR_RANKING_KEY, Grant, Record, Standing};
 use sesamegap_wire::Fingerprint;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -75,7 +75,7 @@
 /// Asks the coordinator; one that does not answer grants nothing.
 async fn ask(core: &Core, request: Fingerprint, left: Duration) -> Grant {
     let quarantine = &core.quarantine;
-    let Some(coordinator) = core.peers.first(1, COORDINATORS).pop().flatten() else {
+    let Some(coordinator) = core.peers.first(1, COORDINATOR_RANKING_KEY).pop().flatten() else {
         let mut registry = quarantine.registry();
         return registry.request_trial(request, left, clock::now(), clock::unix_ms());
     };
--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -24,7 +24,9 @@
 use crate::telemetry::events;
 use outbox::Outbox;
 use rustc_hash::FxHashMap;
-use sesamegap_policy::quarantine::{COORDINATORS, Crash, Grant, Record, Registry, Standing};
+use sesamegap_policy::quarantine::{
+    COORDINATOR_RANKING_KEY, Crash, Grant, Record, Registry, Standing,
+};
 use sesamegap_wire::{Fingerprint, Moment, UpstreamId};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
@@ -79,7 +81,7 @@
 
 /// Whether this VM grants trials and judges them.
 fn is_coordinator(core: &Core) -> bool {
-    core.peers.first(1, COORDINATORS) == [None]
+    core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -12,7 +12,7 @@
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::agreement::Holder;
 use sesamegap_policy::agreement::membership::{News, Status};
-use sesamegap_policy::quarantine::{COORDINATORS, Crash, Standing};
+use sesamegap_policy::quarantine::{COORDINATOR_RANKING_KEY, Crash, Standing};
 use sesamegap_wire::{Fingerprint, Incarnation, UpstreamId};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -277,7 +277,7 @@
     };
     let (first, others): (Vec<&Vm>, Vec<&Vm>) = vms
         .iter()
-        .partition(|vm| vm.core.peers.first(1, COORDINATORS) == [None]);
+        .partition(|vm| vm.core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]);
     for no in 0..2 {
         request(first[0], no).await;
     }
--- a/crates/sesamegap-policy/src/quarantine/mod.rs
+++ b/crates/sesamegap-policy/src/quarantine/mod.rs
@@ -12,7 +12,7 @@
 //!
 //! A [`Record`] holds what is known of one request. Merging records gives the same result in any order, so VMs can
 //! exchange them in datagrams that may be lost or repeated. A [`Registry`] stores the records; that of the coordinator,
-//! the first VM in the order given by [`COORDINATORS`], also grants and judges trials.
+//! the first VM in the order given by [`COORDINATOR_RANKING_KEY`], also grants and judges trials.
 
 mod record;
 mod registry;
@@ -21,7 +21,7 @@
 pub use registry::{Grant, Registry};
 
 /// Key of the ranking in which VMs become the coordinator, which grants trials.
-pub const COORDINATORS: u64 = 0x7175_6172;
+pub const COORDINATOR_RANKING_KEY: u64 = 0x7175_6172;
 
 /// Number of VMs, from the start of that ranking, that crashes are reported to, so that the next coordinator knows them
 /// if the present one is lost.
