--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::peers;
-use sesamegap_policy::quarantine::{COORDINATOR_RANKING_KEY, REPLICAS, Record, Standing};
+use sesamegap_policy::quarantine::{COORDINATOR_RANKING_KEY, REPORT_REPLICAS, Record, Standing};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
     if reports.is_empty() {
         return;
     }
-    let replicas = core.peers.first(REPLICAS, COORDINATOR_RANKING_KEY);
+    let replicas = core.peers.first(REPORT_REPLICAS, COORDINATOR_RANKING_KEY);
     for to in replicas.into_iter().flatten() {
         for reports in reports.chunks(REPORTS) {
             let reports = Message::Reports(reports.to_vec());
--- a/crates/sesamegap-policy/src/quarantine/mod.rs
+++ b/crates/sesamegap-policy/src/quarantine/mod.rs
@@ -25,4 +25,4 @@
 
 /// Number of VMs, from the start of that ranking, that crashes are reported to, so that the next coordinator knows them
 /// if the present one is lost.
-pub const REPLICAS: usize = 3;
+pub const REPORT_REPLICAS: usize = 3;
