--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -76,7 +76,7 @@
             }
             super::log_cleared(&mut registry);
         }
-        registry.take_news()
+        registry.take_unpublished()
     };
     if is_coordinator && !news.is_empty() {
         lock(&quarantine.outbox).broadcast(news);
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -270,7 +270,7 @@
     }
 
     /// Returns the records to be published that changed since the last call.
-    pub fn take_news(&mut self) -> Vec<Record> {
+    pub fn take_unpublished(&mut self) -> Vec<Record> {
         let unpublished = std::mem::take(&mut self.unpublished);
         let known = unpublished.iter().filter_map(|request| self.get(*request));
         known.cloned().collect()
