--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -148,7 +148,7 @@
                 registry.record_crash(*request, *crash, now, clock::unix_ms());
             }),
             Report::Completed { request, epoch } => self.change(*request, by, |registry| {
-                registry.record_success(*request, *epoch, now);
+                registry.record_completion(*request, *epoch, now);
             }),
             Report::Released { request } => self.registry().end_trial(*request),
         }
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records that a request completed, as of the given epoch; returns whether that cleared any crashes.
-    pub fn record_success(&mut self, request: Fingerprint, epoch: u32, now: Moment) -> bool {
+    pub fn record_completion(&mut self, request: Fingerprint, epoch: u32, now: Moment) -> bool {
         self.end_trial(request);
         let Some(known) = self.requests.get_mut(&request) else {
             return false;
@@ -186,7 +186,7 @@
     /// Clears a request; returns whether it had any crashes.
     pub fn lift(&mut self, request: Fingerprint, now: Moment) -> bool {
         let epoch = self.get(request).map(|record| record.epoch);
-        epoch.is_some_and(|epoch| self.record_success(request, epoch, now))
+        epoch.is_some_and(|epoch| self.record_completion(request, epoch, now))
     }
 
     /// Merges the record of another VM.
--- a/crates/sesamegap-policy/tests/testsuite/quarantine/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/world.rs
@@ -200,7 +200,7 @@
                 Some((_, News::Completed(request))) => {
                     let epoch = self.registry.get(request).map(|record| record.epoch);
                     if let Some(epoch) = epoch {
-                        self.registry.record_success(request, epoch, self.now);
+                        self.registry.record_completion(request, epoch, self.now);
                     }
                 }
                 None => return,
