--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -204,7 +204,7 @@
 fn log(request: Fingerprint, standing: Standing, record: Option<&Record>, by: &str) {
     let lives = record.map(|record| record.crashes.iter().map(|crash| crash.life));
     let ended: Vec<u64> = lives.into_iter().flatten().collect();
-    let trials = record.map_or(0, Record::failed);
+    let trials = record.map_or(0, Record::failed_trials);
     let epoch = record.map_or(0, |record| record.epoch);
     warn!(event = events::QUARANTINE, fingerprint = %request, standing = ?standing, ended = ?ended, trials, epoch, by, "standing of a request changed");
 }
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -107,7 +107,7 @@
         fingerprint: record.fingerprint,
         standing: smol_str::format_smolstr!("{:?}", record.standing(unix_ms)),
         ended: record.crashes.len(),
-        trials: record.failed(),
+        trials: record.failed_trials(),
         lost_ms: record.lost_ms,
         cleared: record.epoch,
     })
--- a/crates/sesamegap-policy/src/quarantine/record.rs
+++ b/crates/sesamegap-policy/src/quarantine/record.rs
@@ -82,11 +82,11 @@
 
     /// Whether the request is condemned, by a verdict or by its number of failed trials.
     pub fn is_condemned(&self) -> bool {
-        self.condemned || self.failed() >= CONDEMNING_TRIALS
+        self.condemned || self.failed_trials() >= CONDEMNING_TRIALS
     }
 
     /// Returns the number of trials that ended in a crash.
-    pub fn failed(&self) -> usize {
+    pub fn failed_trials(&self) -> usize {
         self.crashes.iter().filter(|crash| crash.trial).count()
     }
 
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -193,12 +193,12 @@
     pub fn merge(&mut self, other: &Record, now: Moment, unix_ms: u64) {
         let request = other.fingerprint;
         let known = self.track(request, now);
-        let failed = known.record.failed();
+        let failed = known.record.failed_trials();
         if !known.record.merge(other) {
             return;
         }
         known.changed_at = now;
-        if known.record.failed() > failed {
+        if known.record.failed_trials() > failed {
             known.trial_failed_at = Some(now);
         }
         self.clear_if_explained(request);
