--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -189,7 +189,7 @@
             let started = Observation::Started(request.clone(), at.cached);
             self.decider.observe(started, now);
             let (first, order) = (now + at.wait, self.sent);
-            let token = Observation::First(request.clone());
+            let token = Observation::FirstToken(request.clone());
             self.due.insert((first, order), token);
             let end = Observation::Finished(request, true);
             self.due.insert((first + ANSWER, order), end);
--- a/crates/sesamegap-measure/src/world.rs
+++ b/crates/sesamegap-measure/src/world.rs
@@ -242,7 +242,7 @@
         if self.routers[router].life != life {
             return;
         }
-        if let Observation::First(request) = &news {
+        if let Observation::FirstToken(request) = &news {
             let job = self.job(request);
             self.ledger.first(job, self.now);
         }
@@ -368,7 +368,7 @@
         if let Some((task, seconds)) = self.workers[worker].computed() {
             self.ledger.computed(&task.chain);
             let (router, life) = (task.router, task.life);
-            let news = Observation::First(task.request.clone());
+            let news = Observation::FirstToken(task.request.clone());
             self.tell(worker, router, life, news);
             self.after(seconds, Event::Answered(worker, task.request, router, life));
         }
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -80,7 +80,7 @@
             Observation::Cache(engine, batch) => self.cache(engine, &batch, now),
             Observation::Listing(engine, listing) => self.placer.listing(&engine, &listing, now),
             Observation::Started(request, cached) => self.placer.started(&request, cached, now),
-            Observation::First(request) => self.first(&request, now),
+            Observation::FirstToken(request) => self.first(&request, now),
             Observation::Finished(request, whole) => self.finished(&request, whole, now),
             Observation::Failed(engine) => self.placer.failed(&engine, now),
             Observation::Cancelled(request) => self.cancelled(&request),
--- a/crates/sesamegap-policy/src/decider/work.rs
+++ b/crates/sesamegap-policy/src/decider/work.rs
@@ -138,7 +138,7 @@
     /// An engine accepted a request and found this many prompt tokens in its cache.
     Started(RequestId, Tokens),
     /// The first token of an answer arrived.
-    First(RequestId),
+    FirstToken(RequestId),
     /// A request ended on its engine; `true` if the answer is complete.
     Finished(RequestId, bool),
     /// An engine was unreachable, stopped responding, or refused a request because of its
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -211,7 +211,7 @@
             let now = at(100 + seq * 10);
             decider.submit(work(seq, "a", "check", 5_000, now), now);
             assert_eq!(decider.poll(now).len(), 1);
-            decider.observe(Observation::First(request(seq)), now + millis(5));
+            decider.observe(Observation::FirstToken(request(seq)), now + millis(5));
             decider.observe(Observation::Finished(request(seq), true), now + millis(6));
         }
         let now = at(1_000);
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -225,7 +225,7 @@
                 Observation::Finished(request.clone(), true)
             } else {
                 outcome.first.get_or_insert(self.now);
-                Observation::First(request.clone())
+                Observation::FirstToken(request.clone())
             };
             let router = self.router_of(index(&request) as u64);
             self.routers[router].observe(news, self.now);
--- a/crates/sesamegap/src/router/streams/model/follow.rs
+++ b/crates/sesamegap/src/router/streams/model/follow.rs
@@ -126,7 +126,7 @@
     pub(super) fn text(&self, text: SmolStr) -> Result<(), ApiError> {
         if self.assembly.next() == Seq(1) {
             let request = self.on.clone();
-            self.core.decider.observe(Observation::First(request));
+            self.core.decider.observe(Observation::FirstToken(request));
             let took = self.core.clock.now().since(self.job.arrived);
             self.core.telemetry.first(&self.job.class, took);
         }
