--- a/crates/sesamegap-measure/src/world.rs
+++ b/crates/sesamegap-measure/src/world.rs
@@ -380,7 +380,7 @@
         let engine = self.workers[worker].entry.id.clone();
         let job = self.job(&task.request);
         let (router, life) = (task.router, task.life);
-        let failed = Observation::Failed(engine.clone());
+        let failed = Observation::EngineFailed(engine.clone());
         self.after(delay, Event::Tell(router, life, failed));
         let finished = Observation::Finished(task.request, false);
         self.after(delay, Event::Tell(router, life, finished));
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -82,7 +82,7 @@
             Observation::Started(request, cached) => self.placer.started(&request, cached, now),
             Observation::FirstToken(request) => self.first(&request, now),
             Observation::Finished(request, whole) => self.finished(&request, whole, now),
-            Observation::Failed(engine) => self.placer.failed(&engine, now),
+            Observation::EngineFailed(engine) => self.placer.failed(&engine, now),
             Observation::Cancelled(request) => self.cancelled(&request),
             Observation::Routers(count) => {
                 self.teams.routers(count);
--- a/crates/sesamegap-policy/src/decider/work.rs
+++ b/crates/sesamegap-policy/src/decider/work.rs
@@ -143,7 +143,7 @@
     Finished(RequestId, bool),
     /// An engine was unreachable, stopped responding, or refused a request because of its
     /// incarnation.
-    Failed(UpstreamId),
+    EngineFailed(UpstreamId),
     /// The caller disconnected; a queued request is dropped without a decision.
     Cancelled(RequestId),
     /// Number of live routers, this one included; team limits are divided among them.
--- a/crates/sesamegap/src/router/fleet/follow.rs
+++ b/crates/sesamegap/src/router/fleet/follow.rs
@@ -170,7 +170,7 @@
             take_report(&core, &id, report);
         } else {
             core.fleet.reported(&id, None);
-            core.decider.observe(Observation::Failed(id.clone()));
+            core.decider.observe(Observation::EngineFailed(id.clone()));
         }
         tokio::time::sleep(timing.report).await;
     }
--- a/crates/sesamegap/src/router/streams/model/flight.rs
+++ b/crates/sesamegap/src/router/streams/model/flight.rs
@@ -261,7 +261,7 @@
         );
         self.core
             .decider
-            .observe(Observation::Failed(engine.clone()));
+            .observe(Observation::EngineFailed(engine.clone()));
     }
 
     /// Time for an upstream to take a request or a resumption.
