--- a/crates/sesamegap-policy/src/lib.rs
+++ b/crates/sesamegap-policy/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decisions of sesamegap as pure code, without sockets or clocks.
+//! Decision logic of sesamegap, without I/O or clocks.
 //!
-//! A router gives each request to its [`Decider`], which admits, queues, places or refuses it.
-//! [`placing`] knows which engine holds which prefix and picks the engine, [`load`] holds queues,
-//! limits and budgets, [`shifting`] decides which engine holds which model, and [`agreement`] the
-//! rules by which processes agree through the platform's log. Time and randomness are arguments
-//! everywhere, so that a test or the measuring driver can run any hour in a moment.
+//! A router passes each request to its [`Decider`], which admits, queues, places or refuses it.
+//! [`placing`] tracks which engine caches which prefix and picks the engine, [`load`] has queues,
+//! limits and budgets, [`shifting`] decides which engine loads which model, [`quarantine`]
+//! restricts requests that crash upstreams, and [`agreement`] has the rules by which processes
+//! agree through the platform's log. Time and randomness are always passed as arguments, so that
+//! tests and the measuring driver can simulate hours of traffic quickly.
 
 pub mod agreement;
 pub mod decider;
--- a/crates/sesamegap-policy/tests/testsuite/main.rs
+++ b/crates/sesamegap-policy/tests/testsuite/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the decisions, by subject.
+//! Tests of the policy crate, by module.
 
 mod load;
 #[expect(
     clippy::unwrap_used,
-    reason = "a test ends where a helper cannot go on"
+    reason = "a test fails if one of its helpers does"
 )]
 mod placing;
 mod quarantine;
--- a/crates/sesamegap-policy/tests/testsuite/quarantine/merging.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/merging.rs
@@ -1,4 +1,4 @@
-//! How what VMs know of requests merges, is bounded and is forgotten.
+//! Tests of merging, bounding and expiring crash records.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sesamegap_policy::quarantine::{Crash, Grant, Record, Registry, Standing};
@@ -16,7 +16,7 @@
     Crash { life, trial }
 }
 
-/// Records of one request, as VMs may come to hold them.
+/// An arbitrary record of one request, as a VM may hold it.
 #[derive(Debug, Clone)]
 struct Known(Record);
 
@@ -47,7 +47,8 @@
 }
 
 quickcheck! {
-    /// Datagrams come in any order and more than once; two VMs that heard the same would treat a request differently.
+    /// Datagrams arrive in any order and may be repeated. If the order mattered, two VMs that received the same ones would
+    /// treat a request differently.
     fn records_merge_to_the_same_in_any_order(records: Vec<Known>) -> bool {
         let twice = records.iter().chain(&records);
         merged(&records) == merged(records.iter().rev()) && merged(&records) == merged(twice)
@@ -61,7 +62,8 @@
     }
 }
 
-/// A hostile caller varies a byte of its body; what was condemned would be forgotten for what merely ran beside it.
+/// A hostile caller that varies its request body fills the registry; condemned requests must not be dropped in favour of
+/// requests that merely ran on crashed upstreams.
 #[test]
 fn requests_that_merely_lost_an_upstream_are_forgotten_first() {
     let mut registry = Registry::default();
@@ -77,7 +79,7 @@
     assert_eq!(quarantined.count(), 50);
 }
 
-/// A quarantined request runs no more within the day, and an operator who mended its upstreams waits for nothing.
+/// A quarantined request is refused for a day, but an operator who has fixed its upstreams can lift the quarantine at once.
 #[test]
 fn a_quarantined_request_gets_a_trial_after_a_day_or_when_it_is_lifted() {
     let mut registry = Registry::default();
@@ -100,7 +102,7 @@
     assert_eq!(registry.standing(request(1), unix), Standing::Clear);
 }
 
-/// A VM that missed the lift would bring the quarantine back.
+/// A VM that missed the lift still sends the old record, which must not restore the quarantine.
 #[test]
 fn an_outdated_record_does_not_bring_a_quarantine_back() {
     let mut registry = Registry::default();
@@ -113,8 +115,8 @@
     assert_eq!(registry.standing(request(1), UNIX), Standing::Clear);
 }
 
-/// A request meets another culprit's first two crashes in its own trials: it is refused for good, and the culprit is found a
-/// moment later.
+/// The trials of an innocent request coincide with the first two crashes of another request. The innocent one must not be
+/// condemned before the cause is found a moment later.
 #[test]
 fn trials_that_met_another_culprit_condemn_nobody() {
     let mut registry = Registry::default();
@@ -140,7 +142,7 @@
     assert_eq!(registry.standing(innocent, UNIX), Standing::Suspect);
 }
 
-/// A request that was at all lost upstreams runs on trial beside another suspect, which ends the upstream of both.
+/// Two suspects are on trial on the same upstream when it crashes; either may be the cause, so neither is condemned.
 #[test]
 fn a_trial_that_met_another_one_condemns_neither() {
     let mut registry = Registry::default();
@@ -156,7 +158,8 @@
     }
 }
 
-/// A datagram that is repeated counts as another crash, or another crash of a reborn upstream as the datagram repeated.
+/// A repeated datagram must not count as another crash, and another crash of a restarted upstream must not be taken for a
+/// repeated datagram.
 #[test]
 fn a_repeated_report_is_told_from_a_second_crash_under_one_life() {
     let mut registry = Registry::default();
--- a/crates/sesamegap-policy/tests/testsuite/quarantine/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams end: what a load of them comes to, and how knowledge of them merges.
+//! Tests of the quarantine: simulated loads with crashing requests, and merging of crash records.
 
 mod merging;
 mod world;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use world::{Load, World};
 
-/// Seeds of each load, unless `SESAMEGAP_CASES` says how many.
+/// Number of seeds per load; `SESAMEGAP_CASES` overrides it.
 const SEEDS: u64 = 20;
 
-/// Seeds that have failed.
+/// Seeds that failed in the past, always run as regression tests.
 const KEPT: [u64; 4] = [169, 439, 728, 784];
 
-/// Upstreams that may end under one request before it is refused: two by surprise, two in trials, and as many as run it at once
-/// before anybody knows.
+/// Maximum number of upstreams that one request may crash before it is refused: two before it is a suspect, two in trials,
+/// and those that run it concurrently before the crashes are known.
 const MOST_CRASHES: usize = 6;
 
 fn each_seed(load: &Load, check: impl Fn(&World)) {
@@ -26,7 +26,8 @@
     }
 }
 
-/// One request in thousands ends every upstream that runs it, and its neighbours are taken for it.
+/// One request among thousands crashes every upstream that runs it; requests that ran beside it must not be condemned
+/// in its place.
 #[test]
 fn a_crashing_request_among_thousands_is_refused_and_no_other() {
     let load = Load {
@@ -45,7 +46,7 @@
     });
 }
 
-/// Many requests end upstreams at the same time, and each hides behind the losses of the others.
+/// Many requests crash upstreams at the same time, so that the crashes of each are masked by those of the others.
 #[test]
 fn a_dozen_crashing_requests_are_all_refused_and_no_other() {
     let load = Load {
@@ -64,7 +65,8 @@
     });
 }
 
-/// A quarter of the upstreams is lost at once, three times: what ran there and came again is taken for the cause.
+/// A quarter of the upstreams is lost at once, three times; requests that ran there and were retried must not be taken for
+/// the cause.
 #[test]
 fn upstreams_lost_together_condemn_nobody() {
     let load = Load {
@@ -83,7 +85,8 @@
     });
 }
 
-/// The same, and one request in three is the same one: it is at every loss, and refusing it would refuse a third of all.
+/// As above, with one request in three being the same one: it is running at every loss, and condemning it would refuse a
+/// third of all traffic.
 #[test]
 fn a_popular_request_is_not_condemned_by_upstreams_lost_together() {
     let load = Load {
@@ -103,7 +106,7 @@
     });
 }
 
-/// A request ends upstreams while others are lost for reasons of their own.
+/// A request crashes upstreams while others are lost for unrelated reasons.
 #[test]
 fn a_crashing_request_is_found_beside_upstreams_lost_together() {
     let load = Load {
@@ -119,7 +122,8 @@
     });
 }
 
-/// Two requests end upstreams of a small fleet: others share an upstream with one of them at their trial, and again at the next.
+/// Two requests crash upstreams of a small fleet, so that other requests share an upstream with one of them in their first
+/// trial and again in the next.
 #[test]
 fn requests_on_trial_beside_crashing_ones_are_not_condemned() {
     let load = Load {
--- a/crates/sesamegap-policy/tests/testsuite/quarantine/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/world.rs
@@ -1,4 +1,4 @@
-//! Requests before upstreams that crash, in virtual time, with one registry that hears all a moment later.
+//! Simulation, in virtual time, of upstreams that crash, with one registry that receives all reports after a delay.
 
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
@@ -11,34 +11,34 @@
 const STEP: Duration = Duration::from_millis(10);
 const LASTS: Duration = Duration::from_mins(1);
 
-/// Time until a report has arrived.
+/// Delay until a report arrives.
 const HEARD: Duration = Duration::from_millis(50);
 
-/// Time that a crashing request waits and runs before it ends its upstream.
+/// Time from sending a crashing request until its upstream crashes.
 const CRASHES: Duration = Duration::from_millis(170);
 
-/// Time between two outages, in which a request that was lost has come again and has not ended.
+/// Time between two outages; a request lost in one has been retried by the next and is still running.
 const AGAIN: Duration = Duration::from_millis(900);
 
-/// Sends of one request, those that are put off included.
+/// Maximum sends of one request, including those that are postponed.
 const TRIES: u32 = 12;
 
-/// Time after which a request that was put off comes again.
+/// Delay after which a postponed request is sent again.
 const BACK: Duration = Duration::from_millis(300);
 
-/// What comes and what goes wrong.
+/// Traffic and faults of a simulation.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub upstreams: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
-    /// Requests that end their upstreams.
+    /// Number of distinct requests that crash their upstreams.
     pub crashing: usize,
-    /// Times that a quarter of the upstreams is lost at once.
+    /// Number of outages, each of which stops a quarter of the upstreams at once.
     pub outages: u32,
-    /// Whether one request in three is the same one.
+    /// Whether one request in three has the same content.
     pub popular: bool,
-    /// Time that an upstream is down.
+    /// Time for which a lost upstream is down.
     pub down: Duration,
     /// Time between two sends of a crashing request.
     pub comes: Duration,
@@ -85,7 +85,7 @@
     pub seed: u64,
     pub served: usize,
     pub refused: usize,
-    /// Upstreams that ended under each crashing request.
+    /// Number of upstreams crashed by each crashing request.
     pub crashes: Vec<usize>,
     load: Load,
     rng: StdRng,
@@ -94,7 +94,7 @@
     upstreams: Vec<Upstream>,
     registry: Registry,
     news: VecDeque<(Moment, News)>,
-    /// Requests that come again, with the sends that they have left.
+    /// Postponed requests, with the number of sends that they have left.
     waiting: VecDeque<(Moment, Fingerprint, u32)>,
     innocent: Vec<Fingerprint>,
 }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Crashing requests that are refused at the end, and others.
+    /// Returns how many crashing requests and how many others are quarantined at the end.
     pub fn condemned(&self) -> (usize, usize) {
         let refused = |request: &Fingerprint| {
             self.registry.standing(*request, self.unix_ms()) == Standing::Quarantined
@@ -251,7 +251,7 @@
         });
     }
 
-    /// Ends what is due.
+    /// Completes or crashes the runs that are due.
     fn work(&mut self) {
         for at in 0..self.upstreams.len() {
             let now = self.now;
@@ -263,7 +263,7 @@
                     self.tell(News::Completed(run.request));
                 }
             }
-            // The first one ends it; any other merely ran beside it then.
+            // The first crashing run causes the crash; any other is lost with the upstream.
             if let Some(no) = done.iter().find_map(|run| run.crashing) {
                 self.crashes[no] += 1;
                 let ended = done.into_iter().filter(|run| run.crashing.is_some());
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Ends an upstream; its callers come again a moment later.
+    /// Stops an upstream; its callers retry at once.
     fn lose(&mut self, at: usize) {
         self.lives += 1;
         let upstream = &mut self.upstreams[at];
--- a/crates/sesamegap-policy/tests/testsuite/support/engine.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/engine.rs
@@ -1,4 +1,5 @@
-//! An engine in virtual time: chunks of prefill by priority, and a batch that decodes.
+//! Simulated engine in virtual time: chunked prefill in order of priority, and a batch of decoding
+//! requests.
 
 use sesamegap_wire::engine::LoadReport;
 use sesamegap_wire::{Incarnation, Moment, RequestId, Tokens, WeightsVersion};
@@ -6,19 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Streams that one engine answers at once.
+/// Maximum number of requests that an engine decodes concurrently.
 const BATCH: usize = 16;
 
-/// Time of one answer token.
+/// Time per answer token at speed 1.
 const STEP: Duration = Duration::from_millis(20);
 
-/// Prompt tokens computed a second by an engine of speed 1.
+/// Prompt tokens per second at speed 1.
 const SPEED: f64 = 20_000.0;
 
-/// Prompt tokens computed before the engine looks again who goes first.
+/// Prompt tokens per prefill chunk; the priority order is re-evaluated between chunks.
 const PIECE: u64 = 2_048;
 
-/// A request as an engine sees it.
+/// A request as sent to an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub request: RequestId,
@@ -27,7 +28,7 @@
     pub priority: u8,
 }
 
-/// What happens on an engine.
+/// An event on an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Tick {
     First(RequestId),
@@ -60,7 +61,7 @@
         self.start(now);
     }
 
-    /// Starts the next piece of the prompt that goes first.
+    /// Starts the next prefill chunk, of the waiting request with the highest priority.
     fn start(&mut self, now: Moment) {
         if self.computing.is_some() || self.decoding.len() >= BATCH {
             return;
@@ -73,14 +74,14 @@
         }
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next(&self) -> Option<Moment> {
         let computed = self.computing.as_ref().map(|(at, ..)| *at);
         let decoded = self.decoding.first().map(|(at, _)| *at);
         computed.into_iter().chain(decoded).min()
     }
 
-    /// What happens by now; call it at each [`Engine::next`].
+    /// Returns the events that are due. To be called at the time returned by [`Engine::next`].
     pub fn tick(&mut self, now: Moment) -> Vec<Tick> {
         let mut ticks = Vec::new();
         while self.decoding.first().is_some_and(|(at, _)| *at <= now) {
@@ -99,7 +100,7 @@
         ticks
     }
 
-    /// Drops all it has, as a crash does.
+    /// Crashes the engine and returns the requests that were lost.
     pub fn crash(&mut self) -> Vec<RequestId> {
         let mut lost: Vec<_> = self
             .waiting
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -1,4 +1,4 @@
-//! A placer that knows load and nothing of caches, so that tests of load depend on load alone.
+//! A placer that considers load but not caches, so that tests of load do not depend on cache state.
 
 use rand::Rng;
 use sesamegap_policy::placing::{Ask, Need, Placed, Placement, Placer, Room};
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Picks the engine with the least prefill, reported or sent since.
+/// Picks the engine with the least prefill work, as reported or as sent by this router, plus a
+/// fixed cost per request.
 #[derive(Debug, Default)]
 pub struct LeastPlacer {
     engines: BTreeMap<UpstreamId, Option<LoadReport>>,
--- a/crates/sesamegap-policy/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share: settings, requests, and a fleet in virtual time.
+//! Shared test helpers: settings, requests, and a simulated fleet in virtual time.
 
 pub mod engine;
 pub mod least;
@@ -13,7 +13,7 @@
 };
 use std::time::Duration;
 
-/// Cases of a property test; `SESAMEGAP_CASES` raises them.
+/// Number of cases of a property test; `SESAMEGAP_CASES` overrides it.
 pub fn cases(usual: u64) -> u64 {
     let more = std::env::var("SESAMEGAP_CASES").ok();
     more.and_then(|text| text.parse().ok()).unwrap_or(usual)
@@ -23,7 +23,7 @@
     Duration::from_millis(count)
 }
 
-/// An offset on the log's first timeline.
+/// A position on the log's first timeline.
 pub fn offset(no: u64) -> LogPosition {
     LogPosition::new(Timeline::default(), Offset(no))
 }
@@ -55,8 +55,8 @@
     }
 }
 
-/// Classes `review` (lowest, patient), `check` and `status` (highest, hasty); one model; the
-/// teams given.
+/// Settings with the given teams, one model, and the classes `review` (lowest priority, longest
+/// deadline), `check`, and `status` (highest priority, shortest deadline).
 pub fn catalogue(teams: &[(&str, f64)]) -> Catalogue {
     let model = ModelSpec {
         version: WeightsVersion(1),
@@ -95,7 +95,7 @@
     }
 }
 
-/// A request whose prompt shares nothing with any other.
+/// A request whose prompt shares no prefix with any other.
 pub fn work(seq: u64, team: &str, class: &str, tokens: u64, now: Moment) -> Work {
     let blocks = u16::try_from(tokens / 4_096).expect("valid");
     let keys: Vec<_> = (0..u128::from(blocks))
--- a/crates/sesamegap-policy/tests/testsuite/support/traffic.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/traffic.rs
@@ -1,4 +1,4 @@
-//! Calls drawn at random, from fixed seeds.
+//! Random traffic from fixed seeds.
 
 use super::world::Call;
 use rand::rngs::ChaCha12Rng;
@@ -6,14 +6,14 @@
 use sesamegap_wire::Moment;
 use std::time::Duration;
 
-/// One kind of call and how often it comes.
+/// A kind of call and its rate.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
     pub team: &'static str,
     pub class: &'static str,
     pub tokens: u64,
     pub answer: u64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Calls of several kinds between two moments, each kind a Poisson process.
+/// Generates calls between two times; each kind is a Poisson process.
 pub fn calls(seed: u64, from: Moment, to: Moment, kinds: &[Kind]) -> Vec<Call> {
     let mut rng = ChaCha12Rng::seed_from_u64(seed);
     let mut calls = Vec::new();
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -1,4 +1,4 @@
-//! Callers, routers and engines in virtual time, and what callers got in the end.
+//! Simulation, in virtual time, of callers, routers and engines, with the outcome of each call.
 
 use super::engine::{Engine, Job, Tick};
 use super::least::LeastPlacer;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often engines report and routers tell each other of demand.
+/// Interval at which engines report and routers exchange digests.
 const NEWS: Duration = Duration::from_millis(500);
 
-/// A request that some caller makes.
+/// A request made by a caller.
 #[derive(Debug, Clone)]
 pub struct Call {
     pub at: Moment,
@@ -23,11 +23,11 @@
     pub class: &'static str,
     pub tokens: u64,
     pub answer: u64,
-    /// How often the caller comes back after a refusal.
+    /// Number of times that the caller retries after a refusal.
     pub returns: u32,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     pub submitted: u32,
@@ -123,7 +123,7 @@
         self.events.insert((when, Event::Crash(engine)));
     }
 
-    /// Runs until `end`.
+    /// Runs the simulation until `end`.
     pub fn run(&mut self, end: Moment) {
         while let Some((when, event)) = self.events.pop_first() {
             if when > end {
@@ -256,7 +256,7 @@
         self.events.insert((self.now + NEWS, Event::News));
     }
 
-    /// Crashes an engine; its router tries again what had no token yet.
+    /// Crashes an engine; the routers resubmit the lost requests that had no token yet.
     fn lose(&mut self, engine: usize) {
         for lost in self.engines[engine].crash() {
             let n = index(&lost);
@@ -280,7 +280,7 @@
     }
 }
 
-/// What callers of one kind got.
+/// Counts of calls by outcome.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Tally {
     pub calls: u32,
@@ -290,7 +290,7 @@
 }
 
 impl World {
-    /// Counts the calls that `of` picks.
+    /// Counts the calls selected by `of`.
     pub fn tally(&self, of: impl Fn(&Call) -> bool) -> Tally {
         let mut tally = Tally::default();
         for (call, outcome) in self.calls.iter().zip(&self.outcomes) {
@@ -308,7 +308,7 @@
         tally
     }
 
-    /// Tokens a run answered in time, by the measure that the queue uses.
+    /// Prompt tokens of the calls whose first token met the deadline.
     pub fn useful(&self) -> u64 {
         let pairs = self.calls.iter().zip(&self.outcomes);
         let useful = pairs.filter(|(call, outcome)| {
@@ -319,13 +319,13 @@
         useful.map(|(call, _)| call.tokens).sum()
     }
 
-    /// When refused callers are told to come back.
+    /// Times at which refused callers were told to retry.
     pub fn returns(&self) -> Vec<Moment> {
         let refused = self.outcomes.iter().filter_map(|o| o.refused);
         refused.map(|(when, _, after)| when + after).collect()
     }
 
-    /// First-token times of the calls that `of` picks, sorted.
+    /// Sorted first-token times of the calls selected by `of`.
     pub fn first_times(&self, of: impl Fn(&Call) -> bool) -> Vec<Duration> {
         let pairs = self.calls.iter().zip(&self.outcomes);
         let firsts = pairs.filter(|(call, _)| of(call));
@@ -336,7 +336,7 @@
     }
 }
 
-/// The value below which so many in a hundred of a sorted list lie.
+/// The given percentile of a sorted list, or zero if the list is empty.
 pub fn percentile(sorted: &[Duration], part: usize) -> Duration {
     let place = sorted.len().saturating_sub(1) * part / 100;
     sorted.get(place).copied().unwrap_or_default()
@@ -346,7 +346,7 @@
     format!("e{n}").parse().expect("valid")
 }
 
-/// The call that a request, or its hedge, belongs to.
+/// Index of the call that a request or its hedge belongs to.
 fn index(id: &RequestId) -> usize {
     let n = id.seq & !(1 << 63);
     debug_assert!(request(n).seq == n);
