--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -183,7 +183,7 @@
 fn decider(settings: Catalogue) -> Decider {
     let mut decider = DeciderBuilder::new("a".parse().expect("valid"))
         .catalogue(Arc::new(settings))
-        .placer(Box::new(crate::support::least::LeastPlacer::default()))
+        .placer(Box::new(crate::support::least::LeastLoadPlacer::default()))
         .build();
     let entry = |n| EngineEntry {
         id: engine_id(n),
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -11,12 +11,12 @@
 /// Picks the engine with the least prefill work, as reported or as sent by this router, plus a
 /// fixed cost per request.
 #[derive(Debug, Default)]
-pub struct LeastPlacer {
+pub struct LeastLoadPlacer {
     engines: BTreeMap<UpstreamId, Option<LoadReport>>,
     sent: BTreeMap<RequestId, (UpstreamId, u64)>,
 }
 
-impl LeastPlacer {
+impl LeastLoadPlacer {
     fn load(&self, engine: &UpstreamId, report: &LoadReport) -> u64 {
         let own = self.sent.values().filter(|(at, _)| at == engine);
         let own: u64 = own.map(|(_, tokens)| tokens).sum();
@@ -24,7 +24,7 @@
     }
 }
 
-impl Placer for LeastPlacer {
+impl Placer for LeastLoadPlacer {
     fn fleet(&mut self, engines: &[EngineEntry], _now: Moment) {
         self.engines = engines
             .iter()
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -1,7 +1,7 @@
 //! Simulation, in virtual time, of callers, routers and engines, with the outcome of each call.
 
 use super::engine::{Engine, Job, Tick};
-use super::least::LeastPlacer;
+use super::least::LeastLoadPlacer;
 use super::{at, request, work};
 use sesamegap_policy::load::windows::WindowKind;
 use sesamegap_policy::{Decider, DeciderBuilder, Decision, Observation, RefusalCode};
@@ -76,7 +76,7 @@
             DeciderBuilder::new("a".parse().expect("valid"))
                 .seed(n as u64)
                 .catalogue(Arc::clone(&catalogue))
-                .placer(Box::new(LeastPlacer::default()))
+                .placer(Box::new(LeastLoadPlacer::default()))
                 .window(setup.window)
                 .build()
         });
