--- a/crates/sesamegap-policy/tests/testsuite/quarantine/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/mod.rs
@@ -10,16 +10,16 @@
 const SEEDS: u64 = 20;
 
 /// Seeds that failed in the past, always run as regression tests.
-const KEPT: [u64; 4] = [169, 439, 728, 784];
+const REGRESSION_SEEDS: [u64; 4] = [169, 439, 728, 784];
 
 /// Maximum number of upstreams that one request may crash before it is refused: two before it is a suspect, two in trials,
 /// and those that run it concurrently before the crashes are known.
-const MOST_CRASHES: usize = 6;
+const MAX_CRASHES: usize = 6;
 
 fn each_seed(load: &Load, check: impl Fn(&World)) {
     let cases = std::env::var("SESAMEGAP_CASES").ok();
     let cases = cases.and_then(|cases| cases.parse().ok());
-    for seed in (0..cases.unwrap_or(SEEDS)).chain(KEPT) {
+    for seed in (0..cases.unwrap_or(SEEDS)).chain(REGRESSION_SEEDS) {
         let mut world = World::new(load, seed);
         world.run();
         check(&world);
@@ -36,7 +36,7 @@
     };
     each_seed(&load, |world| {
         assert_eq!(world.condemned(), (1, 0), "seed {}", world.seed);
-        assert!(world.crashes[0] <= MOST_CRASHES, "{:?}", world.crashes);
+        assert!(world.crashes[0] <= MAX_CRASHES, "{:?}", world.crashes);
         assert!(
             world.served > world.refused * 20,
             "{} {}",
@@ -57,7 +57,7 @@
     each_seed(&load, |world| {
         assert_eq!(world.condemned(), (12, 0), "seed {}", world.seed);
         assert!(
-            world.crashes.iter().all(|crashes| *crashes <= MOST_CRASHES),
+            world.crashes.iter().all(|crashes| *crashes <= MAX_CRASHES),
             "seed {} {:?}",
             world.seed,
             world.crashes
@@ -118,7 +118,7 @@
     };
     each_seed(&load, |world| {
         assert_eq!(world.condemned(), (1, 0), "seed {}", world.seed);
-        assert!(world.crashes[0] <= MOST_CRASHES, "{:?}", world.crashes);
+        assert!(world.crashes[0] <= MAX_CRASHES, "{:?}", world.crashes);
     });
 }
 
@@ -131,13 +131,13 @@
         upstreams: 3,
         rate: 30,
         down: Duration::from_millis(800),
-        comes: Duration::from_millis(400),
+        interval: Duration::from_millis(400),
         ..Load::default()
     };
     each_seed(&load, |world| {
         assert_eq!(world.condemned(), (2, 0), "seed {}", world.seed);
         assert!(
-            world.crashes.iter().all(|crashes| *crashes <= MOST_CRASHES),
+            world.crashes.iter().all(|crashes| *crashes <= MAX_CRASHES),
             "seed {} {:?}",
             world.seed,
             world.crashes
--- a/crates/sesamegap-policy/tests/testsuite/quarantine/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/world.rs
@@ -9,22 +9,22 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(10);
-const LASTS: Duration = Duration::from_mins(1);
+const RUN_TIME: Duration = Duration::from_mins(1);
 
 /// Delay until a report arrives.
-const HEARD: Duration = Duration::from_millis(50);
+const REPORT_DELAY: Duration = Duration::from_millis(50);
 
 /// Time from sending a crashing request until its upstream crashes.
-const CRASHES: Duration = Duration::from_millis(170);
+const TIME_TO_CRASH: Duration = Duration::from_millis(170);
 
 /// Time between two outages; a request lost in one has been retried by the next and is still running.
-const AGAIN: Duration = Duration::from_millis(900);
+const OUTAGE_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Maximum sends of one request, including those that are postponed.
-const TRIES: u32 = 12;
+const MAX_SENDS: u32 = 12;
 
 /// Delay after which a postponed request is sent again.
-const BACK: Duration = Duration::from_millis(300);
+const POSTPONE_DELAY: Duration = Duration::from_millis(300);
 
 /// Traffic and faults of a simulation.
 #[derive(Debug, Clone)]
@@ -41,7 +41,7 @@
     /// Time for which a lost upstream is down.
     pub down: Duration,
     /// Time between two sends of a crashing request.
-    pub comes: Duration,
+    pub interval: Duration,
 }
 
 impl Default for Load {
@@ -53,7 +53,7 @@
             outages: 0,
             popular: false,
             down: Duration::from_secs(3),
-            comes: Duration::from_millis(700),
+            interval: Duration::from_millis(700),
         }
     }
 }
@@ -65,18 +65,18 @@
     crashing: Option<usize>,
     ends: Moment,
     trial: bool,
-    tries: u32,
+    sends_left: u32,
 }
 
 #[derive(Debug, Default)]
 struct Upstream {
     life: u64,
-    up_at: Moment,
+    restarts_at: Moment,
     runs: Vec<Run>,
 }
 
 #[derive(Debug)]
-enum News {
+enum Report {
     Crashed(Fingerprint, Crash),
     Completed(Fingerprint),
 }
@@ -93,7 +93,7 @@
     lives: u64,
     upstreams: Vec<Upstream>,
     registry: Registry,
-    news: VecDeque<(Moment, News)>,
+    reports: VecDeque<(Moment, Report)>,
     /// Postponed requests, with the number of sends that they have left.
     waiting: VecDeque<(Moment, Fingerprint, u32)>,
     innocent: Vec<Fingerprint>,
@@ -120,11 +120,11 @@
             crashes: vec![0; load.crashing],
             load: load.clone(),
             rng: StdRng::seed_from_u64(seed),
-            now: Moment(0) + LASTS,
+            now: Moment(0) + RUN_TIME,
             lives: load.upstreams as u64,
             upstreams: upstreams.collect(),
             registry: Registry::default(),
-            news: VecDeque::new(),
+            reports: VecDeque::new(),
             waiting: VecDeque::new(),
             innocent: Vec::new(),
         }
@@ -135,9 +135,9 @@
         let refused = |request: &Fingerprint| {
             self.registry.standing(*request, self.unix_ms()) == Standing::Quarantined
         };
-        let guilty = (0..self.load.crashing).map(crashing);
+        let crashing_requests = (0..self.load.crashing).map(crashing);
         (
-            guilty.filter(refused).count(),
+            crashing_requests.filter(refused).count(),
             self.innocent
                 .iter()
                 .filter(|request| refused(request))
@@ -146,40 +146,40 @@
     }
 
     pub fn run(&mut self) {
-        let begun = self.now;
+        let started = self.now;
         let mut number = 0_u64;
-        let first = begun + Duration::from_secs(5);
-        let mut comes: Vec<Moment> =
-            std::iter::successors(Some(first), |at| Some(*at + self.load.comes / 3))
+        let first = started + Duration::from_secs(5);
+        let mut next_sends: Vec<Moment> =
+            std::iter::successors(Some(first), |at| Some(*at + self.load.interval / 3))
                 .take(self.load.crashing)
                 .collect();
         let mut outages: Vec<Moment> = (0..self.load.outages)
-            .map(|no| begun + Duration::from_secs(12) + AGAIN * no)
+            .map(|no| started + Duration::from_secs(12) + OUTAGE_INTERVAL * no)
             .collect();
-        while self.now.since(begun) < LASTS {
+        while self.now.since(started) < RUN_TIME {
             self.now = self.now + STEP;
-            self.hear();
-            self.work();
+            self.deliver_reports();
+            self.finish_due_runs();
             while self.waiting.front().is_some_and(|(at, ..)| *at <= self.now) {
-                if let Some((_, request, tries)) = self.waiting.pop_front() {
-                    self.arrive(request, None, tries);
+                if let Some((_, request, sends_left)) = self.waiting.pop_front() {
+                    self.arrive(request, None, sends_left);
                 }
             }
             if self.rng.random_ratio(self.load.rate, 100) {
                 number += 1;
                 let popular = self.load.popular && self.rng.random_ratio(1, 3);
                 let name = if popular { 0 } else { number };
-                self.arrive(request(&format!("r{name}")), None, TRIES);
+                self.arrive(request(&format!("r{name}")), None, MAX_SENDS);
             }
-            for (no, next) in comes.iter_mut().enumerate() {
+            for (no, next) in next_sends.iter_mut().enumerate() {
                 if self.now >= *next {
-                    *next = *next + self.load.comes;
+                    *next = *next + self.load.interval;
                     self.arrive(crashing(no), Some(no), 1);
                 }
             }
             if outages.first().is_some_and(|at| self.now >= *at) {
                 outages.remove(0);
-                self.lose_quarter();
+                self.stop_quarter();
             }
         }
     }
@@ -189,15 +189,15 @@
         1_000_000_000_000 + u64::try_from(ms).unwrap_or(u64::MAX)
     }
 
-    fn hear(&mut self) {
+    fn deliver_reports(&mut self) {
         let unix_ms = self.unix_ms();
-        while self.news.front().is_some_and(|(at, _)| *at <= self.now) {
-            match self.news.pop_front() {
-                Some((_, News::Crashed(request, ended))) => {
+        while self.reports.front().is_some_and(|(at, _)| *at <= self.now) {
+            match self.reports.pop_front() {
+                Some((_, Report::Crashed(request, ended))) => {
                     self.registry
                         .record_crash(request, ended, self.now, unix_ms);
                 }
-                Some((_, News::Completed(request))) => {
+                Some((_, Report::Completed(request))) => {
                     let epoch = self.registry.get(request).map(|record| record.epoch);
                     if let Some(epoch) = epoch {
                         self.registry.record_completion(request, epoch, self.now);
@@ -209,7 +209,7 @@
         self.registry.judge(self.now, unix_ms);
     }
 
-    fn arrive(&mut self, request: Fingerprint, crashing: Option<usize>, tries: u32) {
+    fn arrive(&mut self, request: Fingerprint, crashing: Option<usize>, sends_left: u32) {
         if crashing.is_none() && !self.innocent.contains(&request) {
             self.innocent.push(request);
         }
@@ -220,9 +220,9 @@
         let trial = match grant {
             Grant::Free => false,
             Grant::Trial => true,
-            Grant::Busy if crashing.is_none() && tries > 1 => {
+            Grant::Busy if crashing.is_none() && sends_left > 1 => {
                 self.waiting
-                    .push_back((self.now + BACK, request, tries - 1));
+                    .push_back((self.now + POSTPONE_DELAY, request, sends_left - 1));
                 return;
             }
             Grant::Busy | Grant::Refused => {
@@ -231,9 +231,11 @@
             }
         };
         let ms = self.rng.random_range(200..2_500);
-        let ends = crashing.map_or(self.now + Duration::from_millis(ms), |_| self.now + CRASHES);
+        let ends = crashing.map_or(self.now + Duration::from_millis(ms), |_| {
+            self.now + TIME_TO_CRASH
+        });
         let now = self.now;
-        let up = self.upstreams.iter_mut().filter(|up| now >= up.up_at);
+        let up = self.upstreams.iter_mut().filter(|up| now >= up.restarts_at);
         let chosen = if trial {
             up.min_by_key(|up| up.runs.len())
         } else {
@@ -247,12 +249,12 @@
             crashing,
             ends,
             trial,
-            tries,
+            sends_left,
         });
     }
 
     /// Completes or crashes the runs that are due.
-    fn work(&mut self) {
+    fn finish_due_runs(&mut self) {
         for at in 0..self.upstreams.len() {
             let now = self.now;
             let runs = &mut self.upstreams[at].runs;
@@ -260,7 +262,7 @@
             for run in &done {
                 if run.crashing.is_none() {
                     self.served += 1;
-                    self.tell(News::Completed(run.request));
+                    self.send_report(Report::Completed(run.request));
                 }
             }
             // The first crashing run causes the crash; any other is lost with the upstream.
@@ -269,37 +271,37 @@
                 let ended = done.into_iter().filter(|run| run.crashing.is_some());
                 let ended: Vec<Run> = ended.collect();
                 self.upstreams[at].runs.extend(ended);
-                self.lose(at);
+                self.stop_upstream(at);
             }
         }
     }
 
-    fn tell(&mut self, news: News) {
-        self.news.push_back((self.now + HEARD, news));
+    fn send_report(&mut self, report: Report) {
+        self.reports.push_back((self.now + REPORT_DELAY, report));
     }
 
-    fn lose_quarter(&mut self) {
+    fn stop_quarter(&mut self) {
         let count = self.upstreams.len() / 4;
         let lost = (0..self.upstreams.len()).sample(&mut self.rng, count);
         for at in lost {
-            self.lose(at);
+            self.stop_upstream(at);
         }
     }
 
     /// Stops an upstream; its callers retry at once.
-    fn lose(&mut self, at: usize) {
+    fn stop_upstream(&mut self, at: usize) {
         self.lives += 1;
         let upstream = &mut self.upstreams[at];
         let life = std::mem::replace(&mut upstream.life, self.lives);
-        upstream.up_at = self.now + self.load.down;
+        upstream.restarts_at = self.now + self.load.down;
         let runs = std::mem::take(&mut upstream.runs);
         for run in &runs {
             let trial = run.trial;
-            self.tell(News::Crashed(run.request, Crash { life, trial }));
+            self.send_report(Report::Crashed(run.request, Crash { life, trial }));
         }
         for run in runs {
-            if run.crashing.is_none() && run.tries > 1 {
-                self.arrive(run.request, None, run.tries - 1);
+            if run.crashing.is_none() && run.sends_left > 1 {
+                self.arrive(run.request, None, run.sends_left - 1);
             }
         }
     }
--- a/crates/sesamegap-policy/tests/testsuite/support/engine.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/engine.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 /// Maximum number of requests that an engine decodes concurrently.
-const BATCH: usize = 16;
+const MAX_DECODING: usize = 16;
 
 /// Time per answer token at speed 1.
-const STEP: Duration = Duration::from_millis(20);
+const TOKEN_TIME: Duration = Duration::from_millis(20);
 
 /// Prompt tokens per second at speed 1.
-const SPEED: f64 = 20_000.0;
+const TOKENS_PER_SECOND: f64 = 20_000.0;
 
 /// Prompt tokens per prefill chunk; the priority order is re-evaluated between chunks.
-const PIECE: u64 = 2_048;
+const CHUNK_TOKENS: u64 = 2_048;
 
 /// A request as sent to an engine.
 #[derive(Debug, Clone)]
@@ -63,13 +63,13 @@
 
     /// Starts the next prefill chunk, of the waiting request with the highest priority.
     fn start(&mut self, now: Moment) {
-        if self.computing.is_some() || self.decoding.len() >= BATCH {
+        if self.computing.is_some() || self.decoding.len() >= MAX_DECODING {
             return;
         }
         if let Some((place, mut job)) = self.waiting.pop_first() {
-            let piece = job.tokens.min(PIECE);
-            job.tokens -= piece;
-            let time = Duration::from_secs_f64(piece as f64 / (SPEED * self.speed));
+            let chunk = job.tokens.min(CHUNK_TOKENS);
+            job.tokens -= chunk;
+            let time = Duration::from_secs_f64(chunk as f64 / (TOKENS_PER_SECOND * self.speed));
             self.computing = Some((now + time, place, job));
         }
     }
@@ -92,7 +92,7 @@
                 self.waiting.insert(place, job);
             } else {
                 ticks.push(Tick::First(job.request.clone()));
-                let time = STEP.mul_f64(job.answer as f64 / self.speed);
+                let time = TOKEN_TIME.mul_f64(job.answer as f64 / self.speed);
                 self.decoding.insert((now + time, job.request));
             }
         }
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Interval at which engines report and routers exchange digests.
-const NEWS: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A request made by a caller.
 #[derive(Debug, Clone)]
@@ -96,11 +96,11 @@
             places: BTreeMap::new(),
             catalogue,
         };
-        world.begin();
+        world.schedule_initial();
         world
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial(&mut self) {
         let entries: Vec<_> = (0..self.engines.len())
             .map(|n| EngineEntry {
                 id: engine_id(n),
@@ -135,7 +135,7 @@
                 Event::Engine(n) => self.tick(n),
                 Event::Router(n) => self.poll(n),
                 Event::News => self.news(),
-                Event::Crash(n) => self.lose(n),
+                Event::Crash(n) => self.crash_engine(n),
             }
         }
     }
@@ -204,10 +204,10 @@
         let n: usize = engine.as_str()[1..].parse().expect("valid");
         self.places.insert(request.clone(), n);
         self.engines[n].take(job, self.now);
-        self.plan(n);
+        self.schedule_engine(n);
     }
 
-    fn plan(&mut self, engine: usize) {
+    fn schedule_engine(&mut self, engine: usize) {
         if let Some(next) = self.engines[engine].next() {
             self.events.insert((next, Event::Engine(engine)));
         }
@@ -231,7 +231,7 @@
             self.routers[router].observe(news, self.now);
             self.poll(router);
         }
-        self.plan(engine);
+        self.schedule_engine(engine);
     }
 
     fn news(&mut self) {
@@ -253,11 +253,12 @@
         for n in 0..self.routers.len() {
             self.poll(n);
         }
-        self.events.insert((self.now + NEWS, Event::News));
+        self.events
+            .insert((self.now + REPORT_INTERVAL, Event::News));
     }
 
     /// Crashes an engine; the routers resubmit the lost requests that had no token yet.
-    fn lose(&mut self, engine: usize) {
+    fn crash_engine(&mut self, engine: usize) {
         for lost in self.engines[engine].crash() {
             let n = index(&lost);
             let router = self.router_of(n as u64);
