--- a/crates/sesamegap-measure/src/world.rs
+++ b/crates/sesamegap-measure/src/world.rs
@@ -264,7 +264,7 @@
                 }
                 Decision::Hedge {
                     request,
-                    twin,
+                    hedge_id: twin,
                     at,
                     priority,
                 } => {
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -164,26 +164,26 @@
     /// never queued, since a queued hedge would take the place of a first attempt.
     pub(super) fn send_due_hedges(&mut self, now: Moment) {
         while let Some((work, engine)) = self.attempts.take_due_hedge(now) {
-            let mut twin = *work;
-            let request = twin.request.clone();
-            twin.request.seq |= HEDGE_BIT;
-            twin.barred.push(engine);
-            self.send_hedge(request, &twin, now);
+            let mut hedge = *work;
+            let request = hedge.request.clone();
+            hedge.request.seq |= HEDGE_BIT;
+            hedge.barred.push(engine);
+            self.send_hedge(request, &hedge, now);
         }
     }
 
-    fn send_hedge(&mut self, request: RequestId, twin: &Work, now: Moment) {
-        let Some(class) = self.catalogue.classes.get(&twin.class) else {
+    fn send_hedge(&mut self, request: RequestId, hedge: &Work, now: Moment) {
+        let Some(class) = self.catalogue.classes.get(&hedge.class) else {
             return;
         };
-        let deadline = twin.arrived + class.deadline;
+        let deadline = hedge.arrived + class.deadline;
         let rank = Rank::new(false, class.priority);
-        let time = self.estimator.first_token_time(twin, rank, now);
+        let time = self.estimator.first_token_time(hedge, rank, now);
         let too_late = time.is_some_and(|time| now + time.with(0.0) >= deadline);
         if !class.hedge || too_late || !self.budget.pay() {
             return;
         }
-        let ask = ask(twin, class);
+        let ask = ask(hedge, class);
         let is_highest = class.priority >= self.highest_priority;
         let room = self.windows.room(is_highest);
         let placed = self.placer.place(&ask, &room, now, &mut self.rng);
@@ -193,13 +193,13 @@
             return;
         };
         self.placer.sent(&ask, &at, now);
-        let missing = twin.chain.tokens - at.cached;
-        self.windows.take(&twin.request, &at, missing, now);
-        let attempt = new_attempt(twin, rank, &at, class, now);
-        self.attempts.insert(&twin.request, attempt);
+        let missing = hedge.chain.tokens - at.cached;
+        self.windows.take(&hedge.request, &at, missing, now);
+        let attempt = new_attempt(hedge, rank, &at, class, now);
+        self.attempts.insert(&hedge.request, attempt);
         self.decisions.push(Decision::Hedge {
             request,
-            twin: twin.request.clone(),
+            hedge_id: hedge.request.clone(),
             at,
             priority: rank.in_engine(),
         });
--- a/crates/sesamegap-policy/src/decider/work.rs
+++ b/crates/sesamegap-policy/src/decider/work.rs
@@ -100,14 +100,14 @@
     /// Send a second, concurrent attempt because the first token is late.
     ///
     /// The second attempt is tracked, and reported to [`super::Decider::observe`], under the id
-    /// `twin`, like a separate request. The attempt that returns a token first answers the caller;
-    /// the other is cancelled upstream and reported as finished without a complete answer. If the
-    /// second attempt cannot be started, `twin` is reported as finished at once.
+    /// `hedge_id`, like a separate request. The attempt that returns a token first answers the
+    /// caller; the other is cancelled upstream and reported as finished without a complete answer.
+    /// If the second attempt cannot be started, `hedge_id` is reported as finished at once.
     Hedge {
         /// The request whose first token is late.
         request: RequestId,
         /// Id of the second attempt.
-        twin: RequestId,
+        hedge_id: RequestId,
         /// Engine to send it to.
         at: Placement,
         /// Priority in the engine's own batch.
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -227,7 +227,7 @@
             [
                 Decision::Hedge {
                     request: of,
-                    twin,
+                    hedge_id: twin,
                     at: other,
                     ..
                 },
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -168,7 +168,7 @@
                 }
                 Decision::Hedge {
                     request,
-                    twin,
+                    hedge_id: twin,
                     at,
                     priority,
                 } => {
--- a/crates/sesamegap/src/router/deciding/thread.rs
+++ b/crates/sesamegap/src/router/deciding/thread.rs
@@ -132,7 +132,7 @@
                 }
                 Decision::Hedge {
                     request,
-                    twin,
+                    hedge_id: twin,
                     at,
                     priority,
                 } => self.hedge(&request, Hedge { twin, at, priority }),
