--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -24,7 +24,9 @@
 use crate::telemetry::events;
 use outbox::Outbox;
 use rustc_hash::FxHashMap;
-use sesamegap_policy::quarantine::{COORDINATORS, Crash, Grant, Record, Registry, Standing};
+use sesamegap_policy::quarantine::{
+    COORDINATOR_RANKING_KEY, Crash, Grant, Record, Registry, Standing,
+};
 use sesamegap_wire::{Fingerprint, Moment, UpstreamId};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
@@ -79,7 +81,7 @@
 
 /// Whether this VM grants trials and judges them.
 fn is_coordinator(core: &Core) -> bool {
-    core.peers.first(1, COORDINATORS) == [None]
+    core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -146,7 +148,7 @@
                 registry.record_crash(*request, *crash, now, clock::unix_ms());
             }),
             Report::Completed { request, epoch } => self.change(*request, by, |registry| {
-                registry.record_success(*request, *epoch, now);
+                registry.record_completion(*request, *epoch, now);
             }),
             Report::Released { request } => self.registry().end_trial(*request),
         }
@@ -202,7 +204,7 @@
 fn log(request: Fingerprint, standing: Standing, record: Option<&Record>, by: &str) {
     let lives = record.map(|record| record.crashes.iter().map(|crash| crash.life));
     let ended: Vec<u64> = lives.into_iter().flatten().collect();
-    let trials = record.map_or(0, Record::failed);
+    let trials = record.map_or(0, Record::failed_trials);
     let epoch = record.map_or(0, |record| record.epoch);
     warn!(event = events::QUARANTINE, fingerprint = %request, standing = ?standing, ended = ?ended, trials, epoch, by, "standing of a request changed");
 }
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -1,6 +1,6 @@
-//! What one VM knows of requests under which upstreams ended.
+//! Crash records of all requests, as known to one VM.
 
-use super::record::{Crash, Record, SUSPECT, Standing};
+use super::record::{Crash, Record, SUSPECT_CRASHES, Standing};
 use crate::routing::engines::rank;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::{Deserialize, Serialize};
@@ -8,68 +8,70 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests kept at most, at some 200 bytes each. All that run on a lost upstream are noted, a hundred at a time.
-const MOST: usize = 4_096;
+/// Maximum number of requests tracked, at about 200 bytes each. A crash adds every request that ran on the upstream, up
+/// to a hundred at a time.
+const MAX_REQUESTS: usize = 4_096;
 
-/// Part of them that goes when there are more.
-const DROPPED: usize = MOST / 8;
+/// Number of requests that are dropped when the maximum is exceeded.
+const TRIM_COUNT: usize = MAX_REQUESTS / 8;
 
-/// Span over which lost upstreams are compared with those of a suspect.
-const LATELY: Duration = Duration::from_secs(30);
+/// Time window in which all crashes are compared with those of a suspect.
+const RECENT_WINDOW: Duration = Duration::from_secs(30);
 
-/// Lost upstreams remembered for that.
-const MOST_LATELY: usize = 1_024;
+/// Maximum number of crashes remembered for that comparison.
+const MAX_RECENT_CRASHES: usize = 1_024;
 
-/// Shortest time from the crash of an upstream to that of its next instance; repeated reports of one crash come sooner.
-const REBIRTH: Duration = Duration::from_millis(600);
+/// Minimum time between the crashes of an upstream and of its next instance. Repeated reports of the same crash arrive
+/// sooner.
+const MIN_CRASH_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Losses of one request that are told apart so.
-const MOST_LOSSES: usize = 16;
+/// Maximum number of upstream instances per request for which repeated reports are told from new crashes.
+const MAX_REPORTED_INSTANCES: usize = 16;
 
-/// Time after a trial's loss in which other VMs' reports of the same moment arrive.
-const SETTLING: Duration = Duration::from_millis(250);
+/// Time after a failed trial in which other VMs' reports of crashes at the same moment arrive.
+const SETTLE_TIME: Duration = Duration::from_millis(250);
 
-/// Time after a trial's loss in which what else was lost lately says something about it.
-const FRESH: Duration = Duration::from_secs(5);
+/// Time after a failed trial in which the other recent crashes are evidence about its cause.
+const EVIDENCE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Longest time for which one trial holds up the others: a run that goes on after it delays nobody.
-const TURN: Duration = Duration::from_secs(2);
+/// Maximum time for which a trial blocks other trials; it may continue to run after that.
+const MAX_TRIAL_HOLD: Duration = Duration::from_secs(2);
 
-/// The answer to a VM that wants to run a suspect.
+/// Answer to a VM that requests permission to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// It is no suspect.
+    /// The request is not a suspect and may run.
     Free,
-    /// It may run once, by itself.
+    /// The request may run once, as the only trial.
     Trial,
-    /// Another suspect runs.
+    /// Another trial is running, or the result of this request's last trial is still open.
     Busy,
-    /// It is quarantined.
+    /// The request is quarantined.
     Refused,
 }
 
 #[derive(Debug)]
 struct Tracked {
     record: Record,
-    /// When it was last changed.
-    changed: Moment,
-    /// When a trial of it last lost an upstream.
-    failed: Option<Moment>,
-    /// Its losses by the lives that the list gave the upstreams.
-    losses: Vec<Loss>,
+    /// When the record last changed.
+    changed_at: Moment,
+    /// When a trial of the request last ended in a crash.
+    trial_failed_at: Option<Moment>,
+    /// Crashes by instance number as reported, that is, as in the list of upstreams.
+    reported: Vec<ReportedCrashes>,
 }
 
-/// An upstream that ended under a request, maybe more than once under one life.
+/// Crashes of an upstream that were reported with the same instance number.
 ///
-/// One that crashed may be back before the list shows its new life. Its next crash bears the number of the former life and
-/// would count for nothing.
+/// A crashed upstream may be running again before the list shows its new instance number. Its next crash is then reported
+/// with the former number and, without this count, would be ignored as a repeated report.
 #[derive(Debug)]
-struct Loss {
+struct ReportedCrashes {
     life: u64,
-    /// Instances that ended before the last one.
+    /// Number of crashes before the last one.
     count: u64,
-    /// When the first report of the last one came.
-    at: Moment,
+    /// When the last crash was first reported.
+    last_at: Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -78,37 +80,41 @@
     until: Moment,
 }
 
-/// What one VM knows of requests under which upstreams ended.
+/// Crash records of all requests, as known to one VM.
 #[derive(Debug, Default)]
 pub struct Registry {
     requests: FxHashMap<Fingerprint, Tracked>,
-    /// Upstreams that were lost lately, by their lives.
-    lately: VecDeque<(u64, Moment)>,
+    /// Recent crashes, by instance number.
+    recent_crashes: VecDeque<(u64, Moment)>,
     trial: Option<Trial>,
-    /// Requests to be published.
-    news: FxHashSet<Fingerprint>,
-    /// Suspects that another one's condemnation cleared.
+    /// Requests whose records are to be published.
+    unpublished: FxHashSet<Fingerprint>,
+    /// Suspects whose crashes were all explained by condemned requests.
     cleared: Vec<Fingerprint>,
-    /// Lost upstreams with the condemned request that ended each.
+    /// Crashed instances, with the condemned request that explains each crash.
     explained: FxHashMap<u64, Fingerprint>,
 }
 
 impl Tracked {
-    /// The number of the instance that ended, by its life in the list.
-    fn instance(&mut self, life: u64, now: Moment) -> u64 {
-        if self.losses.len() >= MOST_LOSSES {
-            self.losses.clear();
+    /// Returns the number of the instance that crashed, given the reported one.
+    fn instance_number(&mut self, life: u64, now: Moment) -> u64 {
+        if self.reported.len() >= MAX_REPORTED_INSTANCES {
+            self.reported.clear();
         }
-        let Some(loss) = self.losses.iter_mut().find(|loss| loss.life == life) else {
-            let at = now;
-            self.losses.push(Loss { life, count: 0, at });
+        let Some(known) = self.reported.iter_mut().find(|known| known.life == life) else {
+            let last_at = now;
+            self.reported.push(ReportedCrashes {
+                life,
+                count: 0,
+                last_at,
+            });
             return life;
         };
-        if now.since(loss.at) >= REBIRTH {
-            loss.count += 1;
-            loss.at = now;
+        if now.since(known.last_at) >= MIN_CRASH_INTERVAL {
+            known.count += 1;
+            known.last_at = now;
         }
-        match loss.count {
+        match known.count {
             0 => life,
             count => rank(life, count),
         }
@@ -116,52 +122,52 @@
 }
 
 impl Registry {
-    /// Whether nothing is known of any request.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// What is to be done with a request at a time in Unix milliseconds.
+    /// Returns how a request is treated at the given Unix time in milliseconds.
     pub fn standing(&self, request: Fingerprint, unix_ms: u64) -> Standing {
         let known = self.requests.get(&request);
         known.map_or(Standing::Clear, |known| known.record.standing(unix_ms))
     }
 
-    /// What is known of a request.
+    /// Returns the record of a request.
     pub fn get(&self, request: Fingerprint) -> Option<&Record> {
         self.requests.get(&request).map(|known| &known.record)
     }
 
-    /// Requests that do not run like any other, and those that were cleared.
+    /// Returns the records of requests that are restricted or were cleared.
     pub fn published(&self, unix_ms: u64) -> impl Iterator<Item = &Record> {
         let records = self.requests.values().map(|known| &known.record);
         records
             .filter(move |record| record.epoch > 0 || record.standing(unix_ms) != Standing::Clear)
     }
 
-    /// Notes that an upstream ended under a request.
+    /// Records that an upstream crashed while it ran a request.
     pub fn record_crash(&mut self, request: Fingerprint, crash: Crash, now: Moment, unix_ms: u64) {
         let known = self.track(request, now);
-        let life = known.instance(crash.life, now);
+        let life = known.instance_number(crash.life, now);
         let crash = Crash { life, ..crash };
         let added = known.record.add(crash, unix_ms);
-        self.note_loss(life, now);
+        self.record_recent_crash(life, now);
         if !added {
             return;
         }
         let known = self.track(request, now);
-        known.changed = now;
+        known.changed_at = now;
         if crash.trial {
-            known.failed = Some(now);
+            known.trial_failed_at = Some(now);
         }
         self.end_trial(request);
-        self.drop_explained(request);
+        self.clear_if_explained(request);
         self.publish(request, unix_ms);
         self.trim(unix_ms);
     }
 
-    /// Notes that a request ran to its end, as of an epoch; whether that clears it of anything.
-    pub fn record_success(&mut self, request: Fingerprint, epoch: u32, now: Moment) -> bool {
+    /// Records that a request completed, as of the given epoch; returns whether that cleared any crashes.
+    pub fn record_completion(&mut self, request: Fingerprint, epoch: u32, now: Moment) -> bool {
         self.end_trial(request);
         let Some(known) = self.requests.get_mut(&request) else {
             return false;
@@ -170,37 +176,37 @@
             return false;
         }
         known.record.clear();
-        known.changed = now;
-        known.failed = None;
+        known.changed_at = now;
+        known.trial_failed_at = None;
         self.explained.retain(|_, by| *by != request);
-        self.news.insert(request);
+        self.unpublished.insert(request);
         true
     }
 
-    /// Lets a request run like any other again; whether it did not.
+    /// Clears a request; returns whether it had any crashes.
     pub fn lift(&mut self, request: Fingerprint, now: Moment) -> bool {
         let epoch = self.get(request).map(|record| record.epoch);
-        epoch.is_some_and(|epoch| self.record_success(request, epoch, now))
+        epoch.is_some_and(|epoch| self.record_completion(request, epoch, now))
     }
 
-    /// Takes in what another VM knows of a request.
+    /// Merges the record of another VM.
     pub fn merge(&mut self, other: &Record, now: Moment, unix_ms: u64) {
         let request = other.fingerprint;
         let known = self.track(request, now);
-        let failed = known.record.failed();
+        let failed = known.record.failed_trials();
         if !known.record.merge(other) {
             return;
         }
-        known.changed = now;
-        if known.record.failed() > failed {
-            known.failed = Some(now);
+        known.changed_at = now;
+        if known.record.failed_trials() > failed {
+            known.trial_failed_at = Some(now);
         }
-        self.drop_explained(request);
+        self.clear_if_explained(request);
         self.publish(request, unix_ms);
         self.trim(unix_ms);
     }
 
-    /// Decides whether a VM may run a request; only the coordinator does.
+    /// Decides whether a VM may run a request. Called on the coordinator only.
     pub fn request_trial(
         &mut self,
         request: Fingerprint,
@@ -220,25 +226,28 @@
         }
         self.trial = Some(Trial {
             fingerprint: request,
-            until: now + left.min(TURN),
+            until: now + left.min(MAX_TRIAL_HOLD),
         });
         Grant::Trial
     }
 
-    /// Ends the turn of a request's trial.
+    /// Ends a request's trial, so that another one may start.
     pub fn end_trial(&mut self, request: Fingerprint) {
         self.trial = self.trial.filter(|trial| trial.fingerprint != request);
     }
 
-    /// Condemns suspects whose trial has settled, and names them; only the coordinator does.
+    /// Condemns the suspects that are found to be the cause of their failed trials, once all reports have had time to
+    /// arrive, and returns them. Called on the coordinator only.
     pub fn judge(&mut self, now: Moment, unix_ms: u64) -> Vec<Fingerprint> {
         let failed = self.requests.values_mut().filter(|known| {
-            let at = known.failed;
-            at.is_some_and(|at| now.since(at) >= SETTLING) && !known.record.is_condemned()
+            let at = known.trial_failed_at;
+            at.is_some_and(|at| now.since(at) >= SETTLE_TIME) && !known.record.is_condemned()
         });
         let failed: Vec<(Fingerprint, bool)> = failed
             .map(|known| {
-                let fresh = known.failed.is_some_and(|at| now.since(at) < FRESH);
+                let fresh = known
+                    .trial_failed_at
+                    .is_some_and(|at| now.since(at) < EVIDENCE_WINDOW);
                 (known.record.fingerprint, fresh)
             })
             .collect();
@@ -253,46 +262,48 @@
         for request in &condemned {
             if let Some(known) = self.requests.get_mut(request) {
                 known.record.condemned = true;
-                known.changed = now;
+                known.changed_at = now;
             }
             self.publish(*request, unix_ms);
         }
         condemned
     }
 
-    /// Requests whose standing changed since the last call.
-    pub fn take_news(&mut self) -> Vec<Record> {
-        let news = std::mem::take(&mut self.news);
-        let known = news.iter().filter_map(|request| self.get(*request));
+    /// Returns the records to be published that changed since the last call.
+    pub fn take_unpublished(&mut self) -> Vec<Record> {
+        let unpublished = std::mem::take(&mut self.unpublished);
+        let known = unpublished.iter().filter_map(|request| self.get(*request));
         known.cloned().collect()
     }
 
-    /// Suspects that another one's condemnation cleared since the last call.
+    /// Returns the suspects that were cleared since the last call because condemned requests explain their crashes.
     pub fn take_cleared(&mut self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.cleared)
     }
 
-    /// Whether the trials that a request has failed are enough to condemn it.
+    /// Whether the failed trials of a request are enough to condemn it.
     ///
-    /// Others run beside a trial, and one that is no suspect yet may have ended its upstream. A single trial condemns if
-    /// nothing else was lost lately, two do if it was at half of the losses, three in any case. None do while another
-    /// request was at the same ones, and those that a condemned request explains do not count.
+    /// Other requests run beside a trial, and one that is not a suspect yet may have caused the crash. One failed trial is
+    /// enough if there were no other recent crashes, two if the request was involved in at least half of the recent
+    /// crashes, and three in any case. No number is enough while another request was involved in the same crashes, and
+    /// crashes that a condemned request explains do not count.
     fn is_cause(&self, record: &Record, fresh: bool, now: Moment) -> bool {
-        let lately = self.lately.iter();
-        let lately = lately.filter(|(_, at)| now.since(*at) < LATELY);
-        let (own, others): (Vec<u64>, Vec<u64>) = lately
+        let recent_crashes = self.recent_crashes.iter();
+        let recent_crashes = recent_crashes.filter(|(_, at)| now.since(*at) < RECENT_WINDOW);
+        let (own, others): (Vec<u64>, Vec<u64>) = recent_crashes
             .map(|(life, _)| *life)
             .partition(|life| record.has(*life));
         let trials = self.unexplained(record, true);
         match trials.len() {
             0 => false,
-            1 => fresh && others.is_empty() && !self.is_shared(record, trials[0]),
-            2 => fresh && own.len() >= others.len() && !self.is_covered(record, &trials),
-            _ => !self.is_covered(record, &trials),
+            1 => fresh && others.is_empty() && !self.may_have_other_cause(record, trials[0]),
+            2 => fresh && own.len() >= others.len() && !self.is_shared_by_another(record, &trials),
+            _ => !self.is_shared_by_another(record, &trials),
         }
     }
 
-    /// Upstreams that a request lost in trials or otherwise, and that no condemned request explains.
+    /// Returns the instances that crashed under a request, in trials or outside them, and that no condemned request
+    /// explains.
     fn unexplained(&self, record: &Record, trial: bool) -> Vec<u64> {
         let ended = record.crashes.iter().filter(|crash| crash.trial == trial);
         let lives = ended.map(|crash| crash.life);
@@ -301,88 +312,94 @@
             .collect()
     }
 
-    /// Whether a condemned request other than this one was at an upstream that was lost.
+    /// Whether a condemned request other than this one explains the crash of an instance.
     fn is_explained(&self, request: Fingerprint, life: u64) -> bool {
         self.explained.get(&life).is_some_and(|by| *by != request)
     }
 
-    /// Whether another request that is not condemned was at all of these upstreams as well.
-    fn is_covered(&self, record: &Record, lives: &[u64]) -> bool {
+    /// Whether another request that is not condemned was running on all of these instances as well.
+    fn is_shared_by_another(&self, record: &Record, lives: &[u64]) -> bool {
         let covers = |other: &Record| lives.iter().all(|life| other.has(*life));
-        self.rivals(record).any(covers)
+        self.other_uncondemned(record).any(covers)
     }
 
-    /// Whether a single failed trial may as well be another's: one was on trial at the same upstream, or was at all that were
-    /// lost before.
-    fn is_shared(&self, record: &Record, trial: u64) -> bool {
+    /// Whether another request may have caused the crash of a single failed trial: it was on trial on the same instance, or
+    /// was running on all that crashed before.
+    fn may_have_other_cause(&self, record: &Record, trial: u64) -> bool {
         let tried = |crash: &Crash| crash.trial && crash.life == trial;
         let before = self.unexplained(record, false);
         let beside = self
-            .rivals(record)
+            .other_uncondemned(record)
             .any(|other| other.crashes.iter().any(tried));
-        beside || self.is_covered(record, &before)
+        beside || self.is_shared_by_another(record, &before)
     }
 
-    fn rivals(&self, record: &Record) -> impl Iterator<Item = &Record> {
+    fn other_uncondemned(&self, record: &Record) -> impl Iterator<Item = &Record> {
         let request = record.fingerprint;
         let others = self.requests.values().map(|known| &known.record);
         others.filter(move |other| other.fingerprint != request && !other.is_condemned())
     }
 
     fn is_settling(&self, request: Fingerprint, now: Moment) -> bool {
-        let failed = self.requests.get(&request).and_then(|known| known.failed);
-        failed.is_some_and(|at| now.since(at) < SETTLING)
+        let failed_at = self
+            .requests
+            .get(&request)
+            .and_then(|known| known.trial_failed_at);
+        failed_at.is_some_and(|at| now.since(at) < SETTLE_TIME)
     }
 
-    fn note_loss(&mut self, life: u64, now: Moment) {
-        self.lately.retain(|(_, at)| now.since(*at) < LATELY);
-        if self.lately.iter().all(|(known, _)| *known != life) && self.lately.len() < MOST_LATELY {
-            self.lately.push_back((life, now));
+    fn record_recent_crash(&mut self, life: u64, now: Moment) {
+        self.recent_crashes
+            .retain(|(_, at)| now.since(*at) < RECENT_WINDOW);
+        if self.recent_crashes.iter().all(|(known, _)| *known != life)
+            && self.recent_crashes.len() < MAX_RECENT_CRASHES
+        {
+            self.recent_crashes.push_back((life, now));
         }
     }
 
     fn track(&mut self, request: Fingerprint, now: Moment) -> &mut Tracked {
         self.requests.entry(request).or_insert_with(|| Tracked {
             record: Record::new(request),
-            changed: now,
-            failed: None,
-            losses: Vec::new(),
+            changed_at: now,
+            trial_failed_at: None,
+            reported: Vec::new(),
         })
     }
 
-    /// Has a request published that does not run like any other, or no longer does.
+    /// Marks a record for publication if the request is restricted or was cleared.
     fn publish(&mut self, request: Fingerprint, unix_ms: u64) {
         let Some(record) = self.get(request) else {
             return;
         };
         if record.epoch > 0 || record.standing(unix_ms) != Standing::Clear {
-            self.news.insert(request);
+            self.unpublished.insert(request);
         }
         if self.get(request).is_some_and(Record::is_condemned) {
-            self.note_explained(request);
+            self.record_explained(request);
         }
     }
 
-    /// Notes the losses that a condemned request explains.
-    fn note_explained(&mut self, condemned: Fingerprint) {
+    /// Records the crashes that a condemned request explains.
+    fn record_explained(&mut self, condemned: Fingerprint) {
         let Some(record) = self.get(condemned).cloned() else {
             return;
         };
-        if self.explained.len() >= MOST_LATELY {
+        if self.explained.len() >= MAX_RECENT_CRASHES {
             self.explained.clear();
         }
         let lives = record.crashes.iter().map(|crash| crash.life);
         self.explained.extend(lives.map(|life| (life, condemned)));
         let requests: Vec<Fingerprint> = self.requests.keys().copied().collect();
         for request in requests {
-            self.drop_explained(request);
+            self.clear_if_explained(request);
         }
         self.requests
             .retain(|_, known| known.record.epoch > 0 || !known.record.crashes.is_empty());
     }
 
-    /// Drops what is held against a request if condemned ones were at all upstreams that it lost.
-    fn drop_explained(&mut self, request: Fingerprint) {
+    /// Clears the crashes of a request if condemned requests explain all of them.
+    fn clear_if_explained(&mut self, request: Fingerprint) {
         let Some(known) = self.requests.get_mut(&request) else {
             return;
         };
@@ -390,16 +407,16 @@
         let is_explained = |life: u64| explained.get(&life).is_some_and(|by| *by != request);
         let ended = &mut known.record.crashes;
         if !known.record.condemned && ended.iter().all(|crash| is_explained(crash.life)) {
-            if ended.len() >= SUSPECT {
+            if ended.len() >= SUSPECT_CRASHES {
                 self.cleared.push(request);
             }
             ended.clear();
         }
     }
 
-    /// Forgets requests beyond the bound, those of least consequence and the oldest first.
+    /// Drops requests if the maximum is exceeded: the least restricted first, and among these the least recently changed.
     fn trim(&mut self, unix_ms: u64) {
-        if self.requests.len() <= MOST {
+        if self.requests.len() <= MAX_REQUESTS {
             return;
         }
         let class = |record: &Record| match record.standing(unix_ms) {
@@ -412,13 +429,13 @@
             .map(|known| {
                 (
                     class(&known.record),
-                    known.changed,
+                    known.changed_at,
                     known.record.fingerprint,
                 )
             })
             .collect();
         order.sort_unstable();
-        for (_, _, request) in order.into_iter().take(DROPPED) {
+        for (_, _, request) in order.into_iter().take(TRIM_COUNT) {
             self.requests.remove(&request);
         }
     }
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -183,7 +183,7 @@
 fn decider(settings: Catalogue) -> Decider {
     let mut decider = DeciderBuilder::new("a".parse().expect("valid"))
         .catalogue(Arc::new(settings))
-        .placer(Box::new(crate::support::least::LeastPlacer::default()))
+        .placer(Box::new(crate::support::least::LeastLoadPlacer::default()))
         .build();
     let entry = |n| EngineEntry {
         id: engine_id(n),
@@ -211,7 +211,7 @@
             let now = at(100 + seq * 10);
             decider.submit(work(seq, "a", "check", 5_000, now), now);
             assert_eq!(decider.poll(now).len(), 1);
-            decider.observe(Observation::First(request(seq)), now + millis(5));
+            decider.observe(Observation::FirstToken(request(seq)), now + millis(5));
             decider.observe(Observation::Finished(request(seq), true), now + millis(6));
         }
         let now = at(1_000);
@@ -227,7 +227,7 @@
             [
                 Decision::Hedge {
                     request: of,
-                    twin,
+                    hedge_id: twin,
                     at: other,
                     ..
                 },
--- a/crates/sesamegap-policy/tests/testsuite/support/engine.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/engine.rs
@@ -1,4 +1,5 @@
-//! An engine in virtual time: chunks of prefill by priority, and a batch that decodes.
+//! Simulated engine in virtual time: chunked prefill in order of priority, and a batch of decoding
+//! requests.
 
 use sesamegap_wire::engine::LoadReport;
 use sesamegap_wire::{Incarnation, Moment, RequestId, Tokens, WeightsVersion};
@@ -6,19 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Streams that one engine answers at once.
-const BATCH: usize = 16;
+/// Maximum number of requests that an engine decodes concurrently.
+const MAX_DECODING: usize = 16;
 
-/// Time of one answer token.
-const STEP: Duration = Duration::from_millis(20);
+/// Time per answer token at speed 1.
+const TOKEN_TIME: Duration = Duration::from_millis(20);
 
-/// Prompt tokens computed a second by an engine of speed 1.
-const SPEED: f64 = 20_000.0;
+/// Prompt tokens per second at speed 1.
+const TOKENS_PER_SECOND: f64 = 20_000.0;
 
-/// Prompt tokens computed before the engine looks again who goes first.
-const PIECE: u64 = 2_048;
+/// Prompt tokens per prefill chunk; the priority order is re-evaluated between chunks.
+const CHUNK_TOKENS: u64 = 2_048;
 
-/// A request as an engine sees it.
+/// A request as sent to an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub request: RequestId,
@@ -27,7 +28,7 @@
     pub priority: u8,
 }
 
-/// What happens on an engine.
+/// An event on an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Tick {
     First(RequestId),
@@ -60,27 +61,27 @@
         self.start(now);
     }
 
-    /// Starts the next piece of the prompt that goes first.
+    /// Starts the next prefill chunk, of the waiting request with the highest priority.
     fn start(&mut self, now: Moment) {
-        if self.computing.is_some() || self.decoding.len() >= BATCH {
+        if self.computing.is_some() || self.decoding.len() >= MAX_DECODING {
             return;
         }
         if let Some((place, mut job)) = self.waiting.pop_first() {
-            let piece = job.tokens.min(PIECE);
-            job.tokens -= piece;
-            let time = Duration::from_secs_f64(piece as f64 / (SPEED * self.speed));
+            let chunk = job.tokens.min(CHUNK_TOKENS);
+            job.tokens -= chunk;
+            let time = Duration::from_secs_f64(chunk as f64 / (TOKENS_PER_SECOND * self.speed));
             self.computing = Some((now + time, place, job));
         }
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next(&self) -> Option<Moment> {
         let computed = self.computing.as_ref().map(|(at, ..)| *at);
         let decoded = self.decoding.first().map(|(at, _)| *at);
         computed.into_iter().chain(decoded).min()
     }
 
-    /// What happens by now; call it at each [`Engine::next`].
+    /// Returns the events that are due. To be called at the time returned by [`Engine::next`].
     pub fn tick(&mut self, now: Moment) -> Vec<Tick> {
         let mut ticks = Vec::new();
         while self.decoding.first().is_some_and(|(at, _)| *at <= now) {
@@ -91,7 +92,7 @@
                 self.waiting.insert(place, job);
             } else {
                 ticks.push(Tick::First(job.request.clone()));
-                let time = STEP.mul_f64(job.answer as f64 / self.speed);
+                let time = TOKEN_TIME.mul_f64(job.answer as f64 / self.speed);
                 self.decoding.insert((now + time, job.request));
             }
         }
@@ -99,7 +100,7 @@
         ticks
     }
 
-    /// Drops all it has, as a crash does.
+    /// Crashes the engine and returns the requests that were lost.
     pub fn crash(&mut self) -> Vec<RequestId> {
         let mut lost: Vec<_> = self
             .waiting
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -1,4 +1,4 @@
-//! A placer that knows load and nothing of caches, so that tests of load depend on load alone.
+//! A placer that considers load but not caches, so that tests of load do not depend on cache state.
 
 use rand::Rng;
 use sesamegap_policy::placing::{Ask, Need, Placed, Placement, Placer, Room};
@@ -8,14 +8,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Picks the engine with the least prefill, reported or sent since.
+/// Picks the engine with the least prefill work, as reported or as sent by this router, plus a
+/// fixed cost per request.
 #[derive(Debug, Default)]
-pub struct LeastPlacer {
+pub struct LeastLoadPlacer {
     engines: BTreeMap<UpstreamId, Option<LoadReport>>,
     sent: BTreeMap<RequestId, (UpstreamId, u64)>,
 }
 
-impl LeastPlacer {
+impl LeastLoadPlacer {
     fn load(&self, engine: &UpstreamId, report: &LoadReport) -> u64 {
         let own = self.sent.values().filter(|(at, _)| at == engine);
         let own: u64 = own.map(|(_, tokens)| tokens).sum();
@@ -23,7 +24,7 @@
     }
 }
 
-impl Placer for LeastPlacer {
+impl Placer for LeastLoadPlacer {
     fn fleet(&mut self, engines: &[EngineEntry], _now: Moment) {
         self.engines = engines
             .iter()
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -1,7 +1,7 @@
-//! Callers, routers and engines in virtual time, and what callers got in the end.
+//! Simulation, in virtual time, of callers, routers and engines, with the outcome of each call.
 
 use super::engine::{Engine, Job, Tick};
-use super::least::LeastPlacer;
+use super::least::LeastLoadPlacer;
 use super::{at, request, work};
 use sesamegap_policy::load::windows::WindowKind;
 use sesamegap_policy::{Decider, DeciderBuilder, Decision, Observation, RefusalCode};
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often engines report and routers tell each other of demand.
-const NEWS: Duration = Duration::from_millis(500);
+/// Interval at which engines report and routers exchange digests.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A request that some caller makes.
+/// A request made by a caller.
 #[derive(Debug, Clone)]
 pub struct Call {
     pub at: Moment,
@@ -23,11 +23,11 @@
     pub class: &'static str,
     pub tokens: u64,
     pub answer: u64,
-    /// How often the caller comes back after a refusal.
+    /// Number of times that the caller retries after a refusal.
     pub returns: u32,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     pub submitted: u32,
@@ -76,7 +76,7 @@
             DeciderBuilder::new("a".parse().expect("valid"))
                 .seed(n as u64)
                 .catalogue(Arc::clone(&catalogue))
-                .placer(Box::new(LeastPlacer::default()))
+                .placer(Box::new(LeastLoadPlacer::default()))
                 .window(setup.window)
                 .build()
         });
@@ -96,11 +96,11 @@
             places: BTreeMap::new(),
             catalogue,
         };
-        world.begin();
+        world.schedule_initial();
         world
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial(&mut self) {
         let entries: Vec<_> = (0..self.engines.len())
             .map(|n| EngineEntry {
                 id: engine_id(n),
@@ -123,7 +123,7 @@
         self.events.insert((when, Event::Crash(engine)));
     }
 
-    /// Runs until `end`.
+    /// Runs the simulation until `end`.
     pub fn run(&mut self, end: Moment) {
         while let Some((when, event)) = self.events.pop_first() {
             if when > end {
@@ -135,7 +135,7 @@
                 Event::Engine(n) => self.tick(n),
                 Event::Router(n) => self.poll(n),
                 Event::News => self.news(),
-                Event::Crash(n) => self.lose(n),
+                Event::Crash(n) => self.crash_engine(n),
             }
         }
     }
@@ -168,7 +168,7 @@
                 }
                 Decision::Hedge {
                     request,
-                    twin,
+                    hedge_id: twin,
                     at,
                     priority,
                 } => {
@@ -204,10 +204,10 @@
         let n: usize = engine.as_str()[1..].parse().expect("valid");
         self.places.insert(request.clone(), n);
         self.engines[n].take(job, self.now);
-        self.plan(n);
+        self.schedule_engine(n);
     }
 
-    fn plan(&mut self, engine: usize) {
+    fn schedule_engine(&mut self, engine: usize) {
         if let Some(next) = self.engines[engine].next() {
             self.events.insert((next, Event::Engine(engine)));
         }
@@ -225,13 +225,13 @@
                 Observation::Finished(request.clone(), true)
             } else {
                 outcome.first.get_or_insert(self.now);
-                Observation::First(request.clone())
+                Observation::FirstToken(request.clone())
             };
             let router = self.router_of(index(&request) as u64);
             self.routers[router].observe(news, self.now);
             self.poll(router);
         }
-        self.plan(engine);
+        self.schedule_engine(engine);
     }
 
     fn news(&mut self) {
@@ -253,11 +253,12 @@
         for n in 0..self.routers.len() {
             self.poll(n);
         }
-        self.events.insert((self.now + NEWS, Event::News));
+        self.events
+            .insert((self.now + REPORT_INTERVAL, Event::News));
     }
 
-    /// Crashes an engine; its router tries again what had no token yet.
-    fn lose(&mut self, engine: usize) {
+    /// Crashes an engine; the routers resubmit the lost requests that had no token yet.
+    fn crash_engine(&mut self, engine: usize) {
         for lost in self.engines[engine].crash() {
             let n = index(&lost);
             let router = self.router_of(n as u64);
@@ -280,7 +281,7 @@
     }
 }
 
-/// What callers of one kind got.
+/// Counts of calls by outcome.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Tally {
     pub calls: u32,
@@ -290,7 +291,7 @@
 }
 
 impl World {
-    /// Counts the calls that `of` picks.
+    /// Counts the calls selected by `of`.
     pub fn tally(&self, of: impl Fn(&Call) -> bool) -> Tally {
         let mut tally = Tally::default();
         for (call, outcome) in self.calls.iter().zip(&self.outcomes) {
@@ -308,7 +309,7 @@
         tally
     }
 
-    /// Tokens a run answered in time, by the measure that the queue uses.
+    /// Prompt tokens of the calls whose first token met the deadline.
     pub fn useful(&self) -> u64 {
         let pairs = self.calls.iter().zip(&self.outcomes);
         let useful = pairs.filter(|(call, outcome)| {
@@ -319,13 +320,13 @@
         useful.map(|(call, _)| call.tokens).sum()
     }
 
-    /// When refused callers are told to come back.
+    /// Times at which refused callers were told to retry.
     pub fn returns(&self) -> Vec<Moment> {
         let refused = self.outcomes.iter().filter_map(|o| o.refused);
         refused.map(|(when, _, after)| when + after).collect()
     }
 
-    /// First-token times of the calls that `of` picks, sorted.
+    /// Sorted first-token times of the calls selected by `of`.
     pub fn first_times(&self, of: impl Fn(&Call) -> bool) -> Vec<Duration> {
         let pairs = self.calls.iter().zip(&self.outcomes);
         let firsts = pairs.filter(|(call, _)| of(call));
@@ -336,7 +337,7 @@
     }
 }
 
-/// The value below which so many in a hundred of a sorted list lie.
+/// The given percentile of a sorted list, or zero if the list is empty.
 pub fn percentile(sorted: &[Duration], part: usize) -> Duration {
     let place = sorted.len().saturating_sub(1) * part / 100;
     sorted.get(place).copied().unwrap_or_default()
@@ -346,7 +347,7 @@
     format!("e{n}").parse().expect("valid")
 }
 
-/// The call that a request, or its hedge, belongs to.
+/// Index of the call that a request or its hedge belongs to.
 fn index(id: &RequestId) -> usize {
     let n = id.seq & !(1 << 63);
     debug_assert!(request(n).seq == n);
