--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -2,7 +2,7 @@
 
 use super::Work;
 use super::flights::Flight;
-use crate::load::learned::{FirstTime, FirstTimes, Inflow, Paces};
+use crate::load::learned::{TtftEstimate, FirstTimes, Inflow, Paces};
 use crate::load::queue::{Item, Queue, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
@@ -74,7 +74,7 @@
     }
 
     /// First-token time to expect of engines, as others of this size and rank had it.
-    pub fn first_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<FirstTime> {
+    pub fn first_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<TtftEstimate> {
         self.firsts.get(&work.model, rank, work.chain.tokens, now)
     }
 
--- a/crates/sesamegap-policy/src/load/learned/first.rs
+++ b/crates/sesamegap-policy/src/load/learned/first.rs
@@ -24,7 +24,7 @@
 
 /// First-token time of prompts of one size.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct FirstTime {
+pub struct TtftEstimate {
     /// Mean, in seconds.
     pub mean: f64,
     /// Mean deviation from the mean, in seconds.
@@ -32,7 +32,7 @@
     at: Moment,
 }
 
-impl FirstTime {
+impl TtftEstimate {
     fn add(&mut self, seconds: f64, now: Moment) {
         if self.at == Moment::default() {
             self.mean = seconds;
@@ -51,7 +51,7 @@
     }
 }
 
-type Sizes = [FirstTime; SIZES as usize];
+type Sizes = [TtftEstimate; SIZES as usize];
 
 /// First-token times by model and size of the prompt.
 #[derive(Debug, Default)]
@@ -85,7 +85,7 @@
         rank: Rank,
         tokens: Tokens,
         now: Moment,
-    ) -> Option<FirstTime> {
+    ) -> Option<TtftEstimate> {
         let mut time = self.models.get(model)?.get(&rank)?[Self::size(tokens)];
         if time.at == Moment::default() {
             return None;
