--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -2,7 +2,7 @@
 
 use super::Work;
 use super::flights::Flight;
-use crate::load::learned::{TtftEstimate, FirstTimes, Inflow, Paces};
+use crate::load::learned::{TtftEstimate, TtftEstimates, Inflow, Paces};
 use crate::load::queue::{Item, Queue, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub struct Outlook {
     paces: Paces,
-    firsts: FirstTimes,
+    firsts: TtftEstimates,
     inflow: Inflow,
     off: BTreeMap<Rank, Off>,
 }
--- a/crates/sesamegap-policy/src/load/learned/first.rs
+++ b/crates/sesamegap-policy/src/load/learned/first.rs
@@ -55,11 +55,11 @@
 
 /// First-token times by model and size of the prompt.
 #[derive(Debug, Default)]
-pub struct FirstTimes {
+pub struct TtftEstimates {
     models: FxHashMap<ModelId, BTreeMap<Rank, Sizes>>,
 }
 
-impl FirstTimes {
+impl TtftEstimates {
     fn size(tokens: Tokens) -> usize {
         (u64::BITS - tokens.0.leading_zeros()).min(SIZES - 1) as usize
     }
--- a/crates/sesamegap-policy/src/load/learned/mod.rs
+++ b/crates/sesamegap-policy/src/load/learned/mod.rs
@@ -5,7 +5,7 @@
 mod inflow;
 mod pace;
 
-pub use first::{TtftEstimate, FirstTimes};
+pub use first::{TtftEstimate, TtftEstimates};
 pub use flow::Flow;
 pub use inflow::Inflow;
 pub use pace::{Pace, Paces};
