--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -2,7 +2,7 @@
 
 use super::Work;
 use super::flights::Flight;
-use crate::load::learned::{TtftEstimate, TtftEstimates, Inflow, Paces};
+use crate::load::learned::{TtftEstimate, TtftEstimates, Inflow, ServiceRates};
 use crate::load::queue::{Item, Queue, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
@@ -35,7 +35,7 @@
 /// Rates and times learned from own traffic.
 #[derive(Debug, Default)]
 pub struct Outlook {
-    paces: Paces,
+    paces: ServiceRates,
     firsts: TtftEstimates,
     inflow: Inflow,
     off: BTreeMap<Rank, Off>,
--- a/crates/sesamegap-policy/src/load/learned/mod.rs
+++ b/crates/sesamegap-policy/src/load/learned/mod.rs
@@ -8,4 +8,4 @@
 pub use first::{TtftEstimate, TtftEstimates};
 pub use flow::Flow;
 pub use inflow::Inflow;
-pub use pace::{Pace, Paces};
+pub use pace::{Pace, ServiceRates};
--- a/crates/sesamegap-policy/src/load/learned/pace.rs
+++ b/crates/sesamegap-policy/src/load/learned/pace.rs
@@ -89,11 +89,11 @@
 
 /// Service rates by model.
 #[derive(Debug, Default)]
-pub struct Paces {
+pub struct ServiceRates {
     models: FxHashMap<ModelId, Pace>,
 }
 
-impl Paces {
+impl ServiceRates {
     /// Notes work that engines of a model have finished.
     pub fn done(&mut self, model: &ModelId, cost: u64, now: Moment) {
         if let Some(pace) = self.models.get_mut(model) {
