--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -2,7 +2,7 @@
 
 use super::Work;
 use super::flights::Flight;
-use crate::load::learned::{TtftEstimate, TtftEstimates, Inflow, ServiceRates};
+use crate::load::learned::{TtftEstimate, TtftEstimates, AdmittedRates, ServiceRates};
 use crate::load::queue::{Item, Queue, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
@@ -37,7 +37,7 @@
 pub struct Outlook {
     paces: ServiceRates,
     firsts: TtftEstimates,
-    inflow: Inflow,
+    inflow: AdmittedRates,
     off: BTreeMap<Rank, Off>,
 }
 
--- a/crates/sesamegap-policy/src/load/learned/inflow.rs
+++ b/crates/sesamegap-policy/src/load/learned/inflow.rs
@@ -12,11 +12,11 @@
 
 /// Admitted work by model and rank, in cost a second.
 #[derive(Debug, Default)]
-pub struct Inflow {
+pub struct AdmittedRates {
     models: FxHashMap<ModelId, BTreeMap<Rank, Flow>>,
 }
 
-impl Inflow {
+impl AdmittedRates {
     /// Notes an admitted request.
     pub fn add(&mut self, model: &ModelId, rank: Rank, cost: u64, now: Moment) {
         let ranks = self.models.entry(model.clone()).or_default();
--- a/crates/sesamegap-policy/src/load/learned/mod.rs
+++ b/crates/sesamegap-policy/src/load/learned/mod.rs
@@ -7,5 +7,5 @@
 
 pub use first::{TtftEstimate, TtftEstimates};
 pub use flow::Flow;
-pub use inflow::Inflow;
+pub use inflow::AdmittedRates;
 pub use pace::{Pace, ServiceRates};
