--- a/crates/sesamegap-policy/src/decider/builder.rs
+++ b/crates/sesamegap-policy/src/decider/builder.rs
@@ -4,7 +4,7 @@
 use super::flights::Flights;
 use super::outlook::Outlook;
 use crate::load::Windows;
-use crate::load::limits::{Comebacks, RetryBudget, Shares, TeamLimits};
+use crate::load::limits::{RetrySchedule, RetryBudget, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::WindowKind;
 use crate::placing::{Placer, PrefixPlacer};
@@ -81,7 +81,7 @@
             teams: TeamLimits::default(),
             shares: Shares::default(),
             budget: RetryBudget::default(),
-            comebacks: Comebacks::default(),
+            comebacks: RetrySchedule::default(),
             highest: 0,
             retry: None,
             swept: Moment::default(),
--- a/crates/sesamegap-policy/src/load/limits/comeback.rs
+++ b/crates/sesamegap-policy/src/load/limits/comeback.rs
@@ -19,11 +19,11 @@
 
 /// Lines of returning callers by priority.
 #[derive(Debug, Default)]
-pub struct Comebacks {
+pub struct RetrySchedule {
     lines: BTreeMap<u8, Moment>,
 }
 
-impl Comebacks {
+impl RetrySchedule {
     /// Reserves a return no sooner than `earliest`, and `step` behind the one before.
     pub fn reserve(
         &mut self,
