--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -5,7 +5,7 @@
 //! hopeless while it waits is refused at that moment and not at its deadline.
 
 use super::{Decider, Decision, Refusal, RefusalCode, Work};
-use crate::load::limits::{Claim, spread};
+use crate::load::limits::{Claim, add_jitter};
 use crate::load::queue::{ANSWER_COST, Item, LEAST_WEIGHT, Rank};
 use sesamegap_settings::{Catalogue, ClassSpec, TeamSpec};
 use sesamegap_wire::Moment;
@@ -62,7 +62,7 @@
     pub(super) fn arrive(&mut self, work: Work, now: Moment) {
         let catalogue = Arc::clone(&self.catalogue);
         let Some(terms) = Terms::of(&work, &catalogue) else {
-            let after = spread(SOON, &mut self.rng);
+            let after = add_jitter(SOON, &mut self.rng);
             self.refuse_after(&work, RefusalCode::Unknown, after);
             return;
         };
@@ -71,7 +71,7 @@
             _ => self.check_retry(&work, terms, now),
         };
         if let Err(barrier) = paid {
-            let after = spread(barrier.earliest, &mut self.rng);
+            let after = add_jitter(barrier.earliest, &mut self.rng);
             self.refuse_after(&work, barrier.code, after);
             return;
         }
--- a/crates/sesamegap-policy/src/load/limits/comeback.rs
+++ b/crates/sesamegap-policy/src/load/limits/comeback.rs
@@ -36,12 +36,12 @@
         let line = self.lines.entry(priority).or_default();
         let at = (now + earliest.clamp(SOONEST, LATEST)).max(*line + step);
         *line = at.min(now + LATEST);
-        spread(line.since(now), rng)
+        add_jitter(line.since(now), rng)
     }
 }
 
 /// Lengthens a time by up to a half, at random.
-pub fn spread(time: Duration, rng: &mut dyn Rng) -> Duration {
+pub fn add_jitter(time: Duration, rng: &mut dyn Rng) -> Duration {
     let part = f64::from(rng.next_u32()) / f64::from(u32::MAX);
     time.mul_f64(1.0 + part / 2.0)
 }
--- a/crates/sesamegap-policy/src/load/limits/mod.rs
+++ b/crates/sesamegap-policy/src/load/limits/mod.rs
@@ -7,7 +7,7 @@
 mod teams;
 
 pub use budget::RetryBudget;
-pub use comeback::{RetrySchedule, spread};
+pub use comeback::{RetrySchedule, add_jitter};
 pub use peers::PeerDemand;
 pub use shares::{Claim, Shares};
 pub use teams::TeamLimits;
