--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sesamegap_policy::Work;
-use sesamegap_policy::load::queue::{Item, Offer, Queue, Rank};
+use sesamegap_policy::load::queue::{Item, DispatchOutcome, Queue, Rank};
 use sesamegap_wire::{Chain, Incarnation, Moment, RequestId, Tokens, WeightsVersion};
 use std::hint::black_box;
 use std::time::Duration;
@@ -69,9 +69,9 @@
                 queue.room();
                 queue.serve(|item| {
                     if std::mem::replace(&mut sent, true) {
-                        return Offer::Full;
+                        return DispatchOutcome::Full;
                     }
-                    Offer::Sent(black_box(item.cost))
+                    DispatchOutcome::Sent(black_box(item.cost))
                 });
             });
         });
@@ -80,7 +80,7 @@
                 queue.room();
                 queue.serve(|item| {
                     black_box(item.cost);
-                    Offer::Full
+                    DispatchOutcome::Full
                 })
             });
         });
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -4,7 +4,7 @@
 use super::outlook::Outlook;
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
-use crate::load::queue::{ANSWER_COST, Item, Offer, Rank};
+use crate::load::queue::{ANSWER_COST, Item, DispatchOutcome, Rank};
 use crate::placing::{Ask, Placed, Placement, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
@@ -42,7 +42,7 @@
 }
 
 impl Sender<'_> {
-    fn offer(&mut self, item: &Item, hedge: Option<Moment>) -> Offer {
+    fn offer(&mut self, item: &Item, hedge: Option<Moment>) -> DispatchOutcome {
         let catalogue = self.catalogue;
         let Some(class) = catalogue.classes.get(&item.work.class) else {
             return self.drop(item, RefusalCode::Unknown);
@@ -57,7 +57,7 @@
             Placed::Full(wait) => {
                 let again = self.now + wait.clamp(RETRY.0, RETRY.1);
                 self.retry = Some(self.retry.map_or(again, |at| at.min(again)));
-                Offer::Full
+                DispatchOutcome::Full
             }
             Placed::At(at) if self.comes_late(item, &at) => self.drop(item, RefusalCode::Deadline),
             Placed::At(at) => {
@@ -69,7 +69,7 @@
                     at,
                     priority: item.rank.in_engine(),
                 });
-                Offer::Sent(missing + ANSWER_COST * item.work.answer.0)
+                DispatchOutcome::Sent(missing + ANSWER_COST * item.work.answer.0)
             }
         }
     }
@@ -83,9 +83,9 @@
         self.now + wait > item.deadline && self.windows.busy(&at.engine)
     }
 
-    fn drop(&mut self, item: &Item, code: RefusalCode) -> Offer {
+    fn drop(&mut self, item: &Item, code: RefusalCode) -> DispatchOutcome {
         self.refused.push((item.clone(), code));
-        Offer::Dropped
+        DispatchOutcome::Dropped
     }
 
     fn book(&mut self, ask: &Ask<'_>, item: &Item, at: &Placement, hedge: Option<Moment>) {
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -115,7 +115,7 @@
 
 /// What became of an item that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum DispatchOutcome {
     /// It was sent, at this cost to the engine.
     Sent(u64),
     /// It needs no engine any more.
@@ -232,7 +232,7 @@
     }
 
     /// Offers requests in order until no lane has room; says whether any lane was full.
-    pub fn serve(&mut self, mut offer: impl FnMut(&Item) -> Offer) -> bool {
+    pub fn serve(&mut self, mut offer: impl FnMut(&Item) -> DispatchOutcome) -> bool {
         let mut full: Vec<LaneKey> = Vec::new();
         for (rank, key) in self.stale() {
             // What a higher rank found full is full for a lower one, which has less room.
@@ -259,7 +259,7 @@
         &mut self,
         rank: Rank,
         key: &LaneKey,
-        offer: &mut impl FnMut(&Item) -> Offer,
+        offer: &mut impl FnMut(&Item) -> DispatchOutcome,
     ) -> bool {
         let sign = self.sign;
         if let Some(lane) = self.lane(rank, key)
@@ -282,12 +282,12 @@
             let request = item.work.request.clone();
             let team = item.work.team.clone();
             match outcome {
-                Offer::Full => {
+                DispatchOutcome::Full => {
                     lane.pass();
                     lane.tries -= 1;
                 }
-                Offer::Dropped => drop(self.remove(&request)),
-                Offer::Sent(cost) => {
+                DispatchOutcome::Dropped => drop(self.remove(&request)),
+                DispatchOutcome::Sent(cost) => {
                     lane.charge(&team, cost);
                     self.remove(&request);
                 }
--- a/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
@@ -1,6 +1,6 @@
 //! A queue as one list, sorted anew for each question, and the real one behind the same calls.
 
-use sesamegap_policy::load::queue::{Item, LONG, Offer, Queue, Rank, TRIES};
+use sesamegap_policy::load::queue::{Item, LONG, DispatchOutcome, Queue, Rank, TRIES};
 use sesamegap_wire::{Moment, RequestId, TeamId};
 use std::collections::BTreeMap;
 
@@ -55,7 +55,7 @@
         let mut tries = 0;
         self.queue.serve(|_| {
             tries += 1;
-            Offer::Full
+            DispatchOutcome::Full
         });
         tries
     }
@@ -85,10 +85,10 @@
         self.queue.room();
         self.queue.serve(|item| {
             if left.len() >= usize::from(room) {
-                return Offer::Full;
+                return DispatchOutcome::Full;
             }
             left.push(item.work.request.seq);
-            Offer::Sent(item.cost)
+            DispatchOutcome::Sent(item.cost)
         });
         left
     }
