--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -4,7 +4,7 @@
 use super::outlook::Outlook;
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
-use crate::load::queue::{ANSWER_COST, Item, DispatchOutcome, Rank};
+use crate::load::queue::{OUTPUT_TOKEN_COST, Item, DispatchOutcome, Rank};
 use crate::placing::{Ask, Placed, Placement, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
@@ -69,7 +69,7 @@
                     at,
                     priority: item.rank.in_engine(),
                 });
-                DispatchOutcome::Sent(missing + ANSWER_COST * item.work.answer.0)
+                DispatchOutcome::Sent(missing + OUTPUT_TOKEN_COST * item.work.answer.0)
             }
         }
     }
@@ -105,7 +105,7 @@
         engine: at.engine.clone(),
         model: work.model.clone(),
         tokens: work.chain.tokens,
-        cost: work.chain.tokens.0 + ANSWER_COST * work.answer.0,
+        cost: work.chain.tokens.0 + OUTPUT_TOKEN_COST * work.answer.0,
         sent: now,
         rank,
         expected: at.wait,
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -41,7 +41,7 @@
 
 /// Weight of an answer's token against a prompt's in the cost of a request: a step of the batch
 /// reads all weights for one token of each stream, where prefill computes many at once.
-pub const ANSWER_COST: u64 = 4;
+pub const OUTPUT_TOKEN_COST: u64 = 4;
 
 /// Least engine priority of work within its share.
 const UPPER: u8 = 128;
