--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -6,7 +6,7 @@
 
 use super::{Decider, Decision, Refusal, RefusalCode, Work};
 use crate::load::limits::{Claim, add_jitter};
-use crate::load::queue::{OUTPUT_TOKEN_COST, Item, LEAST_WEIGHT, Rank};
+use crate::load::queue::{OUTPUT_TOKEN_COST, Item, MIN_WEIGHT, Rank};
 use sesamegap_settings::{Catalogue, ClassSpec, TeamSpec};
 use sesamegap_wire::Moment;
 use std::sync::Arc;
@@ -120,7 +120,7 @@
 
     fn item(&mut self, work: Work, terms: Terms<'_>, now: Moment) -> Item {
         let cost = work.chain.tokens.0 + OUTPUT_TOKEN_COST * work.answer.0;
-        let weight = terms.team.weight.max(LEAST_WEIGHT);
+        let weight = terms.team.weight.max(MIN_WEIGHT);
         let claim = Claim {
             model: &work.model,
             team: &work.team,
--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -13,7 +13,7 @@
 const QUANTUM: f64 = 16_384.0;
 
 /// Smallest weight reckoned with, so that a team of weight zero still moves.
-pub const LEAST_WEIGHT: f64 = 0.01;
+pub const MIN_WEIGHT: f64 = 0.01;
 
 /// Deepest debt kept, in turns: bounds how often a turn must be given before someone may go on.
 const DEEPEST: f64 = 64.0;
@@ -93,7 +93,7 @@
         let Some(share) = self.shares.get_mut(team) else {
             return;
         };
-        let deepest = -DEEPEST * QUANTUM * share.weight.max(LEAST_WEIGHT);
+        let deepest = -DEEPEST * QUANTUM * share.weight.max(MIN_WEIGHT);
         share.credit = (share.credit - cost as f64).max(deepest);
         if share.credit <= 0.0 && self.ring.front() == Some(team) {
             self.ring.rotate_left(1);
@@ -155,7 +155,7 @@
             let team = self.ring.front()?.clone();
             let share = self.shares.get_mut(&team)?;
             if share.credit <= 0.0 {
-                share.credit += QUANTUM * share.weight.max(LEAST_WEIGHT);
+                share.credit += QUANTUM * share.weight.max(MIN_WEIGHT);
             }
             if share.credit > 0.0 {
                 return Some(team);
--- a/crates/sesamegap-policy/src/load/queue/level.rs
+++ b/crates/sesamegap-policy/src/load/queue/level.rs
@@ -1,6 +1,6 @@
 //! All work of one rank, and who has most of it.
 
-use super::lane::{LEAST_WEIGHT, Lane};
+use super::lane::{MIN_WEIGHT, Lane};
 use super::{Item, LaneKey, TRIES};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, TeamId};
@@ -27,7 +27,7 @@
     reason = "a float cast saturates and costs are never below zero"
 )]
 pub fn heft(cost: u64, weight: f64) -> u64 {
-    (cost as f64 / weight.max(LEAST_WEIGHT)) as u64
+    (cost as f64 / weight.max(MIN_WEIGHT)) as u64
 }
 
 /// Work of one rank.
@@ -101,7 +101,7 @@
         self.weight -= load.weight;
         let model = self.models.entry(item.work.model.clone()).or_default();
         if added {
-            load.weight = item.weight.max(LEAST_WEIGHT);
+            load.weight = item.weight.max(MIN_WEIGHT);
             load.cost += item.cost;
             *model += item.cost;
         } else {
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -16,7 +16,7 @@
 mod lane;
 mod level;
 
-pub use lane::{Due, LEAST_WEIGHT};
+pub use lane::{Due, MIN_WEIGHT};
 
 use crate::decider::Work;
 use level::{Level, heft};
@@ -315,7 +315,7 @@
         };
         // Deficit round robin serves a team no later than its own work takes at its share, and
         // no later than all work of the level together.
-        let weight = weight.max(lane::LEAST_WEIGHT);
+        let weight = weight.max(lane::MIN_WEIGHT);
         let others = if level.load(team) > 0 { 0.0 } else { weight };
         let own = (level.load(team) + cost) as f64 * (level.weight() + others) / weight;
         above as f64 + own.min(level.cost(model) as f64)
