--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sesamegap_policy::Work;
-use sesamegap_policy::load::queue::{Item, DispatchOutcome, Queue, Rank};
+use sesamegap_policy::load::queue::{DispatchOutcome, Item, Queue, Rank};
 use sesamegap_wire::{Chain, Incarnation, Moment, RequestId, Tokens, WeightsVersion};
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -6,7 +6,7 @@
 
 use super::{Decider, Decision, Refusal, RefusalCode, Work};
 use crate::load::limits::{Claim, add_jitter};
-use crate::load::queue::{OUTPUT_TOKEN_COST, Item, MIN_WEIGHT, Rank};
+use crate::load::queue::{Item, MIN_WEIGHT, OUTPUT_TOKEN_COST, Rank};
 use sesamegap_settings::{Catalogue, ClassSpec, TeamSpec};
 use sesamegap_wire::Moment;
 use std::sync::Arc;
--- a/crates/sesamegap-policy/src/decider/builder.rs
+++ b/crates/sesamegap-policy/src/decider/builder.rs
@@ -4,7 +4,7 @@
 use super::flights::Flights;
 use super::outlook::Outlook;
 use crate::load::Windows;
-use crate::load::limits::{RetrySchedule, RetryBudget, Shares, TeamLimits};
+use crate::load::limits::{RetryBudget, RetrySchedule, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::WindowKind;
 use crate::placing::{Placer, PrefixPlacer};
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -4,7 +4,7 @@
 use super::outlook::Outlook;
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
-use crate::load::queue::{OUTPUT_TOKEN_COST, Item, DispatchOutcome, Rank};
+use crate::load::queue::{DispatchOutcome, Item, OUTPUT_TOKEN_COST, Rank};
 use crate::placing::{Ask, Placed, Placement, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -20,7 +20,7 @@
 pub use work::{Decision, Observation, Refusal, RefusalCode, Work};
 
 use crate::load::Windows;
-use crate::load::limits::{RetrySchedule, RetryBudget, Shares, TeamLimits};
+use crate::load::limits::{RetryBudget, RetrySchedule, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::Signal;
 use crate::placing::{Ask, Need, Placer};
--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -2,7 +2,7 @@
 
 use super::Work;
 use super::flights::Flight;
-use crate::load::learned::{TtftEstimate, TtftEstimates, AdmittedRates, ServiceRates};
+use crate::load::learned::{AdmittedRates, ServiceRates, TtftEstimate, TtftEstimates};
 use crate::load::queue::{Item, Queue, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
--- a/crates/sesamegap-policy/src/load/learned/first.rs
+++ b/crates/sesamegap-policy/src/load/learned/first.rs
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 /// Share of a new time in the mean.
-const GAIN: f64 = 0.125;
+const MEAN_GAIN: f64 = 0.125;
 
 /// Share of a new deviation in the mean deviation.
 const DEVIATION_GAIN: f64 = 0.25;
 
 /// Age at which a time has lost about two thirds of its weight.
-const FADES: Duration = Duration::from_secs(10);
+const DECAY_TIME: Duration = Duration::from_secs(10);
 
 /// Sizes are told apart by powers of two; longer prompts than 2^24 tokens count as that.
-const SIZES: u32 = 25;
+const SIZE_BUCKETS: u32 = 25;
 
 /// First-token time of prompts of one size.
 #[derive(Debug, Clone, Copy, Default)]
@@ -39,7 +39,7 @@
             self.deviation = seconds / 2.0;
         } else {
             let error = seconds - self.mean;
-            self.mean += error * GAIN;
+            self.mean += error * MEAN_GAIN;
             self.deviation += (error.abs() - self.deviation) * DEVIATION_GAIN;
         }
         self.at = now.max(Moment(1));
@@ -51,7 +51,7 @@
     }
 }
 
-type Sizes = [TtftEstimate; SIZES as usize];
+type Sizes = [TtftEstimate; SIZE_BUCKETS as usize];
 
 /// First-token times by model and size of the prompt.
 #[derive(Debug, Default)]
@@ -61,7 +61,7 @@
 
 impl TtftEstimates {
     fn size(tokens: Tokens) -> usize {
-        (u64::BITS - tokens.0.leading_zeros()).min(SIZES - 1) as usize
+        (u64::BITS - tokens.0.leading_zeros()).min(SIZE_BUCKETS - 1) as usize
     }
 
     /// Takes the first-token time of a request.
@@ -91,7 +91,7 @@
             return None;
         }
         let age = now.since(time.at).as_secs_f64();
-        let faded = (-age / FADES.as_secs_f64()).exp();
+        let faded = (-age / DECAY_TIME.as_secs_f64()).exp();
         time.mean *= faded;
         time.deviation *= faded;
         Some(time)
--- a/crates/sesamegap-policy/src/load/learned/flow.rs
+++ b/crates/sesamegap-policy/src/load/learned/flow.rs
@@ -5,12 +5,12 @@
 
 /// Amount a second, averaged with weights that fall exponentially with age.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Flow {
+pub struct DecayingRate {
     rate: f64,
     at: Moment,
 }
 
-impl Flow {
+impl DecayingRate {
     /// Adds an amount.
     pub fn add(&mut self, amount: f64, now: Moment, memory: Duration) {
         self.rate = self.rate(now, memory) + amount / memory.as_secs_f64();
--- a/crates/sesamegap-policy/src/load/learned/inflow.rs
+++ b/crates/sesamegap-policy/src/load/learned/inflow.rs
@@ -1,6 +1,6 @@
 //! How much work is let in at each rank.
 
-use super::Flow;
+use super::DecayingRate;
 use crate::load::queue::Rank;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, Moment};
@@ -8,19 +8,22 @@
 use std::time::Duration;
 
 /// Age at which admitted work has lost about two thirds of its weight.
-const MEMORY: Duration = Duration::from_secs(3);
+const DECAY_TIME: Duration = Duration::from_secs(3);
 
 /// Admitted work by model and rank, in cost a second.
 #[derive(Debug, Default)]
 pub struct AdmittedRates {
-    models: FxHashMap<ModelId, BTreeMap<Rank, Flow>>,
+    models: FxHashMap<ModelId, BTreeMap<Rank, DecayingRate>>,
 }
 
 impl AdmittedRates {
     /// Notes an admitted request.
     pub fn add(&mut self, model: &ModelId, rank: Rank, cost: u64, now: Moment) {
         let ranks = self.models.entry(model.clone()).or_default();
-        ranks.entry(rank).or_default().add(cost as f64, now, MEMORY);
+        ranks
+            .entry(rank)
+            .or_default()
+            .add(cost as f64, now, DECAY_TIME);
     }
 
     /// What is let in above a rank and so goes before it.
@@ -29,7 +32,7 @@
             return 0.0;
         };
         let above = ranks.range(..rank);
-        above.map(|(_, flow)| flow.rate(now, MEMORY)).sum()
+        above.map(|(_, flow)| flow.rate(now, DECAY_TIME)).sum()
     }
 
     /// Keeps to the models that settings know.
--- a/crates/sesamegap-policy/src/load/learned/mod.rs
+++ b/crates/sesamegap-policy/src/load/learned/mod.rs
@@ -6,6 +6,6 @@
 mod pace;
 
 pub use first::{TtftEstimate, TtftEstimates};
-pub use flow::Flow;
+pub use flow::DecayingRate;
 pub use inflow::AdmittedRates;
-pub use pace::{Pace, ServiceRates};
+pub use pace::{ServiceRate, ServiceRates};
--- a/crates/sesamegap-policy/src/load/learned/pace.rs
+++ b/crates/sesamegap-policy/src/load/learned/pace.rs
@@ -5,75 +5,75 @@
 //! a burst into empty windows says nothing of the engines. Engines can do at least what they
 //! have just done, so a low rate learned in a short jam is raised by what passes afterwards.
 
-use super::Flow;
+use super::DecayingRate;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, Moment};
 use std::time::Duration;
 
 /// Shortest span of one sample; shorter ones hold too few answers to mean anything.
-const SAMPLE: Duration = Duration::from_millis(200);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Backlog from which engines are taken for busy: less may be one long prompt that waits for
 /// its turn while short ones pass, and engines could do more than they are seen to do.
-const BACKLOG: Duration = Duration::from_millis(500);
+const MIN_BACKLOG: Duration = Duration::from_millis(500);
 
 /// Age by which a sample's weight has fallen to about a third: some dozens of answers
 /// at the few a second that one router sees.
-const MEMORY: Duration = Duration::from_secs(10);
+const DECAY_TIME: Duration = Duration::from_secs(10);
 
 /// Time under backlog before the rate is believed: the first answers come late because they
 /// all began together.
-const TRUSTED: Duration = Duration::from_secs(2);
+const MIN_OBSERVED: Duration = Duration::from_secs(2);
 
 /// Age at which a rate is forgotten: the fleet may be another by then, and an old low rate
 /// would refuse work that idle engines could do.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+const MAX_AGE: Duration = Duration::from_mins(1);
 
 /// One model's service rate.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct ServiceRate {
     rate: f64,
     seen: Duration,
     done: f64,
     since: Moment,
     waited: bool,
     last: Moment,
-    flow: Flow,
+    flow: DecayingRate,
 }
 
-impl Pace {
+impl ServiceRate {
     /// Notes work that engines have finished.
     pub fn done(&mut self, cost: u64, now: Moment) {
         self.done += cost as f64;
-        self.flow.add(cost as f64, now, MEMORY);
-        self.rate = self.rate.max(self.flow.rate(now, MEMORY));
+        self.flow.add(cost as f64, now, DECAY_TIME);
+        self.rate = self.rate.max(self.flow.rate(now, DECAY_TIME));
     }
 
     /// Takes a sample when one is due, with the cost that waits for this model.
     pub fn tick(&mut self, waiting: u64, now: Moment) {
-        let waiting = waiting > 0 && waiting as f64 >= self.rate * BACKLOG.as_secs_f64();
+        let waiting = waiting > 0 && waiting as f64 >= self.rate * MIN_BACKLOG.as_secs_f64();
         let span = now.since(self.since);
         if !self.waited || !waiting {
             // Only spans that were busy from end to end are measured.
-            if waiting != self.waited || span >= SAMPLE {
+            if waiting != self.waited || span >= SAMPLE_INTERVAL {
                 self.restart(waiting, now);
             }
             return;
         }
-        if span < SAMPLE {
+        if span < SAMPLE_INTERVAL {
             return;
         }
         let sample = self.done / span.as_secs_f64();
-        let trust = (span.as_secs_f64() / MEMORY.as_secs_f64()).min(1.0);
+        let trust = (span.as_secs_f64() / DECAY_TIME.as_secs_f64()).min(1.0);
         let first = span.as_secs_f64() / (self.seen + span).as_secs_f64();
         self.rate += (sample - self.rate) * trust.max(first);
-        self.seen = (self.seen + span).min(FORGOTTEN);
+        self.seen = (self.seen + span).min(MAX_AGE);
         self.last = now;
         self.restart(waiting, now);
     }
 
     fn restart(&mut self, waiting: bool, now: Moment) {
-        if now.since(self.last) > FORGOTTEN {
+        if now.since(self.last) > MAX_AGE {
             self.seen = Duration::ZERO;
         }
         self.done = 0.0;
@@ -83,14 +83,14 @@
 
     /// Cost a second, once enough is known.
     pub fn rate(&self) -> Option<f64> {
-        (self.seen >= TRUSTED && self.rate > 0.0).then_some(self.rate)
+        (self.seen >= MIN_OBSERVED && self.rate > 0.0).then_some(self.rate)
     }
 }
 
 /// Service rates by model.
 #[derive(Debug, Default)]
 pub struct ServiceRates {
-    models: FxHashMap<ModelId, Pace>,
+    models: FxHashMap<ModelId, ServiceRate>,
 }
 
 impl ServiceRates {
--- a/crates/sesamegap-policy/src/load/limits/budget.rs
+++ b/crates/sesamegap-policy/src/load/limits/budget.rs
@@ -7,13 +7,13 @@
 //! so that a quiet hour cannot pay for a storm.
 
 /// Second attempts earned by a first one: the tenth that the design allows.
-const EARNED: f64 = 0.1;
+const EARNED_PER_ATTEMPT: f64 = 0.1;
 
 /// Most that is saved: an engine's whole batch may be tried again at once, but not a fleet's.
-const SAVED: f64 = 64.0;
+const MAX_BALANCE: f64 = 64.0;
 
 /// What a router starts with, so that the first failure after a restart can be retried.
-const START: f64 = 16.0;
+const INITIAL_BALANCE: f64 = 16.0;
 
 /// Second attempts that may still be made.
 #[derive(Debug, Clone, Copy)]
@@ -23,14 +23,16 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { left: START }
+        Self {
+            left: INITIAL_BALANCE,
+        }
     }
 }
 
 impl RetryBudget {
     /// Earns for a first attempt.
     pub fn earn(&mut self) {
-        self.left = (self.left + EARNED).min(SAVED);
+        self.left = (self.left + EARNED_PER_ATTEMPT).min(MAX_BALANCE);
     }
 
     /// Pays for a second attempt, or says that it cannot.
@@ -45,7 +47,7 @@
 
     /// Gives back what was paid for an attempt that was not made.
     pub fn refund(&mut self) {
-        self.left = (self.left + 1.0).min(SAVED);
+        self.left = (self.left + 1.0).min(MAX_BALANCE);
     }
 
     /// Second attempts left.
--- a/crates/sesamegap-policy/src/load/limits/comeback.rs
+++ b/crates/sesamegap-policy/src/load/limits/comeback.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 /// Soonest return: asking again any sooner costs more than it can gain.
-const SOONEST: Duration = Duration::from_millis(250);
+const MIN_DELAY: Duration = Duration::from_millis(250);
 
 /// Latest return told: beyond that the line's length is guesswork.
-const LATEST: Duration = Duration::from_secs(30);
+const MAX_DELAY: Duration = Duration::from_secs(30);
 
 /// Lines of returning callers by priority.
 #[derive(Debug, Default)]
@@ -34,8 +34,8 @@
         rng: &mut dyn Rng,
     ) -> Duration {
         let line = self.lines.entry(priority).or_default();
-        let at = (now + earliest.clamp(SOONEST, LATEST)).max(*line + step);
-        *line = at.min(now + LATEST);
+        let at = (now + earliest.clamp(MIN_DELAY, MAX_DELAY)).max(*line + step);
+        *line = at.min(now + MAX_DELAY);
         add_jitter(line.since(now), rng)
     }
 }
--- a/crates/sesamegap-policy/src/load/limits/peers.rs
+++ b/crates/sesamegap-policy/src/load/limits/peers.rs
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 /// Silence after which a peer's figures no longer count: some missed digests.
-const SILENT: Duration = Duration::from_secs(5);
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Silence after which a peer is forgotten.
-const GONE: Duration = Duration::from_mins(1);
+const PEER_RETENTION: Duration = Duration::from_mins(1);
 
 /// Peers kept; three times the routers expected at the letter's size.
-const MOST_PEERS: usize = 1_024;
+const MAX_PEERS: usize = 1_024;
 
 /// Teams kept of one peer; a longer digest is cut.
-const MOST_TEAMS: usize = 256;
+const MAX_TEAMS_PER_PEER: usize = 256;
 
 #[derive(Debug, Default)]
 struct Peer {
@@ -36,13 +36,13 @@
 impl PeerDemand {
     /// Takes a peer's digest in place of its last one.
     pub fn heard(&mut self, vm: VmId, digest: &Digest, now: Moment) {
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&vm) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&vm) {
             return;
         }
         let mut peer = self.peers.remove(&vm).unwrap_or_default();
         self.discount(&mut peer);
         let usable = digest.demand.iter().filter(|(_, rate)| rate.is_finite());
-        let demand = usable.take(MOST_TEAMS);
+        let demand = usable.take(MAX_TEAMS_PER_PEER);
         peer.demand = demand.map(|(t, rate)| (t.clone(), rate.max(0.0))).collect();
         for (team, rate) in &peer.demand {
             *self.sums.entry(team.clone()).or_default() += rate;
@@ -55,17 +55,17 @@
 
     /// Leaves out peers that have fallen silent; cheap enough for each poll.
     pub fn sweep(&mut self, now: Moment) {
-        if now.since(self.swept) < SILENT / 5 {
+        if now.since(self.swept) < PEER_TIMEOUT / 5 {
             return;
         }
         self.swept = now;
         let mut peers = std::mem::take(&mut self.peers);
         for peer in peers.values_mut() {
-            if peer.counted && now.since(peer.heard) > SILENT {
+            if peer.counted && now.since(peer.heard) > PEER_TIMEOUT {
                 self.discount(peer);
             }
         }
-        peers.retain(|_, peer| now.since(peer.heard) <= GONE);
+        peers.retain(|_, peer| now.since(peer.heard) <= PEER_RETENTION);
         self.peers = peers;
     }
 
@@ -77,7 +77,7 @@
         for (team, rate) in &peer.demand {
             if let Some(sum) = self.sums.get_mut(team) {
                 *sum -= rate;
-                if *sum <= f64::EPSILON * rate.max(1.0) * MOST_PEERS as f64 {
+                if *sum <= f64::EPSILON * rate.max(1.0) * MAX_PEERS as f64 {
                     self.sums.remove(team);
                 }
             }
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -7,33 +7,33 @@
 //! class at the edge a part fits, and the rest is excess. Demand counts what arrives, refused or not, so that refusing a team does not
 //! make it look light.
 
-use crate::load::learned::Flow;
+use crate::load::learned::DecayingRate;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, Moment, TeamId};
 use std::time::Duration;
 
 /// Age at which demand has lost about two thirds of its weight: long against single requests,
 /// of which a light team may send one in some seconds to one router.
-const MEMORY: Duration = Duration::from_secs(20);
+const DECAY_TIME: Duration = Duration::from_secs(20);
 
 /// How often the common level is worked out again.
-const PERIOD: Duration = Duration::from_millis(250);
+const RECOMPUTE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Demand by service rate from which there is not enough for all. Both are estimates from a few
 /// requests a second; a smaller excess is left to the queue, which is fair as well.
-const OVERLOAD: f64 = 1.25;
+const OVERLOAD_RATIO: f64 = 1.25;
 
 /// Teams tracked for one model; more than one router can serve within the memory.
-const MOST_TEAMS: usize = 8_192;
+const MAX_TEAMS: usize = 8_192;
 
 /// Demand below which a team is forgotten, in cost a second.
-const LEAST: f64 = 1.0;
+const MIN_DEMAND: f64 = 1.0;
 
 /// Demand of one priority.
 #[derive(Debug)]
 struct Tier {
     priority: u8,
-    flow: Flow,
+    flow: DecayingRate,
     /// Adds up the parts of requests that fit, until one fits whole.
     fitted: f64,
 }
@@ -51,18 +51,18 @@
         let at = tier.unwrap_or_else(|| {
             self.tiers.push(Tier {
                 priority,
-                flow: Flow::default(),
+                flow: DecayingRate::default(),
                 fitted: 0.0,
             });
             self.tiers.len() - 1
         });
-        self.tiers[at].flow.add(cost, now, MEMORY);
+        self.tiers[at].flow.add(cost, now, DECAY_TIME);
     }
 
     /// Demand at this priority and above.
     fn from(&self, priority: u8, now: Moment) -> f64 {
         let above = self.tiers.iter().filter(|t| t.priority >= priority);
-        above.map(|tier| tier.flow.rate(now, MEMORY)).sum()
+        above.map(|tier| tier.flow.rate(now, DECAY_TIME)).sum()
     }
 
     /// Whether the next request of a priority fits into a share.
@@ -71,7 +71,7 @@
         let Some(tier) = self.tiers.iter_mut().find(|t| t.priority == priority) else {
             return true;
         };
-        let own = tier.flow.rate(now, MEMORY);
+        let own = tier.flow.rate(now, DECAY_TIME);
         if all <= share || own <= 0.0 {
             return true;
         }
@@ -96,11 +96,12 @@
     /// Works out the common level for a service rate.
     fn fill(&mut self, rate: Option<f64>, now: Moment) {
         self.at = now;
-        self.teams.retain(|_, demand| demand.from(0, now) >= LEAST);
+        self.teams
+            .retain(|_, demand| demand.from(0, now) >= MIN_DEMAND);
         let demands = self.teams.values();
         let mut demands: Vec<_> = demands.map(|d| (d.from(0, now), d.weight)).collect();
         let all: f64 = demands.iter().map(|(demand, _)| demand).sum();
-        let rate = rate.filter(|rate| all > rate * OVERLOAD);
+        let rate = rate.filter(|rate| all > rate * OVERLOAD_RATIO);
         self.level = rate.and_then(|rate| level(&mut demands, rate));
     }
 }
@@ -151,7 +152,7 @@
         let Some(table) = self.models.get_mut(claim.model) else {
             return;
         };
-        if table.teams.len() >= MOST_TEAMS && !table.teams.contains_key(claim.team) {
+        if table.teams.len() >= MAX_TEAMS && !table.teams.contains_key(claim.team) {
             return;
         }
         let demand = table.teams.entry(claim.team.clone()).or_default();
@@ -164,7 +165,7 @@
         let Some(table) = self.models.get_mut(claim.model) else {
             return false;
         };
-        if now.since(table.at) >= PERIOD {
+        if now.since(table.at) >= RECOMPUTE_INTERVAL {
             table.fill(rate, now);
         }
         let Some(level) = table.level else {
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -7,7 +7,7 @@
 //! request at a router that had none is not refused for want of a part.
 
 use super::PeerDemand;
-use crate::load::learned::Flow;
+use crate::load::learned::DecayingRate;
 use rustc_hash::FxHashMap;
 use sesamegap_settings::{Catalogue, TeamSpec};
 use sesamegap_wire::peer::Digest;
@@ -15,25 +15,25 @@
 use std::time::Duration;
 
 /// Age at which demand has lost about two thirds of its weight: a few digests.
-const MEMORY: Duration = Duration::from_secs(5);
+const DECAY_TIME: Duration = Duration::from_secs(5);
 
 /// Part of each rate that is shared equally whatever the demand.
-const EQUAL: f64 = 0.1;
+const EQUAL_FRACTION: f64 = 0.1;
 
 /// Teams told of in a digest; at 30 bytes each this stays within 4 KB a second.
-const MOST_TOLD: usize = 128;
+const MAX_DIGEST_TEAMS: usize = 128;
 
 /// Longest wait told: a team whose rate is next to nothing had better look at its settings.
-const LONGEST: Duration = Duration::from_hours(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_hours(1);
 
 /// Demand below which a team is not worth telling of, in tokens a second.
-const LEAST_TOLD: f64 = 1.0;
+const MIN_DIGEST_DEMAND: f64 = 1.0;
 
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     level: f64,
     at: Moment,
-    demand: Flow,
+    demand: DecayingRate,
 }
 
 /// Token buckets of the teams that have a rate.
@@ -79,10 +79,10 @@
         let mut bucket = self.buckets.remove(team).unwrap_or(Bucket {
             level: 0.0,
             at: now,
-            demand: Flow::default(),
+            demand: DecayingRate::default(),
         });
-        bucket.demand.add(tokens.0 as f64, now, MEMORY);
-        let part = self.part(team, bucket.demand.rate(now, MEMORY));
+        bucket.demand.add(tokens.0 as f64, now, DECAY_TIME);
+        let part = self.part(team, bucket.demand.rate(now, DECAY_TIME));
         let rate = (rate * part).max(f64::MIN_POSITIVE);
         let most = (spec.burst.0 as f64 * part).max(1.0);
         let gained = now.since(bucket.at).as_secs_f64() * rate;
@@ -102,7 +102,7 @@
             return Ok(());
         }
         let wait = Duration::try_from_secs_f64(missing / rate);
-        Err(wait.map_or(LONGEST, |wait| wait.min(LONGEST)))
+        Err(wait.map_or(MAX_RETRY_DELAY, |wait| wait.min(MAX_RETRY_DELAY)))
     }
 
     /// The part of a team's rate that this router may give out.
@@ -116,7 +116,7 @@
         } else {
             1.0 / live as f64
         };
-        (1.0 - EQUAL) * heard * by_demand + EQUAL / routers
+        (1.0 - EQUAL_FRACTION) * heard * by_demand + EQUAL_FRACTION / routers
     }
 
     /// Notes how many routers are live, this one included.
@@ -144,10 +144,12 @@
     /// Adds own demand to the digest, the greatest first.
     pub fn digest(&self, digest: &mut Digest, now: Moment) {
         let rates = self.buckets.iter();
-        let rates = rates.map(|(team, bucket)| (team.clone(), bucket.demand.rate(now, MEMORY)));
-        let mut demand: Vec<_> = rates.filter(|(_, rate)| *rate >= LEAST_TOLD).collect();
+        let rates = rates.map(|(team, bucket)| (team.clone(), bucket.demand.rate(now, DECAY_TIME)));
+        let mut demand: Vec<_> = rates
+            .filter(|(_, rate)| *rate >= MIN_DIGEST_DEMAND)
+            .collect();
         demand.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-        demand.truncate(MOST_TOLD);
+        demand.truncate(MAX_DIGEST_TEAMS);
         digest.demand = demand;
     }
 
--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -16,14 +16,14 @@
 pub const MIN_WEIGHT: f64 = 0.01;
 
 /// Deepest debt kept, in turns: bounds how often a turn must be given before someone may go on.
-const DEEPEST: f64 = 64.0;
+const MAX_DEBT_TURNS: f64 = 64.0;
 
 /// Identifies an item within its share: deadline first, then order of arrival.
 pub type Due = (Moment, u64);
 
 /// One team's work in a lane.
 #[derive(Debug)]
-pub struct Share {
+pub struct TeamQueue {
     items: BTreeMap<Due, Item>,
     weight: f64,
     credit: f64,
@@ -35,26 +35,26 @@
 #[derive(Debug, Default)]
 pub struct Lane {
     ring: VecDeque<TeamId>,
-    shares: FxHashMap<TeamId, Share>,
+    teams: FxHashMap<TeamId, TeamQueue>,
     passed: Vec<TeamId>,
     /// Placements that may still be tried before the next sign of room.
     pub tries: u32,
     /// The sign of room that `tries` was last renewed for.
-    pub sign: u64,
+    pub room_epoch: u64,
 }
 
 impl Lane {
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.shares.is_empty()
+        self.teams.is_empty()
     }
 
     /// Puts an item behind those of its team with earlier deadlines.
     pub fn push(&mut self, item: Item) {
         let team = item.work.team.clone();
-        let share = self.shares.entry(team.clone()).or_insert_with(|| {
+        let share = self.teams.entry(team.clone()).or_insert_with(|| {
             self.ring.push_back(team);
-            Share {
+            TeamQueue {
                 items: BTreeMap::new(),
                 weight: item.weight,
                 credit: 0.0,
@@ -69,11 +69,11 @@
 
     /// Takes an item out; a team with nothing left loses its turn and its debt.
     pub fn remove(&mut self, team: &TeamId, due: Due) -> Option<Item> {
-        let share = self.shares.get_mut(team)?;
+        let share = self.teams.get_mut(team)?;
         let item = share.items.remove(&due)?;
         share.cost = share.cost.saturating_sub(item.cost);
         if share.items.is_empty() {
-            self.shares.remove(team);
+            self.teams.remove(team);
             self.leave(team);
         }
         Some(item)
@@ -90,10 +90,10 @@
 
     /// Charges a team for work that was sent; one without credit ends its turn.
     pub fn charge(&mut self, team: &TeamId, cost: u64) {
-        let Some(share) = self.shares.get_mut(team) else {
+        let Some(share) = self.teams.get_mut(team) else {
             return;
         };
-        let deepest = -DEEPEST * QUANTUM * share.weight.max(MIN_WEIGHT);
+        let deepest = -MAX_DEBT_TURNS * QUANTUM * share.weight.max(MIN_WEIGHT);
         share.credit = (share.credit - cost as f64).max(deepest);
         if share.credit <= 0.0 && self.ring.front() == Some(team) {
             self.ring.rotate_left(1);
@@ -105,9 +105,9 @@
         let team = if self.passed.is_empty() {
             self.turn()?
         } else {
-            self.stand_in()?
+            self.next_not_passed()?
         };
-        let share = self.shares.get(&team)?;
+        let share = self.teams.get(&team)?;
         share.items.values().nth(share.skip)
     }
 
@@ -116,7 +116,7 @@
         let Some(team) = self.ring.pop_front() else {
             return;
         };
-        if let Some(share) = self.shares.get_mut(&team) {
+        if let Some(share) = self.teams.get_mut(&team) {
             share.skip += 1;
         }
         self.passed.push(team.clone());
@@ -130,17 +130,17 @@
     /// heavy teams their debt.
     pub fn rewind(&mut self) {
         while let Some(team) = self.passed.pop() {
-            if let Some(share) = self.shares.get_mut(&team) {
+            if let Some(share) = self.teams.get_mut(&team) {
                 share.skip = 0;
             }
         }
     }
 
     /// Finds a team to go in place of one that was passed over.
-    fn stand_in(&mut self) -> Option<TeamId> {
+    fn next_not_passed(&mut self) -> Option<TeamId> {
         for _ in 0..self.ring.len() {
             let team = self.ring.front()?;
-            let share = self.shares.get(team)?;
+            let share = self.teams.get(team)?;
             if share.skip < share.items.len() {
                 return Some(team.clone());
             }
@@ -153,7 +153,7 @@
     fn turn(&mut self) -> Option<TeamId> {
         loop {
             let team = self.ring.front()?.clone();
-            let share = self.shares.get_mut(&team)?;
+            let share = self.teams.get_mut(&team)?;
             if share.credit <= 0.0 {
                 share.credit += QUANTUM * share.weight.max(MIN_WEIGHT);
             }
@@ -166,7 +166,7 @@
 
     /// The latest due item of a team, with the cost of all its items here.
     pub fn tail(&self, team: &TeamId) -> Option<(u64, &Item)> {
-        let share = self.shares.get(team)?;
+        let share = self.teams.get(team)?;
         let (_, item) = share.items.last_key_value()?;
         Some((share.cost, item))
     }
--- a/crates/sesamegap-policy/src/load/queue/level.rs
+++ b/crates/sesamegap-policy/src/load/queue/level.rs
@@ -1,7 +1,7 @@
 //! All work of one rank, and who has most of it.
 
-use super::lane::{MIN_WEIGHT, Lane};
-use super::{Item, LaneKey, TRIES};
+use super::lane::{Lane, MIN_WEIGHT};
+use super::{Item, LaneKey, MAX_TRIES_WITHOUT_ROOM};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,8 +15,8 @@
 
 impl Load {
     /// Cost by weight, the measure by which one team is heavier than another.
-    fn heft(self) -> u64 {
-        heft(self.cost, self.weight)
+    fn weighted_cost(self) -> u64 {
+        weighted_cost(self.cost, self.weight)
     }
 }
 
@@ -26,7 +26,7 @@
     clippy::cast_sign_loss,
     reason = "a float cast saturates and costs are never below zero"
 )]
-pub fn heft(cost: u64, weight: f64) -> u64 {
+pub fn weighted_cost(cost: u64, weight: f64) -> u64 {
     (cost as f64 / weight.max(MIN_WEIGHT)) as u64
 }
 
@@ -50,7 +50,7 @@
             return;
         }
         let lane = self.lanes.entry(key.clone()).or_default();
-        lane.tries = TRIES;
+        lane.tries = MAX_TRIES_WITHOUT_ROOM;
         lane.push(item);
     }
 
@@ -82,8 +82,8 @@
 
     /// The team with most waiting for its weight, and how much that is.
     pub fn heaviest(&self) -> Option<(u64, &TeamId)> {
-        let (heft, team) = self.heavy.last()?;
-        Some((*heft, team))
+        let (weighted_cost, team) = self.heavy.last()?;
+        Some((*weighted_cost, team))
     }
 
     /// The latest due item of a team, from the lane in which it has most.
@@ -97,7 +97,7 @@
     fn note(&mut self, item: &Item, added: bool) {
         let team = &item.work.team;
         let load = self.loads.entry(team.clone()).or_default();
-        self.heavy.remove(&(load.heft(), team.clone()));
+        self.heavy.remove(&(load.weighted_cost(), team.clone()));
         self.weight -= load.weight;
         let model = self.models.entry(item.work.model.clone()).or_default();
         if added {
@@ -115,7 +115,7 @@
             self.loads.remove(team);
         } else {
             self.weight += load.weight;
-            self.heavy.insert((load.heft(), team.clone()));
+            self.heavy.insert((load.weighted_cost(), team.clone()));
         }
         if self.loads.is_empty() {
             // Rounding errors of the running sum end here.
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -19,7 +19,7 @@
 pub use lane::{Due, MIN_WEIGHT};
 
 use crate::decider::Work;
-use level::{Level, heft};
+use level::{Level, weighted_cost};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ClassId, ModelId, Moment, RequestId, TeamId, Tokens, WeightsVersion};
 use std::cmp::Reverse;
@@ -27,17 +27,17 @@
 
 /// Prompts from this length on are long: four of today's blocks, about the length from which a
 /// prefill takes longer than the short classes' whole deadline.
-pub const LONG: Tokens = Tokens(16_384);
+pub const LONG_PROMPT: Tokens = Tokens(16_384);
 
 /// Placements tried in a lane without room: different teams and prefixes want different engines,
 /// so one failure says little, and some say that the lane is full.
-pub const TRIES: u32 = 8;
+pub const MAX_TRIES_WITHOUT_ROOM: u32 = 8;
 
 /// Requests one router queues at most: 2 KB each keep the queue under a quarter of 64 MB.
-pub const MOST_REQUESTS: usize = 8_192;
+pub const MAX_QUEUED_REQUESTS: usize = 8_192;
 
 /// Victims that one newcomer may push out; a bound on the cost of one submission.
-const MOST_VICTIMS: usize = 16;
+const MAX_VICTIMS: usize = 16;
 
 /// Weight of an answer's token against a prompt's in the cost of a request: a step of the batch
 /// reads all weights for one token of each stream, where prefill computes many at once.
@@ -108,7 +108,7 @@
         LaneKey {
             model: self.work.model.clone(),
             version: self.work.version,
-            long: self.work.chain.tokens >= LONG,
+            long: self.work.chain.tokens >= LONG_PROMPT,
         }
     }
 }
@@ -142,7 +142,7 @@
     expiry: BTreeMap<Due, RequestId>,
     classes: FxHashMap<ClassId, Tokens>,
     seq: u64,
-    sign: u64,
+    room_epoch: u64,
     sweep: usize,
 }
 
@@ -213,7 +213,7 @@
 
     /// Notes that there may be room again.
     pub fn room(&mut self) {
-        self.sign += 1;
+        self.room_epoch += 1;
     }
 
     /// When the first request becomes hopeless.
@@ -245,12 +245,12 @@
 
     /// Lanes that are worth a try, first come first.
     fn stale(&self) -> Vec<(Rank, LaneKey)> {
-        let sign = self.sign;
+        let room_epoch = self.room_epoch;
         let lanes = self.levels.iter().flat_map(|(rank, level)| {
             let lanes = level.lanes.iter();
             lanes.map(move |(key, lane)| (*rank, key, lane))
         });
-        let stale = lanes.filter(|(_, _, lane)| lane.sign != sign || lane.tries > 0);
+        let stale = lanes.filter(|(_, _, lane)| lane.room_epoch != room_epoch || lane.tries > 0);
         stale.map(|(rank, key, _)| (rank, key.clone())).collect()
     }
 
@@ -261,12 +261,12 @@
         key: &LaneKey,
         offer: &mut impl FnMut(&Item) -> DispatchOutcome,
     ) -> bool {
-        let sign = self.sign;
+        let room_epoch = self.room_epoch;
         if let Some(lane) = self.lane(rank, key)
-            && lane.sign != sign
+            && lane.room_epoch != room_epoch
         {
-            lane.sign = sign;
-            lane.tries = TRIES;
+            lane.room_epoch = room_epoch;
+            lane.tries = MAX_TRIES_WITHOUT_ROOM;
         }
         let mut full = false;
         while let Some(lane) = self.lane(rank, key) {
@@ -331,11 +331,11 @@
         loop {
             let tokens = self.tokens(&item.work.class) + item.work.chain.tokens;
             let class = (tokens > most).then_some(&item.work.class);
-            if class.is_none() && self.len() < MOST_REQUESTS {
+            if class.is_none() && self.len() < MAX_QUEUED_REQUESTS {
                 return Some(victims);
             }
             let victim = match self.victim(item, class) {
-                Some(request) if victims.len() < MOST_VICTIMS => self.remove(&request),
+                Some(request) if victims.len() < MAX_VICTIMS => self.remove(&request),
                 _ => None,
             };
             let Some(victim) = victim else {
@@ -359,7 +359,7 @@
                 continue;
             };
             let own = level.load(&item.work.team) + item.cost;
-            if *rank == item.rank && most <= heft(own, item.weight) {
+            if *rank == item.rank && most <= weighted_cost(own, item.weight) {
                 continue;
             }
             let tail = level.tail(team);
--- a/crates/sesamegap-policy/src/load/windows/adaptive.rs
+++ b/crates/sesamegap-policy/src/load/windows/adaptive.rs
@@ -6,15 +6,15 @@
 //! first token, since engines queue and do not refuse), and in that it starts with a bound and not
 //! without one, because the first overload would otherwise fill an engine.
 
-use super::{FEWEST, Signal, Window};
+use super::{MIN_WINDOW, Signal, Window};
 use sesamegap_wire::Moment;
 use std::time::Duration;
 
 /// Window at the start: a batch of today's engines.
-const START: f64 = 16.0;
+const INITIAL_WINDOW: f64 = 16.0;
 
 /// Largest window of one router on one engine.
-const MOST: f64 = 64.0;
+const MAX_WINDOW: f64 = 64.0;
 
 /// Time after a halving in which no other sign halves again: the requests that are late now
 /// were sent before it.
@@ -30,7 +30,7 @@
 impl Default for AdaptiveWindow {
     fn default() -> Self {
         Self {
-            size: START,
+            size: INITIAL_WINDOW,
             halved: None,
         }
     }
@@ -51,12 +51,12 @@
         match signal {
             // A window that is not used says nothing about whether more would be well.
             Signal::Timely if flights as f64 * 2.0 >= size => {
-                self.size = (size + 1.0 / size).min(MOST);
+                self.size = (size + 1.0 / size).min(MAX_WINDOW);
             }
             Signal::Timely => {}
             Signal::Late if self.halved.is_some_and(|at| now.since(at) < COOLDOWN) => {}
             Signal::Late => {
-                self.size = (size / 2.0).max(FEWEST as f64);
+                self.size = (size / 2.0).max(MIN_WINDOW as f64);
                 self.halved = Some(now);
             }
         }
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -24,21 +24,21 @@
 
 /// Requests in flight to one engine over all routers, as a fixed window shares them: about twice
 /// the batch of today's engines, so that the next request is there when one ends.
-const FIXED_TOTAL: usize = 64;
+const FIXED_TOTAL_IN_FLIGHT: usize = 64;
 
 /// Fewest requests one router may have in flight to an engine, however many routers there are.
-pub const FEWEST: usize = 4;
+pub const MIN_WINDOW: usize = 4;
 
 /// Requests waiting on an engine: what it can start while a report is under way. With twice as
 /// many, low classes were overtaken on the engine itself for tens of seconds (docs/design/load.md).
-const WAITING: usize = 4;
+const MAX_WAITING: usize = 4;
 
 /// Prompt tokens sent to an engine and not yet computed, over all routers: two of today's long
 /// reviews, so that a short prompt waits for less than a long one takes.
-const PREFILL_TOTAL: u64 = 65_536;
+const MAX_QUEUED_PREFILL: u64 = 65_536;
 
 /// Part of a window kept for the highest class: one in eight.
-const RESERVE: usize = 8;
+const RESERVE_DIVISOR: usize = 8;
 
 /// How an answer went, as far as a window minds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 
 impl Window for FixedWindow {
     fn limit(&self, routers: usize) -> usize {
-        (FIXED_TOTAL / routers.max(1)).max(FEWEST)
+        (FIXED_TOTAL_IN_FLIGHT / routers.max(1)).max(MIN_WINDOW)
     }
 
     fn signal(&mut self, _signal: Signal, _flights: usize, _now: Moment) {}
@@ -222,15 +222,15 @@
             return true;
         };
         let limit = engine.window.limit(self.routers);
-        let reserve = (limit / RESERVE).max(1);
+        let reserve = (limit / RESERVE_DIVISOR).max(1);
         let usable = if highest { limit } else { limit - reserve };
         let more = if highest { 2 } else { 1 };
         let waiting = engine.backlog.waiting(self.routers);
-        if engine.flights >= usable || waiting >= WAITING * more {
+        if engine.flights >= usable || waiting >= MAX_WAITING * more {
             return false;
         }
         let queued = engine.backlog.prefill(self.routers);
-        queued == 0 || queued + prefill.0 <= PREFILL_TOTAL * more as u64
+        queued == 0 || queued + prefill.0 <= MAX_QUEUED_PREFILL * more as u64
     }
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -5,7 +5,7 @@
 use crate::support::{at, cases, millis, request, work};
 use oracle::{Flaw, Line, List, Real};
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::load::queue::{Item, Rank, TRIES};
+use sesamegap_policy::load::queue::{Item, MAX_TRIES_WITHOUT_ROOM, Rank};
 
 /// What may happen to a queue.
 #[derive(Debug, Clone)]
@@ -114,10 +114,10 @@
     for seq in 0..8_000 {
         real.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
     }
-    assert_eq!(real.tries(), TRIES as usize);
+    assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
     assert_eq!(real.tries(), 0, "tried again without a sign of room");
     real.queue.room();
-    assert_eq!(real.tries(), TRIES as usize);
+    assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
 }
 
 /// The queue is full of a heavy team's work. A light team's request pushes out the heavy one's
--- a/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
@@ -1,6 +1,8 @@
 //! A queue as one list, sorted anew for each question, and the real one behind the same calls.
 
-use sesamegap_policy::load::queue::{Item, LONG, DispatchOutcome, Queue, Rank, TRIES};
+use sesamegap_policy::load::queue::{
+    DispatchOutcome, Item, LONG_PROMPT, MAX_TRIES_WITHOUT_ROOM, Queue, Rank,
+};
 use sesamegap_wire::{Moment, RequestId, TeamId};
 use std::collections::BTreeMap;
 
@@ -118,7 +120,7 @@
 
 impl List {
     fn lane(item: &Item) -> Lane {
-        (item.rank, item.work.chain.tokens >= LONG)
+        (item.rank, item.work.chain.tokens >= LONG_PROMPT)
     }
 
     fn best(&self, lane: Lane, team: &TeamId) -> Option<usize> {
@@ -180,7 +182,7 @@
         let Some(ring) = self.rings.get_mut(&lane) else {
             return false;
         };
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES_WITHOUT_ROOM {
             if left.values().all(|count| *count == 0) {
                 return false;
             }
