--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sesamegap_policy::Work;
-use sesamegap_policy::load::queue::{DispatchOutcome, Item, Queue, Rank};
+use sesamegap_policy::load::queue::{DispatchOutcome, Queue, QueuedRequest, Rank};
 use sesamegap_wire::{Chain, Incarnation, Moment, RequestId, Tokens, WeightsVersion};
 use std::hint::black_box;
 use std::time::Duration;
@@ -14,10 +14,10 @@
     text.parse().unwrap_or_else(|_| panic!("{text} is no name"))
 }
 
-fn item(seq: u64) -> Item {
+fn item(seq: u64) -> QueuedRequest {
     let deadline = Moment(1_000_000 + seq * 7_919 % 5_000_000);
     let tokens = Tokens(if seq.is_multiple_of(3) { 40_000 } else { 4_000 });
-    Item {
+    QueuedRequest {
         rank: Rank::new(seq.is_multiple_of(5), u8::from(seq.is_multiple_of(2))),
         deadline,
         hopeless: deadline,
--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -6,7 +6,7 @@
 
 use super::{Decider, Decision, Refusal, RefusalCode, Work};
 use crate::load::limits::{Claim, add_jitter};
-use crate::load::queue::{Item, MIN_WEIGHT, OUTPUT_TOKEN_COST, Rank};
+use crate::load::queue::{MIN_WEIGHT, OUTPUT_TOKEN_COST, QueuedRequest, Rank};
 use sesamegap_settings::{Catalogue, ClassSpec, TeamSpec};
 use sesamegap_wire::Moment;
 use std::sync::Arc;
@@ -118,7 +118,7 @@
         }
     }
 
-    fn item(&mut self, work: Work, terms: Terms<'_>, now: Moment) -> Item {
+    fn item(&mut self, work: Work, terms: Terms<'_>, now: Moment) -> QueuedRequest {
         let cost = work.chain.tokens.0 + OUTPUT_TOKEN_COST * work.answer.0;
         let weight = terms.team.weight.max(MIN_WEIGHT);
         let claim = Claim {
@@ -139,7 +139,7 @@
         // The quickest first token that is still likely.
         let least = first.map_or(Duration::ZERO, |time| time.with(-1.0));
         let left = deadline.since(now).saturating_sub(least);
-        Item {
+        QueuedRequest {
             rank,
             deadline,
             hopeless: now + left,
@@ -154,7 +154,12 @@
     /// and callers who wait for nothing. The estimate counts what is queued ahead at the learned
     /// rate, and the engines' own time with a margin once there is a queue at all; without one,
     /// the mean has to do, since an idle system must not refuse on a spread seen in a busy hour.
-    fn admit(&mut self, item: &Item, class: &ClassSpec, now: Moment) -> Result<(), Barrier> {
+    fn admit(
+        &mut self,
+        item: &QueuedRequest,
+        class: &ClassSpec,
+        now: Moment,
+    ) -> Result<(), Barrier> {
         let needed = self.needed(item, now);
         let left = item.deadline.since(now);
         if left.is_zero() || needed > left {
@@ -173,7 +178,7 @@
     }
 
     /// Time to the first token, from now.
-    fn needed(&self, item: &Item, now: Moment) -> Duration {
+    fn needed(&self, item: &QueuedRequest, now: Moment) -> Duration {
         let wait = self.outlook.wait(&self.queue, item, item.cost, now);
         let margin = match wait.is_zero() {
             true => 0.0,
@@ -184,7 +189,7 @@
         wait + first.map_or(Duration::ZERO, |time| time.with(margin))
     }
 
-    fn enter(&mut self, item: Item, now: Moment) {
+    fn enter(&mut self, item: QueuedRequest, now: Moment) {
         if item.work.attempt == 0 {
             self.budget.earn();
         }
@@ -219,7 +224,7 @@
     /// Refuses a request and reserves its return.
     pub(super) fn refuse(
         &mut self,
-        item: &Item,
+        item: &QueuedRequest,
         code: RefusalCode,
         earliest: Duration,
         now: Moment,
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -4,7 +4,7 @@
 use super::outlook::Outlook;
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
-use crate::load::queue::{DispatchOutcome, Item, OUTPUT_TOKEN_COST, Rank};
+use crate::load::queue::{DispatchOutcome, OUTPUT_TOKEN_COST, QueuedRequest, Rank};
 use crate::placing::{Ask, Placed, Placement, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
@@ -35,14 +35,14 @@
     catalogue: &'a Catalogue,
     rng: &'a mut ChaCha12Rng,
     ready: &'a mut Vec<Decision>,
-    refused: Vec<(Item, RefusalCode)>,
+    refused: Vec<(QueuedRequest, RefusalCode)>,
     retry: Option<Moment>,
     highest: u8,
     now: Moment,
 }
 
 impl Sender<'_> {
-    fn offer(&mut self, item: &Item, hedge: Option<Moment>) -> DispatchOutcome {
+    fn offer(&mut self, item: &QueuedRequest, hedge: Option<Moment>) -> DispatchOutcome {
         let catalogue = self.catalogue;
         let Some(class) = catalogue.classes.get(&item.work.class) else {
             return self.drop(item, RefusalCode::Unknown);
@@ -78,17 +78,17 @@
     /// prefill that is computed for an answer no one waits for. The expected wait is a guess, so
     /// an engine on which this router has nothing in flight is tried all the same: with no
     /// answers there would be nothing to correct the guess by.
-    fn comes_late(&self, item: &Item, at: &Placement) -> bool {
+    fn comes_late(&self, item: &QueuedRequest, at: &Placement) -> bool {
         let wait = self.outlook.corrected(item.rank, at.wait);
         self.now + wait > item.deadline && self.windows.busy(&at.engine)
     }
 
-    fn drop(&mut self, item: &Item, code: RefusalCode) -> DispatchOutcome {
+    fn drop(&mut self, item: &QueuedRequest, code: RefusalCode) -> DispatchOutcome {
         self.refused.push((item.clone(), code));
         DispatchOutcome::Dropped
     }
 
-    fn book(&mut self, ask: &Ask<'_>, item: &Item, at: &Placement, hedge: Option<Moment>) {
+    fn book(&mut self, ask: &Ask<'_>, item: &QueuedRequest, at: &Placement, hedge: Option<Moment>) {
         let (work, rank) = (&item.work, item.rank);
         self.placer.sent(ask, at, self.now);
         let missing = work.chain.tokens - at.cached;
--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -3,7 +3,7 @@
 use super::Work;
 use super::flights::Flight;
 use crate::load::learned::{AdmittedRates, ServiceRates, TtftEstimate, TtftEstimates};
-use crate::load::queue::{Item, Queue, Rank};
+use crate::load::queue::{Queue, QueuedRequest, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
     /// What waits ahead is served at the rate that admitted work of higher rank leaves over,
     /// because that work goes on arriving and goes first. `extra` is the request's own cost if
     /// it is not queued.
-    pub fn wait(&self, queue: &Queue, item: &Item, extra: u64, now: Moment) -> Duration {
+    pub fn wait(&self, queue: &Queue, item: &QueuedRequest, extra: u64, now: Moment) -> Duration {
         let model = &item.work.model;
         let Some(rate) = self.paces.rate(model) else {
             return Duration::ZERO;
@@ -79,7 +79,7 @@
     }
 
     /// Notes admitted work.
-    pub fn admitted(&mut self, item: &Item, now: Moment) {
+    pub fn admitted(&mut self, item: &QueuedRequest, now: Moment) {
         self.inflow.add(&item.work.model, item.rank, item.cost, now);
     }
 
--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -4,7 +4,7 @@
 //! is placed, because cached tokens are free, so a team is charged afterwards and waits out its
 //! debt: a turn gives it credit in proportion to its weight, and it is served while it has any.
 
-use super::Item;
+use super::QueuedRequest;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{Moment, TeamId};
 use std::collections::{BTreeMap, VecDeque};
@@ -24,7 +24,7 @@
 /// One team's work in a lane.
 #[derive(Debug)]
 pub struct TeamQueue {
-    items: BTreeMap<Due, Item>,
+    items: BTreeMap<Due, QueuedRequest>,
     weight: f64,
     credit: f64,
     cost: u64,
@@ -50,7 +50,7 @@
     }
 
     /// Puts an item behind those of its team with earlier deadlines.
-    pub fn push(&mut self, item: Item) {
+    pub fn push(&mut self, item: QueuedRequest) {
         let team = item.work.team.clone();
         let share = self.teams.entry(team.clone()).or_insert_with(|| {
             self.ring.push_back(team);
@@ -68,7 +68,7 @@
     }
 
     /// Takes an item out; a team with nothing left loses its turn and its debt.
-    pub fn remove(&mut self, team: &TeamId, due: Due) -> Option<Item> {
+    pub fn remove(&mut self, team: &TeamId, due: Due) -> Option<QueuedRequest> {
         let share = self.teams.get_mut(team)?;
         let item = share.items.remove(&due)?;
         share.cost = share.cost.saturating_sub(item.cost);
@@ -101,7 +101,7 @@
     }
 
     /// The item to try next; items passed over in this round are left out.
-    pub fn next(&mut self) -> Option<&Item> {
+    pub fn next(&mut self) -> Option<&QueuedRequest> {
         let team = if self.passed.is_empty() {
             self.turn()?
         } else {
@@ -165,7 +165,7 @@
     }
 
     /// The latest due item of a team, with the cost of all its items here.
-    pub fn tail(&self, team: &TeamId) -> Option<(u64, &Item)> {
+    pub fn tail(&self, team: &TeamId) -> Option<(u64, &QueuedRequest)> {
         let share = self.teams.get(team)?;
         let (_, item) = share.items.last_key_value()?;
         Some((share.cost, item))
--- a/crates/sesamegap-policy/src/load/queue/level.rs
+++ b/crates/sesamegap-policy/src/load/queue/level.rs
@@ -1,7 +1,7 @@
 //! All work of one rank, and who has most of it.
 
 use super::lane::{Lane, MIN_WEIGHT};
-use super::{Item, LaneKey, MAX_TRIES_WITHOUT_ROOM};
+use super::{LaneKey, MAX_TRIES_WITHOUT_ROOM, QueuedRequest};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
 
 impl Level {
     /// Adds an item.
-    pub fn push(&mut self, key: &LaneKey, item: Item) {
+    pub fn push(&mut self, key: &LaneKey, item: QueuedRequest) {
         self.note(&item, true);
         if let Some(lane) = self.lanes.get_mut(key) {
             lane.push(item);
@@ -55,7 +55,12 @@
     }
 
     /// Takes an item out.
-    pub fn remove(&mut self, key: &LaneKey, team: &TeamId, due: super::Due) -> Option<Item> {
+    pub fn remove(
+        &mut self,
+        key: &LaneKey,
+        team: &TeamId,
+        due: super::Due,
+    ) -> Option<QueuedRequest> {
         let lane = self.lanes.get_mut(key)?;
         let item = lane.remove(team, due)?;
         if lane.is_empty() {
@@ -87,14 +92,14 @@
     }
 
     /// The latest due item of a team, from the lane in which it has most.
-    pub fn tail(&self, team: &TeamId) -> Option<&Item> {
+    pub fn tail(&self, team: &TeamId) -> Option<&QueuedRequest> {
         let tails = self.lanes.values().filter_map(|lane| lane.tail(team));
         let (_, item) = tails.max_by_key(|(cost, _)| *cost)?;
         Some(item)
     }
 
     /// Keeps the sums in step with the lanes.
-    fn note(&mut self, item: &Item, added: bool) {
+    fn note(&mut self, item: &QueuedRequest, added: bool) {
         let team = &item.work.team;
         let load = self.loads.entry(team.clone()).or_default();
         self.heavy.remove(&(load.weighted_cost(), team.clone()));
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -82,7 +82,7 @@
 
 /// A request that waits.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Item {
+pub struct QueuedRequest {
     /// The request.
     pub work: Work,
     /// Where it stands.
@@ -99,7 +99,7 @@
     pub seq: u64,
 }
 
-impl Item {
+impl QueuedRequest {
     fn due(&self) -> Due {
         (self.deadline, self.seq)
     }
@@ -168,7 +168,7 @@
     }
 
     /// Puts a request in; a second one with the same id takes the place of the first.
-    pub fn push(&mut self, mut item: Item) {
+    pub fn push(&mut self, mut item: QueuedRequest) {
         self.remove(&item.work.request);
         self.seq += 1;
         item.seq = self.seq;
@@ -194,7 +194,7 @@
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, request: &RequestId) -> Option<Item> {
+    pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         let place = self.places.remove(request)?;
         self.expiry.remove(&(place.hopeless, place.due.1));
         let level = self.levels.get_mut(&place.rank)?;
@@ -222,7 +222,7 @@
     }
 
     /// Takes out a request that is hopeless by now.
-    pub fn expired(&mut self, now: Moment) -> Option<Item> {
+    pub fn expired(&mut self, now: Moment) -> Option<QueuedRequest> {
         let (due, request) = self.expiry.first_key_value()?;
         if due.0 > now {
             return None;
@@ -232,7 +232,7 @@
     }
 
     /// Offers requests in order until no lane has room; says whether any lane was full.
-    pub fn serve(&mut self, mut offer: impl FnMut(&Item) -> DispatchOutcome) -> bool {
+    pub fn serve(&mut self, mut offer: impl FnMut(&QueuedRequest) -> DispatchOutcome) -> bool {
         let mut full: Vec<LaneKey> = Vec::new();
         for (rank, key) in self.stale() {
             // What a higher rank found full is full for a lower one, which has less room.
@@ -259,7 +259,7 @@
         &mut self,
         rank: Rank,
         key: &LaneKey,
-        offer: &mut impl FnMut(&Item) -> DispatchOutcome,
+        offer: &mut impl FnMut(&QueuedRequest) -> DispatchOutcome,
     ) -> bool {
         let room_epoch = self.room_epoch;
         if let Some(lane) = self.lane(rank, key)
@@ -326,7 +326,7 @@
     /// Load: saturation, when a class's queue or the whole queue is full. Harm prevented: a
     /// newcomer of a higher class, or of a team with less waiting, refused for work that is worth
     /// less. The number of victims is bounded so that a submission stays cheap.
-    pub fn make_room(&mut self, item: &Item, most: Tokens) -> Option<Vec<Item>> {
+    pub fn make_room(&mut self, item: &QueuedRequest, most: Tokens) -> Option<Vec<QueuedRequest>> {
         let mut victims = Vec::new();
         loop {
             let tokens = self.tokens(&item.work.class) + item.work.chain.tokens;
@@ -349,7 +349,7 @@
     }
 
     /// The request worth least, if it is worth less than the newcomer.
-    fn victim(&self, item: &Item, class: Option<&ClassId>) -> Option<RequestId> {
+    fn victim(&self, item: &QueuedRequest, class: Option<&ClassId>) -> Option<RequestId> {
         let levels = self.levels.range(item.rank..).rev();
         for (rank, level) in levels {
             if class.is_some() && rank.priority != item.rank.priority {
@@ -372,7 +372,7 @@
     }
 
     /// The latest due request of some team in each lane; another team at each call.
-    pub fn tails(&mut self) -> Vec<Item> {
+    pub fn tails(&mut self) -> Vec<QueuedRequest> {
         self.sweep = self.sweep.wrapping_add(1);
         let lanes = self.levels.values().flat_map(|level| level.lanes.values());
         let tails = lanes.filter_map(|lane| {
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -5,7 +5,7 @@
 use crate::support::{at, cases, millis, request, work};
 use oracle::{Flaw, Line, List, Real};
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::load::queue::{Item, MAX_TRIES_WITHOUT_ROOM, Rank};
+use sesamegap_policy::load::queue::{MAX_TRIES_WITHOUT_ROOM, QueuedRequest, Rank};
 
 /// What may happen to a queue.
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
 
 const TEAMS: [(&str, f64); 4] = [("a", 1.0), ("b", 2.0), ("c", 0.5), ("d", 1.0)];
 
-fn item(seq: u64, step: (u8, u8, u8, bool), now: u64) -> Item {
+fn item(seq: u64, step: (u8, u8, u8, bool), now: u64) -> QueuedRequest {
     let (team, priority, patience, long) = step;
     let (name, weight) = TEAMS[usize::from(team) % TEAMS.len()];
     let tokens = if long {
@@ -43,7 +43,7 @@
         1_000 + u64::from(team) * 16
     };
     let deadline = at(now) + millis(100 + u64::from(patience) * 40);
-    Item {
+    QueuedRequest {
         rank: Rank::new(priority.is_multiple_of(7), priority % 3),
         deadline,
         hopeless: deadline,
--- a/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
@@ -1,7 +1,7 @@
 //! A queue as one list, sorted anew for each question, and the real one behind the same calls.
 
 use sesamegap_policy::load::queue::{
-    DispatchOutcome, Item, LONG_PROMPT, MAX_TRIES_WITHOUT_ROOM, Queue, Rank,
+    DispatchOutcome, LONG_PROMPT, MAX_TRIES_WITHOUT_ROOM, Queue, QueuedRequest, Rank,
 };
 use sesamegap_wire::{Moment, RequestId, TeamId};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 pub type Left = Vec<u64>;
 
 pub trait Line {
-    fn push(&mut self, item: Item);
+    fn push(&mut self, item: QueuedRequest);
     fn cancel(&mut self, request: &RequestId) -> Left;
     /// Serves up to `room` requests.
     fn serve(&mut self, room: u8) -> Left;
@@ -64,7 +64,7 @@
 }
 
 impl Line for Real {
-    fn push(&mut self, mut item: Item) {
+    fn push(&mut self, mut item: QueuedRequest) {
         match self.flaw {
             Some(Flaw::Priority) => item.rank = Rank::new(item.rank.excess, 1),
             Some(Flaw::Deadline) => item.deadline = Moment(0),
@@ -114,12 +114,12 @@
 /// The naive queue.
 #[derive(Default)]
 pub struct List {
-    items: Vec<Item>,
+    items: Vec<QueuedRequest>,
     rings: BTreeMap<Lane, Ring>,
 }
 
 impl List {
-    fn lane(item: &Item) -> Lane {
+    fn lane(item: &QueuedRequest) -> Lane {
         (item.rank, item.work.chain.tokens >= LONG_PROMPT)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Takes the next of a lane: teams in turn, a long prompt's worth of cost by weight each.
-    fn take(&mut self, lane: Lane) -> Option<Item> {
+    fn take(&mut self, lane: Lane) -> Option<QueuedRequest> {
         let team = self.turn(lane)?;
         let n = self.best(lane, &team)?;
         let item = self.items.remove(n);
@@ -210,7 +210,7 @@
 }
 
 impl Line for List {
-    fn push(&mut self, item: Item) {
+    fn push(&mut self, item: QueuedRequest) {
         let ring = self.rings.entry(Self::lane(&item)).or_default();
         if ring.iter().all(|(team, _)| *team != item.work.team) {
             ring.push((item.work.team.clone(), 0.0));
