--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -66,7 +66,7 @@
                 queue.push(item(seq));
                 seq += 1;
                 let mut sent = false;
-                queue.room();
+                queue.notify_room();
                 queue.serve(|item| {
                     if std::mem::replace(&mut sent, true) {
                         return DispatchOutcome::Full;
@@ -77,7 +77,7 @@
         });
         group.bench_function(BenchmarkId::new("no room", length), |b| {
             b.iter(|| {
-                queue.room();
+                queue.notify_room();
                 queue.serve(|item| {
                     black_box(item.cost);
                     DispatchOutcome::Full
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -72,7 +72,7 @@
             Observation::Report(engine, report) => {
                 self.placer.report(&engine, &report, now);
                 self.windows.report(&engine, &report, now);
-                self.queue.room();
+                self.queue.notify_room();
             }
             Observation::Cache(engine, batch) => self.cache(engine, &batch, now),
             Observation::Listing(engine, listing) => self.placer.listing(&engine, &listing, now),
@@ -100,7 +100,7 @@
         }
         if self.retry.is_some_and(|at| at <= now) {
             self.retry = None;
-            self.queue.room();
+            self.queue.notify_room();
         }
         self.dispatch(now);
         self.hedge(now);
@@ -159,14 +159,14 @@
             .keep(|model| catalogue.models.contains_key(model));
         self.outlook.keep(&catalogue);
         self.catalogue = catalogue;
-        self.queue.room();
+        self.queue.notify_room();
     }
 
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
         self.placer.fleet(engines, now);
         let known: rustc_hash::FxHashSet<_> = engines.iter().map(|entry| &entry.id).collect();
         self.windows.keep(|id| known.contains(id));
-        self.queue.room();
+        self.queue.notify_room();
     }
 
     fn cache(&mut self, engine: UpstreamId, batch: &CacheBatch, now: Moment) {
@@ -191,7 +191,7 @@
         self.outlook
             .first(flight, time.min(flight.patience * 2), now);
         self.windows.computed(request, signal, now);
-        self.queue.room();
+        self.queue.notify_room();
     }
 
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment) {
@@ -204,7 +204,7 @@
             }
         }
         if self.windows.release(request) {
-            self.queue.room();
+            self.queue.notify_room();
         }
     }
 
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -212,7 +212,7 @@
     }
 
     /// Notes that there may be room again.
-    pub fn room(&mut self) {
+    pub fn notify_room(&mut self) {
         self.room_epoch += 1;
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -116,7 +116,7 @@
     }
     assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
     assert_eq!(real.tries(), 0, "tried again without a sign of room");
-    real.queue.room();
+    real.queue.notify_room();
     assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
@@ -84,7 +84,7 @@
 
     fn serve(&mut self, room: u8) -> Left {
         let mut left = Vec::new();
-        self.queue.room();
+        self.queue.notify_room();
         self.queue.serve(|item| {
             if left.len() >= usize::from(room) {
                 return DispatchOutcome::Full;
