--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -100,7 +100,7 @@
         let left = (work.arrived + terms.class.deadline).since(now);
         let rank = Rank::new(false, terms.class.priority);
         let needed = self.outlook.first_time(work, rank, now);
-        if needed.is_some_and(|time| time.with(0.0) > left) || left.is_zero() {
+        if needed.is_some_and(|time| time.mean_plus_deviations(0.0) > left) || left.is_zero() {
             return Err(Barrier::new(RefusalCode::Deadline, SOON));
         }
         if work.attempt > terms.class.retries || !self.budget.pay() {
@@ -137,7 +137,7 @@
         let rank = Rank::new(excess, terms.class.priority);
         let first = self.outlook.first_time(&work, rank, now);
         // The quickest first token that is still likely.
-        let least = first.map_or(Duration::ZERO, |time| time.with(-1.0));
+        let least = first.map_or(Duration::ZERO, |time| time.mean_plus_deviations(-1.0));
         let left = deadline.since(now).saturating_sub(least);
         QueuedRequest {
             rank,
@@ -186,7 +186,7 @@
             false => LOW_MARGIN,
         };
         let first = self.outlook.first_time(&item.work, item.rank, now);
-        wait + first.map_or(Duration::ZERO, |time| time.with(margin))
+        wait + first.map_or(Duration::ZERO, |time| time.mean_plus_deviations(margin))
     }
 
     fn enter(&mut self, item: QueuedRequest, now: Moment) {
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -136,7 +136,7 @@
         self.queue.serve(|item| {
             let work = &item.work;
             let time = outlook.first_time(work, item.rank, now);
-            let due = time.map(|time| now + time.with(HEDGE_AFTER));
+            let due = time.map(|time| now + time.mean_plus_deviations(HEDGE_AFTER));
             let hedge = due.filter(|_| work.repeatable && work.attempt == 0);
             sender.offer(item, hedge)
         });
@@ -170,7 +170,7 @@
         let deadline = twin.arrived + class.deadline;
         let rank = Rank::new(false, class.priority);
         let time = self.outlook.first_time(twin, rank, now);
-        let late = time.is_some_and(|time| now + time.with(0.0) >= deadline);
+        let late = time.is_some_and(|time| now + time.mean_plus_deviations(0.0) >= deadline);
         if !class.hedge || late || !self.budget.pay() {
             return;
         }
--- a/crates/sesamegap-policy/src/load/learned/first.rs
+++ b/crates/sesamegap-policy/src/load/learned/first.rs
@@ -46,7 +46,7 @@
     }
 
     /// Mean with so many deviations on top.
-    pub fn with(&self, deviations: f64) -> Duration {
+    pub fn mean_plus_deviations(&self, deviations: f64) -> Duration {
         Duration::from_secs_f64((self.mean + deviations * self.deviation).max(0.0))
     }
 }
