--- a/crates/sesamegap-policy/src/load/learned/first.rs
+++ b/crates/sesamegap-policy/src/load/learned/first.rs
@@ -1,8 +1,9 @@
-//! How long engines take from dispatch to the first token.
+//! Estimates of the time to first token (TTFT), from dispatch to the first token.
 //!
-//! Times are kept by model, rank and size of the prompt (engines mind priority too), as a mean and a mean deviation, the way a
-//! retransmission timer keeps its round trip. They fade when no news comes: a bad time that made
-//! the router refuse everything would otherwise never be corrected.
+//! Estimates are kept per model, rank and prompt size; the rank matters because engines schedule
+//! by priority. Each is a smoothed mean and mean deviation, like the round-trip estimate of a TCP
+//! retransmission timer. Estimates decay while no samples arrive: a high estimate that makes the
+//! router refuse every request would otherwise never be corrected.
 
 use crate::load::queue::Rank;
 use rustc_hash::FxHashMap;
@@ -10,19 +11,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of a new time in the mean.
+/// Weight of a new sample in the mean.
 const MEAN_GAIN: f64 = 0.125;
 
-/// Share of a new deviation in the mean deviation.
+/// Weight of a new sample in the mean deviation.
 const DEVIATION_GAIN: f64 = 0.25;
 
-/// Age at which a time has lost about two thirds of its weight.
+/// Time constant of the exponential decay of an estimate without samples.
 const DECAY_TIME: Duration = Duration::from_secs(10);
 
-/// Sizes are told apart by powers of two; longer prompts than 2^24 tokens count as that.
+/// Number of prompt size buckets, one per power of two. Prompts of 2^23 tokens or more share the
+/// last one.
 const SIZE_BUCKETS: u32 = 25;
 
-/// First-token time of prompts of one size.
+/// Time to first token of prompts in one size bucket.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TtftEstimate {
     /// Mean, in seconds.
@@ -45,7 +47,7 @@
         self.at = now.max(Moment(1));
     }
 
-    /// Mean with so many deviations on top.
+    /// Mean plus the given number of mean deviations, and at least zero.
     pub fn mean_plus_deviations(&self, deviations: f64) -> Duration {
         Duration::from_secs_f64((self.mean + deviations * self.deviation).max(0.0))
     }
@@ -53,7 +55,7 @@
 
 type Sizes = [TtftEstimate; SIZE_BUCKETS as usize];
 
-/// First-token times by model and size of the prompt.
+/// Time-to-first-token estimates by model, rank and prompt size.
 #[derive(Debug, Default)]
 pub struct TtftEstimates {
     models: FxHashMap<ModelId, BTreeMap<Rank, Sizes>>,
@@ -64,7 +66,7 @@
         (u64::BITS - tokens.0.leading_zeros()).min(SIZE_BUCKETS - 1) as usize
     }
 
-    /// Takes the first-token time of a request.
+    /// Records the time to first token of a request.
     pub fn add(
         &mut self,
         model: &ModelId,
@@ -78,7 +80,7 @@
         sizes[Self::size(tokens)].add(time.as_secs_f64(), now);
     }
 
-    /// What to expect for a prompt of this size; nothing if none was seen.
+    /// Returns the decayed estimate for a prompt of this size, or `None` without any sample.
     pub fn get(
         &self,
         model: &ModelId,
@@ -97,7 +99,7 @@
         Some(time)
     }
 
-    /// Keeps to the models that settings know.
+    /// Drops the estimates of models that are not in the settings.
     pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
--- a/crates/sesamegap-policy/src/load/learned/flow.rs
+++ b/crates/sesamegap-policy/src/load/learned/flow.rs
@@ -1,9 +1,9 @@
-//! A rate that forgets.
+//! An exponentially decaying rate.
 
 use sesamegap_wire::Moment;
 use std::time::Duration;
 
-/// Amount a second, averaged with weights that fall exponentially with age.
+/// Amount per second, averaged with weights that decay exponentially with age.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingRate {
     rate: f64,
@@ -11,13 +11,13 @@
 }
 
 impl DecayingRate {
-    /// Adds an amount.
+    /// Adds an amount; `memory` is the time constant of the decay.
     pub fn add(&mut self, amount: f64, now: Moment, memory: Duration) {
         self.rate = self.rate(now, memory) + amount / memory.as_secs_f64();
         self.at = now.max(self.at);
     }
 
-    /// The rate by now.
+    /// The rate at `now`.
     pub fn rate(&self, now: Moment, memory: Duration) -> f64 {
         let age = now.since(self.at).as_secs_f64();
         self.rate * (-age / memory.as_secs_f64()).exp()
--- a/crates/sesamegap-policy/src/load/learned/inflow.rs
+++ b/crates/sesamegap-policy/src/load/learned/inflow.rs
@@ -1,4 +1,4 @@
-//! How much work is let in at each rank.
+//! Rate of admitted work at each rank.
 
 use super::DecayingRate;
 use crate::load::queue::Rank;
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Age at which admitted work has lost about two thirds of its weight.
+/// Time constant of the exponential decay of admitted work.
 const DECAY_TIME: Duration = Duration::from_secs(3);
 
-/// Admitted work by model and rank, in cost a second.
+/// Admitted work by model and rank, in cost per second.
 #[derive(Debug, Default)]
 pub struct AdmittedRates {
     models: FxHashMap<ModelId, BTreeMap<Rank, DecayingRate>>,
 }
 
 impl AdmittedRates {
-    /// Notes an admitted request.
+    /// Records an admitted request.
     pub fn add(&mut self, model: &ModelId, rank: Rank, cost: u64, now: Moment) {
         let ranks = self.models.entry(model.clone()).or_default();
         ranks
@@ -26,7 +26,7 @@
             .add(cost as f64, now, DECAY_TIME);
     }
 
-    /// What is let in above a rank and so goes before it.
+    /// Rate of work admitted at ranks that are served before `rank`.
     pub fn above(&self, model: &ModelId, rank: Rank, now: Moment) -> f64 {
         let Some(ranks) = self.models.get(model) else {
             return 0.0;
@@ -35,7 +35,7 @@
         above.map(|(_, flow)| flow.rate(now, DECAY_TIME)).sum()
     }
 
-    /// Keeps to the models that settings know.
+    /// Drops the rates of models that are not in the settings.
     pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
--- a/crates/sesamegap-policy/src/load/learned/mod.rs
+++ b/crates/sesamegap-policy/src/load/learned/mod.rs
@@ -1,4 +1,5 @@
-//! What a router learns from its own traffic: service rates and first-token times.
+//! Estimates that a router derives from its own traffic: service rates, admitted work and times
+//! to first token.
 
 mod first;
 mod flow;
--- a/crates/sesamegap-policy/src/load/learned/pace.rs
+++ b/crates/sesamegap-policy/src/load/learned/pace.rs
@@ -1,35 +1,36 @@
-//! How fast the engines of a model take work from this router.
+//! Estimates the rate at which the engines of a model complete work from this router.
 //!
-//! The rate counts only while requests wait: an idle router learns how little it was asked, not
-//! how much its engines could do. It is taken from what finished, not from what was sent, since
-//! a burst into empty windows says nothing of the engines. Engines can do at least what they
-//! have just done, so a low rate learned in a short jam is raised by what passes afterwards.
+//! The rate is sampled only while requests are queued, because without a backlog throughput
+//! measures demand and not capacity. It is computed from completed work and not from dispatched
+//! work, since a burst into empty windows says nothing about the engines. Engines can sustain at
+//! least the throughput they have just shown, so higher recent throughput raises an estimate that
+//! a short stall has lowered.
 
 use super::DecayingRate;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, Moment};
 use std::time::Duration;
 
-/// Shortest span of one sample; shorter ones hold too few answers to mean anything.
+/// Minimum span of a sample; shorter spans contain too few responses to be significant.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Backlog from which engines are taken for busy: less may be one long prompt that waits for
-/// its turn while short ones pass, and engines could do more than they are seen to do.
+/// Minimum backlog, in service time, for engines to count as saturated. A smaller one may be a
+/// single long prompt that waits while short ones pass, with engine capacity to spare.
 const MIN_BACKLOG: Duration = Duration::from_millis(500);
 
-/// Age by which a sample's weight has fallen to about a third: some dozens of answers
-/// at the few a second that one router sees.
+/// Time constant of the exponential decay of samples: some dozens of responses at the few per
+/// second that one router sees.
 const DECAY_TIME: Duration = Duration::from_secs(10);
 
-/// Time under backlog before the rate is believed: the first answers come late because they
-/// all began together.
+/// Time under backlog before the rate is reported: the first responses come late because their
+/// requests all started together.
 const MIN_OBSERVED: Duration = Duration::from_secs(2);
 
-/// Age at which a rate is forgotten: the fleet may be another by then, and an old low rate
-/// would refuse work that idle engines could do.
+/// Age at which a rate no longer counts as observed: the fleet may have changed by then, and an
+/// outdated low rate would cause refusals while engines are idle.
 const MAX_AGE: Duration = Duration::from_mins(1);
 
-/// One model's service rate.
+/// Service rate of one model.
 #[derive(Debug, Default)]
 pub struct ServiceRate {
     rate: f64,
@@ -42,19 +43,19 @@
 }
 
 impl ServiceRate {
-    /// Notes work that engines have finished.
+    /// Records work that engines have completed.
     pub fn done(&mut self, cost: u64, now: Moment) {
         self.done += cost as f64;
         self.flow.add(cost as f64, now, DECAY_TIME);
         self.rate = self.rate.max(self.flow.rate(now, DECAY_TIME));
     }
 
-    /// Takes a sample when one is due, with the cost that waits for this model.
+    /// Takes a sample if one is due; `waiting` is the cost queued for this model.
     pub fn tick(&mut self, waiting: u64, now: Moment) {
         let waiting = waiting > 0 && waiting as f64 >= self.rate * MIN_BACKLOG.as_secs_f64();
         let span = now.since(self.since);
         if !self.waited || !waiting {
-            // Only spans that were busy from end to end are measured.
+            // Only spans with a backlog from start to end are sampled.
             if waiting != self.waited || span >= SAMPLE_INTERVAL {
                 self.restart(waiting, now);
             }
@@ -81,7 +82,7 @@
         self.waited = waiting;
     }
 
-    /// Cost a second, once enough is known.
+    /// Cost per second, or `None` until enough has been observed.
     pub fn rate(&self) -> Option<f64> {
         (self.seen >= MIN_OBSERVED && self.rate > 0.0).then_some(self.rate)
     }
@@ -94,33 +95,33 @@
 }
 
 impl ServiceRates {
-    /// Notes work that engines of a model have finished.
+    /// Records work that engines of a model have completed.
     pub fn done(&mut self, model: &ModelId, cost: u64, now: Moment) {
         if let Some(pace) = self.models.get_mut(model) {
             pace.done(cost, now);
         }
     }
 
-    /// Takes due samples; `waiting` says how much work waits for a model.
+    /// Takes samples that are due; `waiting` returns the cost queued for a model.
     pub fn tick(&mut self, waiting: impl Fn(&ModelId) -> u64, now: Moment) {
         for (model, pace) in &mut self.models {
             pace.tick(waiting(model), now);
         }
     }
 
-    /// Cost a second for a model, once enough is known.
+    /// Cost per second of a model, or `None` until enough has been observed.
     pub fn rate(&self, model: &ModelId) -> Option<f64> {
         self.models.get(model)?.rate()
     }
 
-    /// Describes the rates for a dump.
+    /// Returns the rates as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let rates = self.models.iter();
         let rates = rates.map(|(model, pace)| (model.to_string(), pace.rate().into()));
         rates.collect::<serde_json::Map<_, _>>().into()
     }
 
-    /// Keeps to the models that settings know.
+    /// Keeps rates for exactly the given models.
     pub fn keep<'a>(&mut self, models: impl Iterator<Item = &'a ModelId>) {
         let mut old = std::mem::take(&mut self.models);
         self.models = models
--- a/crates/sesamegap-policy/src/load/limits/budget.rs
+++ b/crates/sesamegap-policy/src/load/limits/budget.rs
@@ -1,21 +1,22 @@
-//! What a router may spend on second attempts.
+//! Retry budget that limits the retries and hedges of a router.
 //!
-//! Load: an engine or a failure domain is gone and everything it ran is tried again, or all
-//! engines are slow and every hedge looks worth it. Harm prevented: second attempts that add to
-//! the very overload that caused them. Each first attempt earns a tenth of a second one, so that
-//! over time retries and hedges add at most a tenth to the traffic; what is saved up is bounded,
-//! so that a quiet hour cannot pay for a storm.
+//! When an engine or a failure domain is lost, all its requests are retried; when all engines are
+//! slow, every hedge seems worthwhile. Without a limit these extra attempts add to the overload
+//! that caused them. Each first attempt earns a tenth of an extra attempt, so that retries and
+//! hedges add at most a tenth to the traffic over time. The balance is capped, so that a long
+//! quiet period can't pay for a retry storm.
 
-/// Second attempts earned by a first one: the tenth that the design allows.
+/// Retries or hedges earned by each first attempt: they may add at most a tenth to the traffic.
 const EARNED_PER_ATTEMPT: f64 = 0.1;
 
-/// Most that is saved: an engine's whole batch may be tried again at once, but not a fleet's.
+/// Upper bound of the balance: enough to retry the whole batch of one engine at once, but not
+/// those of the fleet.
 const MAX_BALANCE: f64 = 64.0;
 
-/// What a router starts with, so that the first failure after a restart can be retried.
+/// Balance after a restart, so that the first failures can be retried.
 const INITIAL_BALANCE: f64 = 16.0;
 
-/// Second attempts that may still be made.
+/// Token bucket of the retries and hedges that may still be made.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     left: f64,
@@ -30,12 +31,12 @@
 }
 
 impl RetryBudget {
-    /// Earns for a first attempt.
+    /// Credits a first attempt.
     pub fn earn(&mut self) {
         self.left = (self.left + EARNED_PER_ATTEMPT).min(MAX_BALANCE);
     }
 
-    /// Pays for a second attempt, or says that it cannot.
+    /// Pays for a retry or hedge; returns `false` if the balance is too low.
     #[must_use]
     pub fn pay(&mut self) -> bool {
         let paid = self.left >= 1.0;
@@ -45,12 +46,12 @@
         paid
     }
 
-    /// Gives back what was paid for an attempt that was not made.
+    /// Refunds an attempt that was paid for but not made.
     pub fn refund(&mut self) {
         self.left = (self.left + 1.0).min(MAX_BALANCE);
     }
 
-    /// Second attempts left.
+    /// Retries or hedges left.
     pub fn left(&self) -> f64 {
         self.left
     }
--- a/crates/sesamegap-policy/src/load/limits/comeback.rs
+++ b/crates/sesamegap-policy/src/load/limits/comeback.rs
@@ -1,30 +1,31 @@
-//! When refused callers may come back.
+//! Retry delays for refused callers.
 //!
-//! Load: saturation, when most of what arrives is refused. Harm prevented: callers who come back
-//! together and are refused together, again and again. Each refusal reserves a place in a line
-//! that moves at the rate at which engines take work, so the time told is when there is likely
-//! to be room for that caller, and not one for all. A random half on top keeps callers apart
-//! who were refused by different routers at the same moment.
+//! Under saturation most requests are refused, and callers that retry at the same time would be
+//! refused together again. Each refusal therefore reserves the next slot of a schedule that
+//! advances at the service rate of the engines, so that each caller gets its own time at which
+//! there is likely to be capacity for it. Random jitter of up to half the delay separates callers
+//! that different routers refused at the same moment.
 
 use rand::Rng;
 use sesamegap_wire::Moment;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Soonest return: asking again any sooner costs more than it can gain.
+/// Minimum delay; an earlier retry costs more than it can gain.
 const MIN_DELAY: Duration = Duration::from_millis(250);
 
-/// Latest return told: beyond that the line's length is guesswork.
+/// Maximum delay before jitter; predictions further ahead are unreliable.
 const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// Lines of returning callers by priority.
+/// Time of the last reserved retry, by priority.
 #[derive(Debug, Default)]
 pub struct RetrySchedule {
     lines: BTreeMap<u8, Moment>,
 }
 
 impl RetrySchedule {
-    /// Reserves a return no sooner than `earliest`, and `step` behind the one before.
+    /// Reserves a retry at least `earliest` from now and `step` after the previous one, and returns
+    /// its delay with jitter.
     pub fn reserve(
         &mut self,
         priority: u8,
@@ -40,7 +41,7 @@
     }
 }
 
-/// Lengthens a time by up to a half, at random.
+/// Lengthens a delay by a random part of up to a half.
 pub fn add_jitter(time: Duration, rng: &mut dyn Rng) -> Duration {
     let part = f64::from(rng.next_u32()) / f64::from(u32::MAX);
     time.mul_f64(1.0 + part / 2.0)
--- a/crates/sesamegap-policy/src/load/limits/mod.rs
+++ b/crates/sesamegap-policy/src/load/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits of teams and of retries.
+//! Rate limits and fair shares of teams, retry budget and retry delays.
 
 mod budget;
 mod comeback;
--- a/crates/sesamegap-policy/src/load/limits/peers.rs
+++ b/crates/sesamegap-policy/src/load/limits/peers.rs
@@ -1,20 +1,20 @@
-//! What other routers say of their demand.
+//! Demand that other routers report in their digests.
 
 use rustc_hash::FxHashMap;
 use sesamegap_wire::peer::Digest;
 use sesamegap_wire::{Moment, TeamId, VmId};
 use std::time::Duration;
 
-/// Silence after which a peer's figures no longer count: some missed digests.
+/// Time without a digest after which a peer's demand is no longer counted: several missed digests.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence after which a peer is forgotten.
+/// Time without a digest after which a peer is removed.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
-/// Peers kept; three times the routers expected at the letter's size.
+/// Maximum number of peers: three times the routers expected at the size that is designed for.
 const MAX_PEERS: usize = 1_024;
 
-/// Teams kept of one peer; a longer digest is cut.
+/// Maximum number of teams per peer; a longer digest is truncated.
 const MAX_TEAMS_PER_PEER: usize = 256;
 
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
     demand: Vec<(TeamId, f64)>,
 }
 
-/// Demand of each team at the other routers.
+/// Sums the demand of each team over the other routers.
 #[derive(Debug, Default)]
 pub struct PeerDemand {
     peers: FxHashMap<VmId, Peer>,
@@ -34,7 +34,7 @@
 }
 
 impl PeerDemand {
-    /// Takes a peer's digest in place of its last one.
+    /// Replaces the previous digest of a peer. A new peer beyond [`MAX_PEERS`] is ignored.
     pub fn heard(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&vm) {
             return;
@@ -53,7 +53,8 @@
         self.peers.insert(vm, peer);
     }
 
-    /// Leaves out peers that have fallen silent; cheap enough for each poll.
+    /// Stops counting peers that have timed out and removes those past their retention. Does work
+    /// only five times per [`PEER_TIMEOUT`], so it may be called on each poll.
     pub fn sweep(&mut self, now: Moment) {
         if now.since(self.swept) < PEER_TIMEOUT / 5 {
             return;
@@ -84,17 +85,17 @@
         }
     }
 
-    /// Demand of a team at the peers that are heard.
+    /// Demand of a team at the live peers.
     pub fn demand(&self, team: &TeamId) -> f64 {
         self.sums.get(team).copied().unwrap_or(0.0)
     }
 
-    /// Peers that are heard.
+    /// Number of peers whose digests are recent.
     pub fn live(&self) -> usize {
         self.live
     }
 
-    /// Peers that are known, silent ones included.
+    /// Number of known peers, including those that have timed out.
     pub fn known(&self) -> usize {
         self.peers.len()
     }
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -1,40 +1,42 @@
-//! Which work is within its team's fair share.
+//! Weighted max-min fair shares of each model's service rate between teams.
 //!
-//! Load: saturation with demand skewed between teams. Harm prevented: a team that asks for little
-//! is refused because a heavier one asks for much. The service rate of a model is filled up
-//! evenly: each team gets its demand or its weight times one common level, whichever is less. A
-//! team above the level keeps its highest classes within its share, as far as they fit; of the
-//! class at the edge a part fits, and the rest is excess. Demand counts what arrives, refused or not, so that refusing a team does not
-//! make it look light.
+//! Under saturation with skewed demand, a team with little demand must not be refused because of
+//! a team with much. Each team gets the lesser of its demand and its weight times a common level,
+//! which is chosen so that the service rate is used up. A team above the level has its highest
+//! priorities counted within its share as far as they fit, then a fraction of the next priority;
+//! the rest is excess. Demand includes refused requests, so that refusing a team does not lower
+//! its measured demand.
 
 use crate::load::learned::DecayingRate;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, Moment, TeamId};
 use std::time::Duration;
 
-/// Age at which demand has lost about two thirds of its weight: long against single requests,
-/// of which a light team may send one in some seconds to one router.
+/// Time constant of the exponential decay of demand. It is long compared to the interval between
+/// requests, as a light team may send one router a single request in several seconds.
 const DECAY_TIME: Duration = Duration::from_secs(20);
 
-/// How often the common level is worked out again.
+/// Interval at which the common level is recomputed.
 const RECOMPUTE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Demand by service rate from which there is not enough for all. Both are estimates from a few
-/// requests a second; a smaller excess is left to the queue, which is fair as well.
+/// Ratio of demand to service rate above which shares are enforced. Both are estimates from a few
+/// requests per second; a smaller overload is left to the queue, which is fair as well.
 const OVERLOAD_RATIO: f64 = 1.25;
 
-/// Teams tracked for one model; more than one router can serve within the memory.
+/// Maximum number of teams tracked per model; more than one router can serve within
+/// [`DECAY_TIME`].
 const MAX_TEAMS: usize = 8_192;
 
-/// Demand below which a team is forgotten, in cost a second.
+/// Demand below which a team is no longer tracked, in cost per second.
 const MIN_DEMAND: f64 = 1.0;
 
-/// Demand of one priority.
+/// Demand of a team at one priority.
 #[derive(Debug)]
 struct Tier {
     priority: u8,
     flow: DecayingRate,
-    /// Adds up the parts of requests that fit, until one fits whole.
+    /// Accumulates the fraction of each request that fits; a request is within the share when
+    /// this reaches 1.
     fitted: f64,
 }
 
@@ -59,13 +61,13 @@
         self.tiers[at].flow.add(cost, now, DECAY_TIME);
     }
 
-    /// Demand at this priority and above.
+    /// Demand at this priority or a higher one.
     fn from(&self, priority: u8, now: Moment) -> f64 {
         let above = self.tiers.iter().filter(|t| t.priority >= priority);
         above.map(|tier| tier.flow.rate(now, DECAY_TIME)).sum()
     }
 
-    /// Whether the next request of a priority fits into a share.
+    /// Whether the next request of a priority fits into a share; updates `fitted`.
     fn fits(&mut self, priority: u8, share: f64, now: Moment) -> bool {
         let all = self.from(priority, now);
         let Some(tier) = self.tiers.iter_mut().find(|t| t.priority == priority) else {
@@ -87,13 +89,13 @@
 #[derive(Debug, Default)]
 struct Table {
     teams: FxHashMap<TeamId, Demand>,
-    /// Demand by weight up to which work is within its share; none while there is enough.
+    /// Demand per weight up to which work is within its share; `None` without overload.
     level: Option<f64>,
     at: Moment,
 }
 
 impl Table {
-    /// Works out the common level for a service rate.
+    /// Recomputes the common level for a service rate and drops teams without demand.
     fn fill(&mut self, rate: Option<f64>, now: Moment) {
         self.at = now;
         self.teams
@@ -106,7 +108,7 @@
     }
 }
 
-/// The level at which a rate is used up, if demand exceeds it.
+/// Demand per weight at which a service rate is used up; `None` if demand doesn't exceed it.
 fn level(demands: &mut [(f64, f64)], rate: f64) -> Option<f64> {
     demands.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
     let mut left = rate;
@@ -128,23 +130,23 @@
     models: FxHashMap<ModelId, Table>,
 }
 
-/// One request as shares see it.
+/// The properties of a request that decide its share.
 #[derive(Debug)]
 pub struct Claim<'a> {
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a ModelId,
-    /// Team that asks.
+    /// Requesting team.
     pub team: &'a TeamId,
-    /// Its weight.
+    /// Weight of the team.
     pub weight: f64,
-    /// The request's priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// Its cost.
+    /// Cost of the request.
     pub cost: u64,
 }
 
 impl Shares {
-    /// Counts a request's demand.
+    /// Adds a request to its team's demand.
     pub fn arrive(&mut self, claim: &Claim<'_>, now: Moment) {
         if !self.models.contains_key(claim.model) {
             self.models.insert(claim.model.clone(), Table::default());
@@ -160,7 +162,7 @@
         demand.add(claim.priority, claim.cost as f64, now);
     }
 
-    /// Whether a request exceeds its team's share at this service rate.
+    /// Whether a request exceeds its team's share of this service rate.
     pub fn exceeds(&mut self, claim: &Claim<'_>, rate: Option<f64>, now: Moment) -> bool {
         let Some(table) = self.models.get_mut(claim.model) else {
             return false;
@@ -176,12 +178,12 @@
         demand.is_some_and(|demand| !demand.fits(claim.priority, share, now))
     }
 
-    /// Keeps to the models that settings know.
+    /// Drops the shares of models that are not in the settings.
     pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
 
-    /// Describes the levels for a dump.
+    /// Returns the levels as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let levels = self.models.iter();
         let levels = levels.map(|(model, table)| (model.to_string(), table.level.into()));
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -1,10 +1,10 @@
-//! Rate limits of teams, shared over routers.
+//! Rate limits of teams, divided between routers.
 //!
-//! A team's rate holds over all routers together, but each decides alone. A router takes the
-//! part of the rate that its own demand is of all demand that peers tell of. Routers that are
-//! not heard keep an equal part each, since they may well be serving; with all peers silent this
-//! leaves each its equal part. A tenth of the rate is always shared equally, so that the first
-//! request at a router that had none is not refused for want of a part.
+//! A team's rate limit applies to all routers together, but each router enforces its part alone.
+//! That part is proportional to the router's share of the total demand, as reported by its peers.
+//! An equal part is left to each router that can't be heard, since it may still be serving; with
+//! no peer heard, each router has an equal part. A tenth of the rate is always divided equally,
+//! so that a router without previous demand doesn't refuse its first request.
 
 use super::PeerDemand;
 use crate::load::learned::DecayingRate;
@@ -14,19 +14,19 @@
 use sesamegap_wire::{Moment, TeamId, Tokens, VmId};
 use std::time::Duration;
 
-/// Age at which demand has lost about two thirds of its weight: a few digests.
+/// Time constant of the exponential decay of demand: a few digest intervals.
 const DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// Part of each rate that is shared equally whatever the demand.
+/// Fraction of each rate that is divided equally between routers, independent of demand.
 const EQUAL_FRACTION: f64 = 0.1;
 
-/// Teams told of in a digest; at 30 bytes each this stays within 4 KB a second.
+/// Maximum number of teams in a digest; at 30 bytes each this stays within 4 KB a second.
 const MAX_DIGEST_TEAMS: usize = 128;
 
-/// Longest wait told: a team whose rate is next to nothing had better look at its settings.
+/// Maximum retry delay; a team that reaches it has a rate near zero and should check its settings.
 const MAX_RETRY_DELAY: Duration = Duration::from_hours(1);
 
-/// Demand below which a team is not worth telling of, in tokens a second.
+/// Demand below which a team is left out of digests, in tokens per second.
 const MIN_DIGEST_DEMAND: f64 = 1.0;
 
 #[derive(Debug, Clone, Copy)]
@@ -36,7 +36,7 @@
     demand: DecayingRate,
 }
 
-/// Token buckets of the teams that have a rate.
+/// Token buckets of the teams that have a rate limit.
 #[derive(Debug)]
 pub struct TeamLimits {
     buckets: FxHashMap<TeamId, Bucket>,
@@ -55,15 +55,15 @@
 }
 
 impl TeamLimits {
-    /// Takes a request of a team, or says how long until there is room for it.
+    /// Charges a request to its team's bucket.
     ///
-    /// Load: a team sends more than it has agreed on. Harm prevented: its excess fills queues
-    /// and caches that others need. The burst is the team's own limit; a prompt longer than the
-    /// whole burst is taken when the bucket is full, and paid off afterwards.
+    /// Keeps a team that exceeds its rate limit from filling queues and caches that other teams
+    /// need. A prompt larger than the whole burst is accepted when the bucket is full, and leaves
+    /// the bucket with a negative level.
     ///
     /// # Errors
     ///
-    /// The time until there is room, if there is none now.
+    /// Returns the time until the bucket has enough tokens, if it lacks them now.
     pub fn take(
         &mut self,
         team: &TeamId,
@@ -105,7 +105,7 @@
         Err(wait.map_or(MAX_RETRY_DELAY, |wait| wait.min(MAX_RETRY_DELAY)))
     }
 
-    /// The part of a team's rate that this router may give out.
+    /// Fraction of a team's rate that this router may use, given its own demand for the team.
     pub fn part(&self, team: &TeamId, own: f64) -> f64 {
         let live = self.peers.live() + 1;
         let routers = self.shared_by() as f64;
@@ -119,29 +119,29 @@
         (1.0 - EQUAL_FRACTION) * heard * by_demand + EQUAL_FRACTION / routers
     }
 
-    /// Notes how many routers are live, this one included.
+    /// Sets the number of live routers, this one included.
     pub fn routers(&mut self, count: u32) {
         self.routers = count.max(1);
     }
 
-    /// Gives back what a request took that was not let in after all.
+    /// Returns the tokens of a request that was not admitted after all.
     pub fn give_back(&mut self, team: &TeamId, tokens: Tokens) {
         if let Some(bucket) = self.buckets.get_mut(team) {
             bucket.level += tokens.0 as f64;
         }
     }
 
-    /// How many routers share the limits, as far as is known.
+    /// Number of routers that share the limits, as far as this router knows.
     pub fn shared_by(&self) -> usize {
         (self.routers as usize).max(self.peers.known() + 1)
     }
 
-    /// Takes a peer's digest.
+    /// Records a peer's digest.
     pub fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         self.peers.heard(vm, digest, now);
     }
 
-    /// Adds own demand to the digest, the greatest first.
+    /// Adds the demand at this router to the digest, highest first.
     pub fn digest(&self, digest: &mut Digest, now: Moment) {
         let rates = self.buckets.iter();
         let rates = rates.map(|(team, bucket)| (team.clone(), bucket.demand.rate(now, DECAY_TIME)));
@@ -153,7 +153,7 @@
         digest.demand = demand;
     }
 
-    /// Keeps to the teams that settings limit.
+    /// Drops the buckets of teams without a rate limit in the settings.
     pub fn keep(&mut self, catalogue: &Catalogue) {
         let limited = |team: &TeamId| {
             let spec = catalogue.teams.get(team);
--- a/crates/sesamegap-policy/src/load/mod.rs
+++ b/crates/sesamegap-policy/src/load/mod.rs
@@ -1,10 +1,10 @@
-//! Limits under load: queues, windows, shares and budgets.
+//! Load control: rate limits, fair shares, retry budget, queue and per-engine windows.
 //!
-//! A request meets them in this order. [`limits`] asks whether its team may send so much and,
-//! for a second attempt, whether the budget pays. [`learned`] gives the rate at which engines
-//! take work, from which follow the wait ahead of the request and its team's fair share.
-//! [`queue`] holds it until [`windows`] has room on an engine. What is refused, and when to come
-//! back, is decided in [`crate::decider`].
+//! A request passes through them in this order. [`limits`] checks the rate limit of its team and,
+//! for a retry, the retry budget. [`learned`] provides the service rate of the engines, from which
+//! the expected queueing time and the team's fair share are computed. [`queue`] holds the request
+//! until [`windows`] has room on an engine. [`crate::decider`] decides which requests are refused
+//! and when their callers should retry.
 
 pub mod learned;
 pub mod limits;
