--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -1,27 +1,29 @@
-//! Work of one rank for the same weights: fair over teams, earliest deadline first in each.
+//! Requests of one rank for the same weights: deficit round robin over teams, and earliest
+//! deadline first within each team.
 //!
-//! Teams take turns by deficit round robin. What a request costs an engine is only known once it
-//! is placed, because cached tokens are free, so a team is charged afterwards and waits out its
-//! debt: a turn gives it credit in proportion to its weight, and it is served while it has any.
+//! The cost of a request is known only once it has been placed, because cached tokens are free. A
+//! team is therefore charged after dispatch and may go into debt. Each turn gives it credit in
+//! proportion to its weight, and it is served while its credit is positive.
 
 use super::QueuedRequest;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{Moment, TeamId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Credit of one turn at weight 1, in cost: about one long prompt, so that a turn rarely splits.
+/// Credit per turn at weight 1, in cost: about one long prompt, so that one turn usually pays for a
+/// request.
 const QUANTUM: f64 = 16_384.0;
 
-/// Smallest weight reckoned with, so that a team of weight zero still moves.
+/// Lower bound of team weights, so that a team of weight zero still makes progress.
 pub const MIN_WEIGHT: f64 = 0.01;
 
-/// Deepest debt kept, in turns: bounds how often a turn must be given before someone may go on.
+/// Maximum debt of a team, in turns: bounds the number of turns until some team has credit.
 const MAX_DEBT_TURNS: f64 = 64.0;
 
-/// Identifies an item within its share: deadline first, then order of arrival.
+/// Identifies a request within its team and orders by deadline, then by arrival.
 pub type Due = (Moment, u64);
 
-/// One team's work in a lane.
+/// Requests of one team in a lane.
 #[derive(Debug)]
 pub struct TeamQueue {
     items: BTreeMap<Due, QueuedRequest>,
@@ -31,25 +33,25 @@
     skip: usize,
 }
 
-/// Work that wants the same engines at the same rank.
+/// Requests of one rank with the same [`LaneKey`](super::LaneKey).
 #[derive(Debug, Default)]
 pub struct Lane {
     ring: VecDeque<TeamId>,
     teams: FxHashMap<TeamId, TeamQueue>,
     passed: Vec<TeamId>,
-    /// Placements that may still be tried before the next sign of room.
+    /// Placements that may still be tried in the current room epoch.
     pub tries: u32,
-    /// The sign of room that `tries` was last renewed for.
+    /// The room epoch in which `tries` was last reset.
     pub room_epoch: u64,
 }
 
 impl Lane {
-    /// Whether nothing waits.
+    /// Whether the lane has no requests.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    /// Puts an item behind those of its team with earlier deadlines.
+    /// Inserts a request into its team's queue by deadline.
     pub fn push(&mut self, item: QueuedRequest) {
         let team = item.work.team.clone();
         let share = self.teams.entry(team.clone()).or_insert_with(|| {
@@ -67,7 +69,7 @@
         share.items.insert(item.due(), item);
     }
 
-    /// Takes an item out; a team with nothing left loses its turn and its debt.
+    /// Removes a request; a team without requests leaves the ring and loses its credit or debt.
     pub fn remove(&mut self, team: &TeamId, due: Due) -> Option<QueuedRequest> {
         let share = self.teams.get_mut(team)?;
         let item = share.items.remove(&due)?;
@@ -80,7 +82,7 @@
     }
 
     fn leave(&mut self, team: &TeamId) {
-        // The team just served stands in front, so that the search below is rare.
+        // The team served last is usually at the front, so the linear search below is rare.
         if self.ring.front() == Some(team) {
             self.ring.pop_front();
         } else {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Charges a team for work that was sent; one without credit ends its turn.
+    /// Charges a team for a dispatched request; its turn ends when its credit is used up.
     pub fn charge(&mut self, team: &TeamId, cost: u64) {
         let Some(share) = self.teams.get_mut(team) else {
             return;
@@ -100,7 +102,7 @@
         }
     }
 
-    /// The item to try next; items passed over in this round are left out.
+    /// The request to try next, except those passed over in this round.
     pub fn next(&mut self) -> Option<&QueuedRequest> {
         let team = if self.passed.is_empty() {
             self.turn()?
@@ -111,7 +113,7 @@
         share.items.values().nth(share.skip)
     }
 
-    /// Passes over the item just tried, so that a team whose engines are full holds up no other.
+    /// Passes over the request just tried, so that a team whose engines are full doesn't block others.
     pub fn pass(&mut self) {
         let Some(team) = self.ring.pop_front() else {
             return;
@@ -123,11 +125,11 @@
         self.ring.push_back(team);
     }
 
-    /// Ends a round: nothing is passed over any more.
+    /// Ends a round and clears the requests that were passed over.
     ///
-    /// Teams passed over keep their credit and stay at the back, so that the next round tries
-    /// others. Those who stood in got none: if they did, each poll without room would forgive
-    /// heavy teams their debt.
+    /// Teams that were passed over keep their credit and stay at the back of the ring, so that the
+    /// next round tries other teams first. Teams tried in their place get no credit: otherwise
+    /// each poll without room would cancel the debt of heavy teams.
     pub fn rewind(&mut self) {
         while let Some(team) = self.passed.pop() {
             if let Some(share) = self.teams.get_mut(&team) {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Finds a team to go in place of one that was passed over.
+    /// Finds the next team with a request that was not passed over, regardless of credit.
     fn next_not_passed(&mut self) -> Option<TeamId> {
         for _ in 0..self.ring.len() {
             let team = self.ring.front()?;
@@ -149,7 +151,8 @@
         None
     }
 
-    /// Finds the team whose turn it is and turns the ring to it.
+    /// Rotates the ring to the next team with credit, giving a turn's credit to each
+    /// visited team that has none.
     fn turn(&mut self) -> Option<TeamId> {
         loop {
             let team = self.ring.front()?.clone();
@@ -164,14 +167,14 @@
         }
     }
 
-    /// The latest due item of a team, with the cost of all its items here.
+    /// The request of a team with the latest deadline, and the cost of all its requests here.
     pub fn tail(&self, team: &TeamId) -> Option<(u64, &QueuedRequest)> {
         let share = self.teams.get(team)?;
         let (_, item) = share.items.last_key_value()?;
         Some((share.cost, item))
     }
 
-    /// Teams with work here, and the one at a place in their ring.
+    /// The team at an index of the ring, modulo its length.
     pub fn team(&self, at: usize) -> Option<&TeamId> {
         self.ring.get(at % self.ring.len().max(1))
     }
--- a/crates/sesamegap-policy/src/load/queue/level.rs
+++ b/crates/sesamegap-policy/src/load/queue/level.rs
@@ -1,4 +1,4 @@
-//! All work of one rank, and who has most of it.
+//! All queued requests of one rank, with the queued cost per team and model.
 
 use super::lane::{Lane, MIN_WEIGHT};
 use super::{LaneKey, MAX_TRIES_WITHOUT_ROOM, QueuedRequest};
@@ -6,7 +6,7 @@
 use sesamegap_wire::{ModelId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a team has waiting in a level.
+/// Queued cost and weight of a team in a level.
 #[derive(Debug, Clone, Copy, Default)]
 struct Load {
     cost: u64,
@@ -14,13 +14,13 @@
 }
 
 impl Load {
-    /// Cost by weight, the measure by which one team is heavier than another.
+    /// Queued cost divided by weight, by which teams are compared.
     fn weighted_cost(self) -> u64 {
         weighted_cost(self.cost, self.weight)
     }
 }
 
-/// Cost by weight.
+/// Cost divided by weight.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -30,10 +30,10 @@
     (cost as f64 / weight.max(MIN_WEIGHT)) as u64
 }
 
-/// Work of one rank.
+/// Queued requests of one rank.
 #[derive(Debug, Default)]
 pub struct Level {
-    /// Work by the engines it wants.
+    /// Requests by model, weights version and prompt length.
     pub lanes: BTreeMap<LaneKey, Lane>,
     loads: FxHashMap<TeamId, Load>,
     heavy: BTreeSet<(u64, TeamId)>,
@@ -42,7 +42,7 @@
 }
 
 impl Level {
-    /// Adds an item.
+    /// Adds a request.
     pub fn push(&mut self, key: &LaneKey, item: QueuedRequest) {
         self.note(&item, true);
         if let Some(lane) = self.lanes.get_mut(key) {
@@ -54,7 +54,7 @@
         lane.push(item);
     }
 
-    /// Takes an item out.
+    /// Removes a request.
     pub fn remove(
         &mut self,
         key: &LaneKey,
@@ -70,35 +70,35 @@
         Some(item)
     }
 
-    /// Cost waiting for a model.
+    /// Cost queued for a model.
     pub fn cost(&self, model: &ModelId) -> u64 {
         self.models.get(model).copied().unwrap_or(0)
     }
 
-    /// Cost that a team has waiting, all models together.
+    /// Cost that a team has queued, over all models.
     pub fn load(&self, team: &TeamId) -> u64 {
         self.loads.get(team).map_or(0, |load| load.cost)
     }
 
-    /// Weights of all teams with work here.
+    /// Sum of the weights of teams with requests here.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// The team with most waiting for its weight, and how much that is.
+    /// The team with the highest queued cost per weight, and that value.
     pub fn heaviest(&self) -> Option<(u64, &TeamId)> {
         let (weighted_cost, team) = self.heavy.last()?;
         Some((*weighted_cost, team))
     }
 
-    /// The latest due item of a team, from the lane in which it has most.
+    /// The request of a team with the latest deadline, from the lane with most of the team's cost.
     pub fn tail(&self, team: &TeamId) -> Option<&QueuedRequest> {
         let tails = self.lanes.values().filter_map(|lane| lane.tail(team));
         let (_, item) = tails.max_by_key(|(cost, _)| *cost)?;
         Some(item)
     }
 
-    /// Keeps the sums in step with the lanes.
+    /// Updates the sums after a request was added or removed.
     fn note(&mut self, item: &QueuedRequest, added: bool) {
         let team = &item.work.team;
         let load = self.loads.entry(team.clone()).or_default();
@@ -123,7 +123,7 @@
             self.heavy.insert((load.weighted_cost(), team.clone()));
         }
         if self.loads.is_empty() {
-            // Rounding errors of the running sum end here.
+            // Resets the rounding errors that the running sum accumulates.
             self.weight = 0.0;
         }
     }
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -1,17 +1,18 @@
-//! Requests that wait for room on an engine.
+//! Queue of requests that wait for room on an engine.
 //!
-//! A request waits in a [`Rank`]: first all work of teams within their fair share, then the
-//! rest, and in each the higher priority first, strictly. Within a rank, requests for the same
-//! weights stand in a [`lane`]: teams take turns there, and in each team the earliest deadline
-//! goes first. Long prompts have lanes of their own, so that a long one that finds no room holds
-//! up no short one.
+//! Requests are ordered by [`Rank`]: requests within their team's fair share come before excess
+//! ones, and within each group a higher priority strictly comes first. Within a rank, requests for
+//! the same weights share a [`lane`], which serves teams in turn and each team's requests by
+//! earliest deadline. Long prompts have their own lanes, so that a long prompt without room
+//! doesn't block short ones.
 //!
-//! Strict priority starves the lowest class for as long as higher ones fill the engines. That
-//! is bounded twice: a request waits no longer than its own deadline and is refused when that
-//! is hopeless, and work of a team within its share never waits behind another team's excess.
+//! Strict priority starves the lowest class while higher ones fill the engines. Two rules bound
+//! this: a request is refused once it can no longer meet its deadline, and a request within its
+//! team's share never waits behind another team's excess.
 //!
-//! With thousands queued and no room, a poll must not look at each of them. A lane without room
-//! is tried again only after a sign of room, and then with a few requests of different teams.
+//! With thousands of requests queued and no room, a poll must not look at each of them. A lane
+//! without room is tried again only after [`Queue::notify_room`], and then with a few requests of
+//! different teams.
 
 mod lane;
 mod level;
@@ -25,54 +26,56 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Prompts from this length on are long: four of today's blocks, about the length from which a
-/// prefill takes longer than the short classes' whole deadline.
+/// Length from which a prompt is long: four blocks at the current block size, and about the length
+/// from which a prefill takes longer than the whole deadline of the short classes.
 pub const LONG_PROMPT: Tokens = Tokens(16_384);
 
-/// Placements tried in a lane without room: different teams and prefixes want different engines,
-/// so one failure says little, and some say that the lane is full.
+/// Placements that fail before a lane counts as full. One failure is not enough, because requests
+/// of different teams and prefixes prefer different engines.
 pub const MAX_TRIES_WITHOUT_ROOM: u32 = 8;
 
-/// Requests one router queues at most: 2 KB each keep the queue under a quarter of 64 MB.
+/// Maximum number of queued requests per router; at 2 KB each the queue stays under a quarter of
+/// 64 MB.
 pub const MAX_QUEUED_REQUESTS: usize = 8_192;
 
-/// Victims that one newcomer may push out; a bound on the cost of one submission.
+/// Maximum number of requests that one new request may evict; bounds the cost of a submission.
 const MAX_VICTIMS: usize = 16;
 
-/// Weight of an answer's token against a prompt's in the cost of a request: a step of the batch
-/// reads all weights for one token of each stream, where prefill computes many at once.
+/// Cost of an output token in prompt tokens. Each decode step reads all weights to produce one token
+/// per stream, while prefill processes many tokens at once.
 pub const OUTPUT_TOKEN_COST: u64 = 4;
 
-/// Least engine priority of work within its share.
+/// Lowest engine priority of requests within their team's share.
 const UPPER: u8 = 128;
 
-/// Where a request stands; the smallest goes first.
+/// Scheduling rank of a request; the smallest is served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank {
-    /// Whether its team asks for more than its fair share.
+    /// Whether the request exceeds its team's fair share.
     pub excess: bool,
-    /// Its class's priority.
+    /// Priority of its class.
     pub priority: Reverse<u8>,
 }
 
 impl Rank {
-    /// Makes a rank.
+    /// Creates a rank.
     pub fn new(excess: bool, priority: u8) -> Self {
         let priority = Reverse(priority);
         Self { excess, priority }
     }
 
-    /// Priority in an engine's own batch.
+    /// Priority that the request has on the engine.
     ///
-    /// Engines know nothing of shares. Without the upper half for work within them, a heavy
-    /// team's excess of a high class would overtake a light team's low class there.
+    /// Engines have no concept of fair shares. If the upper half of the range were not reserved for
+    /// requests within their share, a heavy team's excess requests of a high class would overtake
+    /// a light team's requests of a low class there.
     pub fn in_engine(self) -> u8 {
         let upper = if self.excess { 0 } else { UPPER };
         upper + self.priority.0.min(UPPER - 1)
     }
 }
 
-/// What requests of one lane have in common.
+/// Properties that all requests of a lane have in common.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LaneKey {
     model: ModelId,
@@ -80,22 +83,22 @@
     long: bool,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedRequest {
     /// The request.
     pub work: Work,
-    /// Where it stands.
+    /// Its rank.
     pub rank: Rank,
-    /// When its first token must be there.
+    /// Deadline of its first token.
     pub deadline: Moment,
-    /// When waiting longer makes no sense.
+    /// Time from which it can no longer meet its deadline and is refused.
     pub hopeless: Moment,
-    /// Its team's weight.
+    /// Weight of its team.
     pub weight: f64,
-    /// What it may cost an engine, in prompt tokens.
+    /// Upper bound of its cost to an engine, in prompt tokens.
     pub cost: u64,
-    /// Order of arrival, given by the queue.
+    /// Order of arrival, assigned by the queue.
     pub seq: u64,
 }
 
@@ -113,18 +116,18 @@
     }
 }
 
-/// What became of an item that was offered.
+/// Result of an attempt to dispatch a queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchOutcome {
-    /// It was sent, at this cost to the engine.
+    /// It was sent to an engine, at this cost.
     Sent(u64),
-    /// It needs no engine any more.
+    /// It no longer needs an engine and is removed.
     Dropped,
-    /// There is no room for it.
+    /// No engine has room for it.
     Full,
 }
 
-/// Where an item is found.
+/// Position of a request, to find it by its id.
 #[derive(Debug, Clone)]
 struct Place {
     rank: Rank,
@@ -134,7 +137,7 @@
     hopeless: Moment,
 }
 
-/// Requests that wait for room.
+/// Requests that wait for room on an engine.
 #[derive(Debug, Default)]
 pub struct Queue {
     levels: BTreeMap<Rank, Level>,
@@ -147,27 +150,27 @@
 }
 
 impl Queue {
-    /// Number of requests.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Prompt tokens of a class that wait.
+    /// Queued prompt tokens of a class.
     pub fn tokens(&self, class: &ClassId) -> Tokens {
         self.classes.get(class).copied().unwrap_or_default()
     }
 
-    /// Cost that waits for a model.
+    /// Queued cost of a model.
     pub fn cost(&self, model: &ModelId) -> u64 {
         self.levels.values().map(|level| level.cost(model)).sum()
     }
 
-    /// Puts a request in; a second one with the same id takes the place of the first.
+    /// Queues a request, replacing any request with the same id.
     pub fn push(&mut self, mut item: QueuedRequest) {
         self.remove(&item.work.request);
         self.seq += 1;
@@ -188,12 +191,12 @@
         let level = self.levels.entry(item.rank).or_default();
         level.push(&key, item);
         if let Some(lane) = level.lanes.get_mut(&key) {
-            // The newcomer may find room where those before it did not.
+            // The new request may find room where earlier ones did not.
             lane.tries = lane.tries.max(1);
         }
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         let place = self.places.remove(request)?;
         self.expiry.remove(&(place.hopeless, place.due.1));
@@ -211,17 +214,17 @@
         Some(item)
     }
 
-    /// Notes that there may be room again.
+    /// Signals that engines may have room again, so that full lanes are retried.
     pub fn notify_room(&mut self) {
         self.room_epoch += 1;
     }
 
-    /// When the first request becomes hopeless.
+    /// Time at which the next request expires.
     pub fn first_expiry(&self) -> Option<Moment> {
         self.expiry.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes out a request that is hopeless by now.
+    /// Removes and returns a request that has expired, if any.
     pub fn expired(&mut self, now: Moment) -> Option<QueuedRequest> {
         let (due, request) = self.expiry.first_key_value()?;
         if due.0 > now {
@@ -231,11 +234,11 @@
         self.remove(&request)
     }
 
-    /// Offers requests in order until no lane has room; says whether any lane was full.
+    /// Offers requests in order until no lane has room; returns whether any lane was full.
     pub fn serve(&mut self, mut offer: impl FnMut(&QueuedRequest) -> DispatchOutcome) -> bool {
         let mut full: Vec<LaneKey> = Vec::new();
         for (rank, key) in self.stale() {
-            // What a higher rank found full is full for a lower one, which has less room.
+            // A lane that is full for a higher rank is full for a lower one, which may use less room.
             if !full.contains(&key) && self.serve_lane(rank, &key, &mut offer) {
                 full.push(key);
             }
@@ -243,7 +246,7 @@
         !full.is_empty()
     }
 
-    /// Lanes that are worth a try, first come first.
+    /// Lanes that may have room, in order of rank.
     fn stale(&self) -> Vec<(Rank, LaneKey)> {
         let room_epoch = self.room_epoch;
         let lanes = self.levels.iter().flat_map(|(rank, level)| {
@@ -254,7 +257,7 @@
         stale.map(|(rank, key, _)| (rank, key.clone())).collect()
     }
 
-    /// Serves one lane and says whether its tries ran out.
+    /// Serves one lane; returns whether it ran out of tries.
     fn serve_lane(
         &mut self,
         rank: Rank,
@@ -303,7 +306,7 @@
         self.levels.get_mut(&rank)?.lanes.get_mut(key)
     }
 
-    /// Cost that is served before a newcomer of this team, its own included.
+    /// Upper bound of the cost served until a new request of this team is, its own cost included.
     pub fn ahead(&self, rank: Rank, model: &ModelId, team: &TeamId, weight: f64, cost: u64) -> f64 {
         let above: u64 = self
             .levels
@@ -313,19 +316,20 @@
         let Some(level) = self.levels.get(&rank) else {
             return above as f64;
         };
-        // Deficit round robin serves a team no later than its own work takes at its share, and
-        // no later than all work of the level together.
+        // Deficit round robin delays a team by no more than its own cost at its weighted share, and
+        // by no more than the cost of the whole level.
         let weight = weight.max(lane::MIN_WEIGHT);
         let others = if level.load(team) > 0 { 0.0 } else { weight };
         let own = (level.load(team) + cost) as f64 * (level.weight() + others) / weight;
         above as f64 + own.min(level.cost(model) as f64)
     }
 
-    /// Pushes out work of lower standing until the newcomer fits, or nothing at all.
+    /// Evicts requests of lower rank, or of heavier teams, until the new request fits.
     ///
-    /// Load: saturation, when a class's queue or the whole queue is full. Harm prevented: a
-    /// newcomer of a higher class, or of a team with less waiting, refused for work that is worth
-    /// less. The number of victims is bounded so that a submission stays cheap.
+    /// Returns the evicted requests, or `None` without evicting any if the new one can't fit. Used
+    /// when a class's queue or the whole queue is full, so that a request of a higher class or of
+    /// a team with less queued isn't refused in favor of less important ones. The number of
+    /// evictions is bounded so that a submission stays cheap.
     pub fn make_room(&mut self, item: &QueuedRequest, most: Tokens) -> Option<Vec<QueuedRequest>> {
         let mut victims = Vec::new();
         loop {
@@ -348,7 +352,7 @@
         }
     }
 
-    /// The request worth least, if it is worth less than the newcomer.
+    /// The request to evict first, if it ranks below the new one.
     fn victim(&self, item: &QueuedRequest, class: Option<&ClassId>) -> Option<RequestId> {
         let levels = self.levels.range(item.rank..).rev();
         for (rank, level) in levels {
@@ -371,7 +375,7 @@
         None
     }
 
-    /// The latest due request of some team in each lane; another team at each call.
+    /// The request with the latest deadline of one team per lane; each call selects the next team.
     pub fn tails(&mut self) -> Vec<QueuedRequest> {
         self.sweep = self.sweep.wrapping_add(1);
         let lanes = self.levels.values().flat_map(|level| level.lanes.values());
@@ -382,7 +386,7 @@
         tails.collect()
     }
 
-    /// Requests waiting by rank, for a dump.
+    /// Returns the number of requests by rank as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         for place in self.places.values() {
--- a/crates/sesamegap-policy/src/load/windows/adaptive.rs
+++ b/crates/sesamegap-policy/src/load/windows/adaptive.rs
@@ -1,26 +1,26 @@
-//! A window that grows while answers are timely and shrinks when they are late.
+//! An additive-increase, multiplicative-decrease (AIMD) window.
 //!
-//! The idea is KEEP-905's adaptive capacity estimate: grow by a small step while clean, halve at
-//! a sign of overload, and let a cooldown take several signs of one overload as one. It differs
-//! in what it counts (requests in flight, not requests in a time window), in its sign (a late
-//! first token, since engines queue and do not refuse), and in that it starts with a bound and not
-//! without one, because the first overload would otherwise fill an engine.
+//! Follows KEEP-905's adaptive capacity estimate: grow by a small step while there is no overload,
+//! halve at a sign of overload, and use a cooldown so that several signs of one overload halve
+//! only once. It differs in counting requests in flight instead of requests in a time window, in
+//! its overload signal (a late first token, since engines queue and don't refuse), and in
+//! starting with a limit, because the first overload would otherwise fill an engine.
 
 use super::{MIN_WINDOW, Signal, Window};
 use sesamegap_wire::Moment;
 use std::time::Duration;
 
-/// Window at the start: a batch of today's engines.
+/// Initial window: the batch size of current engines.
 const INITIAL_WINDOW: f64 = 16.0;
 
-/// Largest window of one router on one engine.
+/// Maximum window of one router on one engine.
 const MAX_WINDOW: f64 = 64.0;
 
-/// Time after a halving in which no other sign halves again: the requests that are late now
+/// Time after a decrease in which late responses don't decrease the window again, as their requests
 /// were sent before it.
 const COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Additive increase, multiplicative decrease.
+/// Window with additive increase and multiplicative decrease.
 #[derive(Debug)]
 pub struct AdaptiveWindow {
     size: f64,
@@ -49,7 +49,8 @@
     fn signal(&mut self, signal: Signal, flights: usize, now: Moment) {
         let size = self.size;
         match signal {
-            // A window that is not used says nothing about whether more would be well.
+            // Timely responses in a window that is less than half used don't show that a larger one
+            // would be safe.
             Signal::Timely if flights as f64 * 2.0 >= size => {
                 self.size = (size + 1.0 / size).min(MAX_WINDOW);
             }
--- a/crates/sesamegap-policy/src/load/windows/backlog.rs
+++ b/crates/sesamegap-policy/src/load/windows/backlog.rs
@@ -1,4 +1,5 @@
-//! What waits on an engine: its last report, and what this router has sent since.
+//! Estimates the requests that wait on an engine from its last report and the requests that this
+//! router has sent since.
 
 use rustc_hash::FxHashMap;
 use sesamegap_wire::engine::LoadReport;
@@ -8,14 +9,14 @@
 struct Sent {
     at: Moment,
     prefill: u64,
-    /// Whether the last report was made before this was sent.
+    /// Whether the last report was made before this request was sent.
     unseen: bool,
 }
 
-/// Work of all routers that an engine has not begun.
+/// Requests of all routers that an engine has not started, and their uncomputed prompt tokens.
 ///
-/// A report lags, so what was sent after it was made is added. What it may have seen is left to
-/// the report, unless that shows less than this router alone knows to be there.
+/// Reports lag, so requests sent after the report was made are added to it. Earlier requests count
+/// as included in the report, unless it shows less than this router alone has waiting there.
 #[derive(Debug, Default)]
 pub struct Backlog {
     reported: (usize, u64),
@@ -25,7 +26,7 @@
 }
 
 impl Backlog {
-    /// Notes a request of this router.
+    /// Records a request that this router has sent.
     pub fn sent(&mut self, request: &RequestId, prefill: u64, at: Moment) {
         let sent = Sent {
             at,
@@ -37,7 +38,7 @@
         add(&mut self.unseen, prefill);
     }
 
-    /// Notes that a request of this router no longer waits.
+    /// Records that the prompt of a request has been computed or that the request has ended.
     pub fn computed(&mut self, request: &RequestId) {
         let Some(sent) = self.sent.remove(request) else {
             return;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes a report.
+    /// Applies a load report.
     pub fn report(&mut self, report: &LoadReport, now: Moment) {
         self.reported = (report.waiting as usize, report.prefill.0);
         self.unseen = (0, 0);
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Requests that wait, if so many routers have each sent as much as this one since the report.
+    /// Waiting requests, assuming that each of `routers` has sent as many since the report as this one.
     pub fn waiting(&self, routers: usize) -> usize {
         (self.reported.0 + self.unseen.0 * routers).max(self.own.0)
     }
 
-    /// Prompt tokens not yet computed, on the same assumption.
+    /// Prompt tokens not yet computed, under the same assumption.
     pub fn prefill(&self, routers: usize) -> u64 {
         (self.reported.1 + self.unseen.1 * routers as u64).max(self.own.1)
     }
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -1,14 +1,15 @@
-//! How much work one router keeps on each engine.
+//! Limits on the requests that one router has in flight to each engine.
 //!
-//! What waits here can still be reordered, refused or sent elsewhere; what waits on an engine
-//! cannot. So each engine gets enough to keep its batch full, and no more. These bounds hold:
+//! Requests queued in the router can still be reordered, refused or sent to another engine, but
+//! those that wait on an engine can't. Each engine therefore gets only enough to keep its batch
+//! full. These limits apply:
 //!
-//! - requests of this router in flight, by a [`Window`];
-//! - requests waiting on the engine, whoever sent them, as it reports with a lag, and what this
+//! - requests of this router in flight, limited by a [`Window`];
+//! - requests of all routers waiting on the engine, estimated from its last report and what this
 //!   router has sent since;
-//! - prompt tokens not yet computed there, so that long prefills starve no short ones: the
-//!   engine computes them one after another, and a short one behind four long ones is late;
-//! - a reserve in each, which only the highest class may use, so that it always finds room.
+//! - prompt tokens not yet computed there, so that long prefills don't starve short ones: the
+//!   engine computes prompts one after another, and a short one behind four long ones is late;
+//! - a reserve in each of these that only the highest class may use, so that it always finds room.
 
 mod adaptive;
 mod backlog;
@@ -22,43 +23,44 @@
 use sesamegap_wire::{Moment, RequestId, Tokens, UpstreamId};
 use std::fmt;
 
-/// Requests in flight to one engine over all routers, as a fixed window shares them: about twice
-/// the batch of today's engines, so that the next request is there when one ends.
+/// Total requests in flight to one engine that fixed windows divide between routers: about twice the
+/// batch of current engines, so that the next request is already there when one ends.
 const FIXED_TOTAL_IN_FLIGHT: usize = 64;
 
-/// Fewest requests one router may have in flight to an engine, however many routers there are.
+/// Minimum window of a router on an engine, regardless of the number of routers.
 pub const MIN_WINDOW: usize = 4;
 
-/// Requests waiting on an engine: what it can start while a report is under way. With twice as
-/// many, low classes were overtaken on the engine itself for tens of seconds (docs/design/load.md).
+/// Maximum requests waiting on an engine: as many as it can start before its next report arrives.
+/// With twice as many, requests of low classes were overtaken on the engine itself for tens of
+/// seconds (docs/design/load.md).
 const MAX_WAITING: usize = 4;
 
-/// Prompt tokens sent to an engine and not yet computed, over all routers: two of today's long
-/// reviews, so that a short prompt waits for less than a long one takes.
+/// Maximum prompt tokens sent to an engine by all routers and not yet computed: two of the current
+/// long review prompts, so that a short prompt waits for less time than a long one takes.
 const MAX_QUEUED_PREFILL: u64 = 65_536;
 
-/// Part of a window kept for the highest class: one in eight.
+/// Divisor of a window that gives the reserve of the highest class: one in eight.
 const RESERVE_DIVISOR: usize = 8;
 
-/// How an answer went, as far as a window minds.
+/// Outcome of an attempt, as input to a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// The first token came early enough for its class.
+    /// The first token arrived in time for its class.
     Timely,
-    /// The first token came late, or the attempt failed.
+    /// The first token arrived late, or the attempt failed.
     Late,
 }
 
-/// Bounds the requests in flight to one engine.
+/// Limit on the requests in flight to one engine.
 pub trait Window: fmt::Debug + Send {
-    /// Requests that may be in flight; `routers` share the engine.
+    /// Maximum requests in flight when `routers` share the engine.
     fn limit(&self, routers: usize) -> usize;
 
-    /// Takes how an answer went, with `flights` in flight.
+    /// Updates the window with the outcome of an attempt while `flights` requests are in flight.
     fn signal(&mut self, signal: Signal, flights: usize, now: Moment);
 }
 
-/// The same window for ever.
+/// A constant window.
 #[derive(Debug, Default)]
 pub struct FixedWindow;
 
@@ -70,7 +72,7 @@
     fn signal(&mut self, _signal: Signal, _flights: usize, _now: Moment) {}
 }
 
-/// Which window routers use.
+/// Kind of window that routers use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum WindowKind {
     /// [`FixedWindow`].
@@ -96,7 +98,7 @@
     backlog: Backlog,
 }
 
-/// Counts what is in flight to each engine.
+/// Windows and requests in flight of all engines.
 #[derive(Debug)]
 pub struct Windows {
     kind: WindowKind,
@@ -112,7 +114,7 @@
 }
 
 impl Windows {
-    /// Makes windows of a kind.
+    /// Creates windows of a kind.
     pub fn new(kind: WindowKind) -> Self {
         Self {
             kind,
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Notes how many routers share the engines.
+    /// Sets the number of routers that share the engines.
     pub fn routers(&mut self, count: usize) {
         self.routers = count.max(1);
     }
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Books a request on its engine.
+    /// Records a request as in flight to its engine.
     pub fn take(&mut self, request: &RequestId, at: &Placement, prefill: Tokens, now: Moment) {
         self.release(request);
         let engine = self.entry(&at.engine);
@@ -146,13 +148,13 @@
         self.flights.insert(request.clone(), at.engine.clone());
     }
 
-    /// Takes an engine's report of itself.
+    /// Applies an engine's load report.
     pub fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         let engine = self.entry(engine);
         engine.backlog.report(report, now);
     }
 
-    /// Notes that a request's prompt is computed.
+    /// Records that a request's prompt is computed.
     pub fn computed(&mut self, request: &RequestId, signal: Signal, now: Moment) {
         if let Some(engine) = self.flights.get(request)
             && let Some(engine) = self.engines.get_mut(engine)
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Notes that an attempt failed on its engine.
+    /// Records that an attempt failed on its engine.
     pub fn failed(&mut self, request: &RequestId, now: Moment) {
         if let Some(engine) = self.flights.get(request)
             && let Some(engine) = self.engines.get_mut(engine)
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Ends a booking and says whether there was one; ending one twice does nothing.
+    /// Removes a request from its engine; returns whether it was in flight. Idempotent.
     pub fn release(&mut self, request: &RequestId) -> bool {
         let Some(engine) = self.flights.remove(request) else {
             return false;
@@ -183,18 +185,18 @@
         true
     }
 
-    /// Whether anything is in flight to an engine.
+    /// Whether any request is in flight to an engine.
     pub fn busy(&self, engine: &UpstreamId) -> bool {
         self.engines.get(engine).is_some_and(|e| e.flights > 0)
     }
 
-    /// Forgets engines that are gone, unless something is still in flight to them.
+    /// Drops unknown engines, except those with requests still in flight.
     pub fn keep(&mut self, known: impl Fn(&UpstreamId) -> bool) {
         self.engines
             .retain(|id, engine| engine.flights > 0 || known(id));
     }
 
-    /// The room there is for the highest class, or for the others.
+    /// The room available to the highest class, or to the other classes.
     pub fn room(&self, highest: bool) -> impl Room + '_ {
         ClassRoom {
             windows: self,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Describes the windows for a dump.
+    /// Returns the windows as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let engines = self.engines.iter().map(|(id, engine)| {
             let limit = engine.window.limit(self.routers);
@@ -214,9 +216,11 @@
         engines.collect::<serde_json::Map<_, _>>().into()
     }
 
-    /// Load: saturation, and long prefills beside short ones. Harm prevented: a short prompt
-    /// behind long ones on an engine, and the highest class behind all others. An engine with
-    /// nothing to compute takes any one prompt, or the longest could never run.
+    /// Whether an engine has room for a prompt.
+    ///
+    /// Under saturation, the limits keep short prompts from waiting behind long ones on an engine,
+    /// and the highest class from waiting behind the others. An engine without prompt tokens to
+    /// compute accepts a prompt of any length, as the longest could otherwise never run.
     fn has(&self, engine: &UpstreamId, prefill: Tokens, highest: bool) -> bool {
         let Some(engine) = self.engines.get(engine) else {
             return true;
