--- a/crates/sesamegap-policy/src/shifting/mod.rs
+++ b/crates/sesamegap-policy/src/shifting/mod.rs
@@ -1,28 +1,29 @@
-//! Which engine holds which model and version.
+//! Assignment of models and weights versions to engines.
 //!
-//! [`plan`] looks at the fleet as it is now and says which orders to give next, a few at a time;
-//! it is asked again whenever something has changed. It keeps no record: whoever holds the
-//! controller's lease gets the same answer from the same fleet, so a new holder goes on where the
-//! old one stopped, and an order that was lost is simply given again. An order states a wanted
-//! state, so one that arrives twice does no harm.
+//! [`plan`] compares the current fleet with its targets and returns the next few orders; it is
+//! called again whenever something has changed. It is stateless: the same fleet gives the same
+//! orders, so a new holder of the controller's lease continues where the previous one stopped, and
+//! a lost order is issued again. Orders are idempotent, as each states a desired state.
 //!
-//! [`targets`] says which engines should hold each model: enough for its demand and never fewer
-//! than settings say, spread over failure domains, where it is loaded already if possible. The
-//! rest of this module steps towards that without breaking what runs:
+//! [`targets`] computes which engines should hold each model: enough for its demand and never
+//! fewer than the settings require, spread over failure domains, preferably where the model is
+//! already loaded. The rest of this module moves the fleet towards the targets without disrupting
+//! service:
 //!
-//! - **At most two loads at once.** The weight store is rate-limited, and a third load at a time
-//!   slows all of them.
-//! - **Never the last holder.** A copy of a model in use is dropped only if others remain.
-//! - **One failure domain at a time**, unless a model in use has no holder at all: a domain that
-//!   fails in the middle of a change must find the others whole.
-//! - **A minimum stay.** What settings want is not dropped soon after an engine has changed, or
-//!   demand that goes up and down would keep weights loading and caches cold.
-//! - **Old weights last.** A new version is loaded beside the old one where there is room, and
-//!   the old one goes when enough engines hold the new one. Without room for both, one engine at
-//!   a time gives up the old one first, while the others go on serving it. An engine that alone
-//!   holds a model, with room for one, is never rolled: that takes a second engine.
+//! - **At most two concurrent loads.** The weight store is rate-limited, and a third concurrent
+//!   load slows down all of them.
+//! - **The last holder keeps its copy.** A copy of a model in use is dropped only if others remain.
+//! - **One failure domain at a time**, unless a model in use has no holder at all: if a domain
+//!   fails during a change, the others must be intact.
+//! - **Minimum residency.** Weights that the settings want are not dropped soon after an engine has
+//!   changed, as fluctuating demand would otherwise keep reloading weights and leave caches cold.
+//! - **Old weights are dropped last.** A new version is loaded beside the old one where there is
+//!   room, and the old one is dropped when enough engines hold the new one. Without room for both,
+//!   one engine at a time drops the old version first, while the others continue to serve it. If
+//!   the only holder of a model has room for one version, the new one is not rolled out to it: a
+//!   rollout then needs a second engine.
 //!
-//! While a version is rolled, [`serving`] says which one answers a request.
+//! While a version is rolled out, [`select_version`] picks the version that serves a request.
 
 mod serving;
 mod targets;
@@ -36,33 +37,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Loads under way at once: the users measured that more than two slow each other down.
-pub const MOST_LOADS: usize = 2;
+/// Maximum concurrent loads: users measured that more than two slow each other down.
+pub const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// Time for which an engine keeps what it holds: a hundred times what loading takes, so that
-/// loading costs at most a hundredth of its work.
-pub const LEAST_STAY: Duration = Duration::from_mins(1);
+/// Minimum time between a change of an engine's weights and the next drop: a hundred times the load
+/// time, so that loading takes at most a hundredth of its capacity.
+pub const MIN_RESIDENCY: Duration = Duration::from_mins(1);
 
-/// One engine as the planner sees it.
+/// State of one engine, as input to the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineView {
     /// The engine.
     pub id: UpstreamId,
-    /// Failure domain it stands in.
+    /// Failure domain of the engine.
     pub domain: DomainId,
-    /// Present incarnation.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Models that it can hold at once, each version counted.
+    /// Number of weights it can hold at once; each version of a model counts.
     pub slots: usize,
-    /// Prompt tokens a second that it can serve.
+    /// Prompt tokens per second that it can serve.
     pub capacity: f64,
-    /// Weights loaded.
+    /// Loaded weights.
     pub loaded: BTreeSet<(ModelId, WeightsVersion)>,
-    /// Whether a load is under way, or was ordered and is not yet reported.
+    /// Whether a load is in progress, or was ordered and is not yet reported.
     pub loading: bool,
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new requests.
     pub leaving: bool,
-    /// When what it holds last changed, as far as the observer knows.
+    /// Time of the last known change of its weights.
     pub since: Moment,
 }
 
@@ -76,7 +77,7 @@
         self.loaded.contains(&(model.clone(), version))
     }
 
-    /// The version of a model that is held next after a given one.
+    /// The lowest loaded version of a model above a given one.
     fn version_after(&self, model: &ModelId, version: WeightsVersion) -> Option<WeightsVersion> {
         let mut held = self.loaded.iter();
         let next = held.find(|(held, other)| held == model && *other > version)?;
@@ -88,21 +89,21 @@
     }
 }
 
-/// What the planner knows.
+/// State of the fleet, as input to the planner.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet<'a> {
     /// Live engines.
     pub engines: &'a [EngineView],
-    /// Models by settings.
+    /// Models in the settings.
     pub models: &'a BTreeMap<ModelId, ModelSpec>,
-    /// Demand of each model in prompt tokens a second.
+    /// Demand of each model, in prompt tokens per second.
     pub demand: &'a BTreeMap<ModelId, f64>,
-    /// The present.
+    /// Current time.
     pub now: Moment,
 }
 
 impl Fleet<'_> {
-    /// Whether callers may ask for a model.
+    /// Whether a model has demand or a minimum number of engines.
     fn in_use(&self, model: &ModelId) -> bool {
         let demand = self.demand.get(model).copied().unwrap_or(0.0);
         let spec = self.models.get(model);
@@ -110,16 +111,17 @@
     }
 }
 
-/// An order to one engine.
+/// An order for one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineOrder {
     /// The engine.
     pub engine: UpstreamId,
-    /// The state it is ordered into.
+    /// The desired state.
     pub wanted: Wanted,
 }
 
-/// The orders to give next; none if the fleet is as it should be or has to settle first.
+/// Returns the next orders; none if the fleet matches its targets or earlier changes must finish
+/// first.
 pub fn plan(fleet: Fleet<'_>) -> Vec<EngineOrder> {
     let targets = targets(fleet);
     let mut planner = Planner {
@@ -127,21 +129,21 @@
         targets: &targets,
         engines: fleet.engines.to_vec(),
         orders: Vec::new(),
-        disturbed: BTreeSet::new(),
+        changing_domains: BTreeSet::new(),
     };
-    planner.disturbed = planner.loading_domains();
+    planner.changing_domains = planner.loading_domains();
     planner.loads();
     planner.drops();
     planner.orders
 }
 
-/// Steps towards the targets; `engines` shows the fleet with the orders so far carried out.
+/// Collects orders towards the targets; `engines` is the fleet with the orders so far applied.
 struct Planner<'a> {
     fleet: Fleet<'a>,
     targets: &'a Targets,
     engines: Vec<EngineView>,
     orders: Vec<EngineOrder>,
-    disturbed: BTreeSet<DomainId>,
+    changing_domains: BTreeSet<DomainId>,
 }
 
 impl Planner<'_> {
@@ -150,9 +152,9 @@
         loading.map(|engine| engine.domain.clone()).collect()
     }
 
-    /// Whether a domain may be touched without touching two at once.
-    fn may_touch(&self, domain: &DomainId) -> bool {
-        self.disturbed.iter().all(|other| other == domain)
+    /// Whether a domain may be changed without changing two at once.
+    fn may_change(&self, domain: &DomainId) -> bool {
+        self.changing_domains.iter().all(|other| other == domain)
     }
 
     /// Orders loads into free slots, models with the fewest holders first.
@@ -175,29 +177,30 @@
         };
         let engine = &self.engines[at];
         let wanting = !engine.has(model, version) && !engine.loading && engine.free();
-        let allowed = urgent || self.may_touch(&engine.domain);
-        if !wanting || loading >= MOST_LOADS || !allowed {
+        let allowed = urgent || self.may_change(&engine.domain);
+        if !wanting || loading >= MAX_CONCURRENT_LOADS || !allowed {
             return;
         }
-        self.disturbed.insert(engine.domain.clone());
+        self.changing_domains.insert(engine.domain.clone());
         self.engines[at].loading = true;
         let model = model.clone();
         self.order(at, Wanted::Load { model, version });
     }
 
-    /// Orders drops of old versions that are no longer needed, and of what stands in the way.
+    /// Orders drops of old versions that are no longer needed, and of weights that occupy slots needed
+    /// by the targets.
     fn drops(&mut self) {
         for at in 0..self.engines.len() {
             let engine = &self.engines[at];
-            if engine.loading || engine.leaving || !self.may_touch(&engine.domain) {
+            if engine.loading || engine.leaving || !self.may_change(&engine.domain) {
                 continue;
             }
-            let settled = self.fleet.now.since(engine.since) >= LEAST_STAY;
-            let Some((model, below)) = self.spare(at, settled) else {
+            let settled = self.fleet.now.since(engine.since) >= MIN_RESIDENCY;
+            let Some((model, below)) = self.droppable(at, settled) else {
                 continue;
             };
             let engine = &mut self.engines[at];
-            self.disturbed.insert(engine.domain.clone());
+            self.changing_domains.insert(engine.domain.clone());
             engine
                 .loaded
                 .retain(|(held, version)| *held != model || *version >= below);
@@ -205,38 +208,39 @@
         }
     }
 
-    /// What an engine may drop now, with the lowest version that it keeps.
+    /// A model that an engine may drop now, with the lowest version to keep.
     ///
-    /// The minimum stay holds for what demand moves. Weights that settings have left behind may
-    /// stand in the way of the wanted ones, and an operator who publishes twice within a minute
-    /// would wait for the second version without seeing why.
-    fn spare(&self, at: usize, settled: bool) -> Option<(ModelId, WeightsVersion)> {
+    /// The minimum residency limits changes that follow demand. It doesn't protect outdated
+    /// versions if a later one remains, because they may occupy the slot of the current version:
+    /// the second of two versions published within a minute would be delayed without apparent
+    /// reason.
+    fn droppable(&self, at: usize, settled: bool) -> Option<(ModelId, WeightsVersion)> {
         let engine = &self.engines[at];
-        let crowded = !engine.free() && self.lacks(engine);
+        let blocks_target = !engine.free() && self.lacks_target(engine);
         engine.loaded.iter().find_map(|(model, version)| {
             let Some(spec) = self.fleet.models.get(model) else {
-                // Settings know the model no more: it goes when its place is needed.
-                return crowded.then(|| (model.clone(), WeightsVersion(u32::MAX)));
+                // The model was removed from the settings: drop it when its slot is needed.
+                return blocks_target.then(|| (model.clone(), WeightsVersion(u32::MAX)));
             };
-            let spared = self.others(at, model) >= self.floor(model);
+            let spared = self.others(at, model) >= self.min_remaining(model);
             if *version < spec.version {
-                if settled && self.current(model) >= self.enough(model) {
+                if settled && self.current(model) >= self.required_current(model) {
                     return Some((model.clone(), spec.version));
                 }
                 let next = engine.version_after(model, *version);
                 let below = next.unwrap_or(spec.version).min(spec.version);
-                // With a later version left, the engine goes on serving the model.
-                let dropped = crowded && (next.is_some() || (settled && spared));
+                // If a later version remains, the engine continues to serve the model.
+                let dropped = blocks_target && (next.is_some() || (settled && spared));
                 return dropped.then(|| (model.clone(), below));
             }
             let placed = self.is_target(model, &engine.id);
-            let needless = settled && crowded && !placed && spared;
+            let needless = settled && blocks_target && !placed && spared;
             needless.then(|| (model.clone(), WeightsVersion(u32::MAX)))
         })
     }
 
-    /// Whether an engine should hold something it does not.
-    fn lacks(&self, engine: &EngineView) -> bool {
+    /// Whether an engine is missing weights that its targets require.
+    fn lacks_target(&self, engine: &EngineView) -> bool {
         let mut targets = self.targets.iter();
         targets.any(|(model, engines)| {
             engines.contains(&engine.id) && !engine.has(model, self.fleet.models[model].version)
@@ -248,31 +252,31 @@
         engines.is_some_and(|engines| engines.contains(engine))
     }
 
-    /// Engines that serve a model in any version.
+    /// Number of engines that serve any version of a model.
     fn holders(&self, model: &ModelId) -> usize {
         let serving = self.engines.iter().filter(|engine| !engine.leaving);
         serving.filter(|engine| engine.holds(model)).count()
     }
 
-    /// Other engines that serve a model in any version.
+    /// Number of other engines that serve any version of a model.
     fn others(&self, at: usize, model: &ModelId) -> usize {
         self.holders(model) - usize::from(self.engines[at].holds(model))
     }
 
-    /// Engines that serve a model in the version that settings want.
+    /// Number of engines that serve the version of a model that the settings want.
     fn current(&self, model: &ModelId) -> usize {
         let version = self.fleet.models[model].version;
         let serving = self.engines.iter().filter(|engine| !engine.leaving);
         serving.filter(|engine| engine.has(model, version)).count()
     }
 
-    /// Engines that must hold the new version before an old copy goes for good.
-    fn enough(&self, model: &ModelId) -> usize {
+    /// Number of engines that must hold the new version before old copies are dropped.
+    fn required_current(&self, model: &ModelId) -> usize {
         self.targets.get(model).map_or(1, BTreeSet::len).max(1)
     }
 
-    /// Engines that must go on serving a model while one gives it up to make place.
-    fn floor(&self, model: &ModelId) -> usize {
+    /// Number of engines that must still serve a model while one drops it to free a slot.
+    fn min_remaining(&self, model: &ModelId) -> usize {
         if !self.fleet.in_use(model) {
             return 0;
         }
--- a/crates/sesamegap-policy/src/shifting/serving.rs
+++ b/crates/sesamegap-policy/src/shifting/serving.rs
@@ -1,22 +1,23 @@
-//! Which version of a model's weights answers a request while another is being loaded.
+//! Selection of the weights version that serves a request during a rollout.
 //!
-//! Made for the minutes in which a new version is rolled. If the settings' version answered at
-//! once, callers would be refused until the first engine has loaded it, and then all of them would
-//! meet on that one engine, whose cache is empty. So the old weights go on answering a part of the
-//! requests that shrinks as engines take up the new ones. A request's prefix decides on which side
-//! it is, so that requests that share one stay together and find it cached.
+//! If the version in the settings served all requests at once, callers would be refused until the
+//! first engine has loaded it, and then all requests would go to that one engine, whose cache is
+//! empty. Instead, the old version serves a fraction of the requests that shrinks as engines load
+//! the new one. The fraction is selected by prefix, so that requests with the same prefix use the
+//! same version and its cached tokens.
 
 use sesamegap_wire::WeightsVersion;
 use std::collections::BTreeMap;
 
-/// Part of the holders from which on only the wanted version answers: half of the engines carry
-/// all requests for the moments until the rest has loaded, and one engine that cannot load does
-/// not keep old weights in service for good.
-const ENOUGH: f64 = 0.5;
+/// Ratio of engines with the wanted version, to the more widely held of the two versions, from which
+/// the wanted version serves all requests. Half of the engines can carry all requests until the
+/// rest have loaded it, and an engine that can't load it doesn't keep old weights in service
+/// indefinitely.
+const TAKEOVER_RATIO: f64 = 0.5;
 
-/// Picks the version that answers a request; `point` in 0..1 stands for its prefix.
+/// Selects the version that serves a request; `point` in 0..1 is derived from its prefix.
 ///
-/// `holders` counts the live engines that hold each version.
+/// `holders` is the number of live engines that hold each version.
 pub fn serving(
     wanted: WeightsVersion,
     holders: &BTreeMap<WeightsVersion, usize>,
@@ -27,6 +28,6 @@
     let Some((former, old)) = others.max_by_key(|(version, count)| (**count, **version)) else {
         return wanted;
     };
-    let part = new as f64 / (ENOUGH * new.max(*old) as f64);
+    let part = new as f64 / (TAKEOVER_RATIO * new.max(*old) as f64);
     if point < part { wanted } else { *former }
 }
--- a/crates/sesamegap-policy/src/shifting/targets.rs
+++ b/crates/sesamegap-policy/src/shifting/targets.rs
@@ -1,4 +1,4 @@
-//! Which engines should hold each model.
+//! Computes which engines should hold each model.
 
 use super::{EngineView, Fleet};
 use sesamegap_settings::ModelSpec;
@@ -6,22 +6,22 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Capacity kept for a model above its demand: what one of four engines failing takes away.
+/// Minimum ratio of capacity to demand: covers the loss of one of four engines.
 const HEADROOM: f64 = 1.33;
 
-/// Capacity above which a model gives engines back; the gap to [`HEADROOM`] keeps demand that
-/// goes up and down by a third from moving weights.
-const AMPLE: f64 = 1.8;
+/// Ratio of capacity to demand above which a model releases engines. The gap to [`HEADROOM`] is
+/// hysteresis: demand that fluctuates by a third doesn't move weights.
+const RELEASE_HEADROOM: f64 = 1.8;
 
 /// Engines that should hold each model.
 pub type Targets = BTreeMap<ModelId, BTreeSet<UpstreamId>>;
 
-/// Works out which engines should hold each model.
+/// Computes which engines should hold each model.
 ///
-/// An engine that no model needs holds one all the same, so that it is no worse off for a burst.
-/// Each model first gets the fewest engines that settings ask for, then the one that is
-/// furthest from its need gets the next engine, until needs are met or slots used up. So when
-/// there are too few slots, all models are short by a like part and none is left without.
+/// Each model first gets the minimum number of engines in the settings. Then the model with the
+/// lowest ratio of engines to its need gets the next one, until all needs are met or no slots are
+/// left, so that with too few slots all models are short by a similar ratio and none gets nothing.
+/// An engine that no model needs is still assigned one, to be ready for a burst.
 pub fn targets(fleet: Fleet<'_>) -> Targets {
     let mut draft = Draft::new(fleet);
     let needs: BTreeMap<_, _> = fleet
@@ -39,7 +39,7 @@
         let short = short.filter(|(count, model)| *count < needs[*model]);
         let furthest = short.min_by_key(|(count, model)| (count * 1_000 / needs[*model], *model));
         let Some((_, model)) = furthest else {
-            draft.spread();
+            draft.assign_idle();
             return draft.targets;
         };
         if !draft.add(model) {
@@ -48,29 +48,29 @@
     }
 }
 
-fn allowed<'a>(fleet: Fleet<'a>, spec: &ModelSpec) -> impl Iterator<Item = &'a EngineView> {
+fn eligible<'a>(fleet: Fleet<'a>, spec: &ModelSpec) -> impl Iterator<Item = &'a EngineView> {
     let engines = fleet.engines.iter().filter(|engine| !engine.leaving);
     engines.filter(|engine| spec.engines.is_empty() || spec.engines.contains(&engine.id))
 }
 
-/// Engines that a model needs for its demand.
+/// Number of engines that a model needs for its demand.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "demand and capacity are above zero and a float cast saturates"
 )]
 fn need(fleet: Fleet<'_>, model: &ModelId, spec: &ModelSpec) -> usize {
-    let usable: Vec<_> = allowed(fleet, spec).collect();
+    let usable: Vec<_> = eligible(fleet, spec).collect();
     let capacity: f64 = usable.iter().map(|engine| engine.capacity).sum();
     let each = (capacity / usable.len().max(1) as f64).max(1.0);
     let demand = fleet.demand.get(model).copied().unwrap_or(0.0).max(0.0);
     let engines = |room: f64| (demand * room / each).ceil() as usize;
     let held = usable.iter().filter(|engine| engine.holds(model)).count();
-    let need = held.clamp(engines(HEADROOM), engines(AMPLE));
+    let need = held.clamp(engines(HEADROOM), engines(RELEASE_HEADROOM));
     need.max(spec.least as usize).min(usable.len())
 }
 
-/// Targets in the making.
+/// Partially assigned targets with the free slots of each engine.
 struct Draft<'a> {
     fleet: Fleet<'a>,
     targets: Targets,
@@ -93,15 +93,15 @@
         self.targets[model].len()
     }
 
-    /// Gives a model one more engine, if there is one.
+    /// Assigns one more engine to a model; returns `false` if no engine is available.
     ///
-    /// Failure domains with fewest copies go first, so that a lost domain takes as little of
-    /// the model as it can; then engines that hold it, so that nothing moves without need; then
-    /// a hash, so that each planner picks the same.
+    /// Prefers failure domains with the fewest copies, so that the loss of a domain takes as few
+    /// copies as possible; then engines that already hold the model, to avoid needless moves; then
+    /// the highest rendezvous score, so that every planner picks the same engine.
     fn add(&mut self, model: &ModelId) -> bool {
         let spec = &self.fleet.models[model];
         let chosen = &self.targets[model];
-        let open = allowed(self.fleet, spec)
+        let open = eligible(self.fleet, spec)
             .filter(|engine| self.free[&engine.id] > 0 && !chosen.contains(&engine.id));
         let best = open.min_by_key(|engine| {
             let copies = self.copies(model, &engine.domain);
@@ -120,12 +120,12 @@
         true
     }
 
-    /// Gives each engine that holds nothing a model.
+    /// Assigns a model to each engine that has none.
     ///
-    /// Made for the quiet hours: an engine that stands idle computes nothing and caches nothing,
-    /// and the first minute of the next burst would find it empty. One that holds a model already
-    /// keeps it; else it gets the model with most demand for each of its engines.
-    fn spread(&mut self) {
+    /// Without this, an engine that isn't needed at low demand would have no weights and an empty
+    /// cache for the first minute of the next burst. An engine that already holds a model keeps it;
+    /// otherwise it gets the model with the highest demand per engine.
+    fn assign_idle(&mut self) {
         let fleet = self.fleet;
         let idle = |engine: &&EngineView| !engine.leaving && self.free[&engine.id] == engine.slots;
         let idle: Vec<&EngineView> = fleet.engines.iter().filter(idle).collect();
@@ -134,7 +134,7 @@
             let fits = models
                 .filter(|(_, spec)| spec.engines.is_empty() || spec.engines.contains(&engine.id));
             let best = fits.map(|(model, _)| model).max_by(|a, b| {
-                let key = |model| (engine.holds(model), self.pressure(model));
+                let key = |model| (engine.holds(model), self.demand_per_engine(model));
                 key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal)
             });
             if let Some(chosen) = best.and_then(|model| self.targets.get_mut(model)) {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Demand for each engine of a model.
-    fn pressure(&self, model: &ModelId) -> f64 {
+    /// Demand per engine of a model, with one more engine.
+    fn demand_per_engine(&self, model: &ModelId) -> f64 {
         let demand = self.fleet.demand.get(model).copied().unwrap_or(0.0);
         (demand + 1.0) / (self.count(model) + 1) as f64
     }
--- a/crates/sesamegap-policy/tests/testsuite/shifting/judge.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/judge.rs
@@ -1,6 +1,6 @@
 //! What no order may do, said without the planner's own code.
 
-use sesamegap_policy::shifting::{EngineOrder, EngineView, LEAST_STAY, MOST_LOADS};
+use sesamegap_policy::shifting::{EngineOrder, EngineView, MAX_CONCURRENT_LOADS, MIN_RESIDENCY};
 use sesamegap_settings::ModelSpec;
 use sesamegap_wire::engine::Wanted;
 use sesamegap_wire::{ModelId, Moment};
@@ -41,7 +41,7 @@
 
     fn load_fault(&self, engine: &EngineView, model: &ModelId) -> Option<String> {
         let loading: Vec<_> = self.engines.iter().filter(|e| e.loading).collect();
-        if loading.len() >= MOST_LOADS {
+        if loading.len() >= MAX_CONCURRENT_LOADS {
             return Some(format!("a load too many on {}", engine.id));
         }
         if engine.loaded.len() >= engine.slots {
@@ -77,7 +77,7 @@
         let behind = wanted.is_some_and(|wanted| *below <= wanted);
         let mut held = engine.loaded.iter();
         let rest = held.any(|(held, version)| held == model && version >= below);
-        let allowed = stayed >= LEAST_STAY || (behind && rest);
+        let allowed = stayed >= MIN_RESIDENCY || (behind && rest);
         (!allowed).then(|| format!("{} changed again after {stayed:?}", engine.id))
     }
 }
