--- a/crates/sesamegap-policy/src/shifting/mod.rs
+++ b/crates/sesamegap-policy/src/shifting/mod.rs
@@ -28,7 +28,7 @@
 mod serving;
 mod targets;
 
-pub use serving::serving;
+pub use serving::select_version;
 pub use targets::{Targets, targets};
 
 use sesamegap_settings::ModelSpec;
--- a/crates/sesamegap-policy/src/shifting/serving.rs
+++ b/crates/sesamegap-policy/src/shifting/serving.rs
@@ -18,7 +18,7 @@
 /// Selects the version that serves a request; `point` in 0..1 is derived from its prefix.
 ///
 /// `holders` is the number of live engines that hold each version.
-pub fn serving(
+pub fn select_version(
     wanted: WeightsVersion,
     holders: &BTreeMap<WeightsVersion, usize>,
     point: f64,
--- a/crates/sesamegap-policy/tests/testsuite/serving.rs
+++ b/crates/sesamegap-policy/tests/testsuite/serving.rs
@@ -1,6 +1,6 @@
 //! Which weights answer while a version is rolled.
 
-use sesamegap_policy::shifting::serving;
+use sesamegap_policy::shifting::select_version;
 use sesamegap_wire::WeightsVersion;
 
 const OLD: WeightsVersion = WeightsVersion(1);
@@ -12,7 +12,7 @@
     let holders = holders.filter(|(_, count)| *count > 0).collect();
     let points = (0..1000).map(|i| f64::from(i) / 1000.0);
     points
-        .filter(|point| serving(NEW, &holders, *point) == NEW)
+        .filter(|point| select_version(NEW, &holders, *point) == NEW)
         .count()
 }
 
@@ -44,12 +44,12 @@
 #[test]
 fn a_version_taken_back_is_served_as_soon_as_half_hold_it() {
     let holders = [(NEW, 12), (OLD, 0)].into();
-    assert_eq!(serving(OLD, &holders, 0.0), NEW);
+    assert_eq!(select_version(OLD, &holders, 0.0), NEW);
     let holders = [(NEW, 12), (OLD, 6)].into();
-    assert_eq!(serving(OLD, &holders, 0.999), OLD);
+    assert_eq!(select_version(OLD, &holders, 0.999), OLD);
 }
 
 #[test]
 fn without_any_holder_the_wanted_version_stands() {
-    assert_eq!(serving(NEW, &[].into(), 0.5), NEW);
+    assert_eq!(select_version(NEW, &[].into(), 0.5), NEW);
 }
--- a/crates/sesamegap/src/router/callers/chat.rs
+++ b/crates/sesamegap/src/router/callers/chat.rs
@@ -15,7 +15,7 @@
 use poem::web::Data;
 use poem::{Body, Request, Response, handler};
 use serde::Deserialize;
-use sesamegap_policy::shifting::serving;
+use sesamegap_policy::shifting::select_version;
 use sesamegap_settings::{Catalogue, ClassSpec};
 use sesamegap_wire::chain::Seed;
 use sesamegap_wire::{Chain, ClassId, ModelId, TeamId, Tokens, WeightsVersion};
@@ -174,7 +174,7 @@
     if versions.keys().all(|version| *version == wanted) {
         return wanted;
     }
-    serving(wanted, versions, point(team, parts))
+    select_version(wanted, versions, point(team, parts))
 }
 
 /// A number in 0..1 that all requests with the same outer levels share.
