--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -1,7 +1,7 @@
-//! Cost of a request's way through the queue at three lengths, and of a poll without room.
+//! Measures queueing and dispatching a request at three queue lengths, and a poll without room.
 //!
-//! Load: eight teams, two classes and one model; what is sent is replaced, so that the length
-//! stays the same. Placing is left out; its cost is measured by itself.
+//! Uses eight teams, two priorities and one model. Each dispatched request is replaced, so that the
+//! queue length stays constant. Placement is excluded; `benches/placing.rs` measures it.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sesamegap_policy::Work;
@@ -54,7 +54,7 @@
     queue
 }
 
-fn through(c: &mut Criterion) {
+fn enqueue_and_serve(c: &mut Criterion) {
     let mut group = c.benchmark_group("queue");
     group.sample_size(20);
     group.measurement_time(Duration::from_secs(2));
@@ -88,5 +88,5 @@
     group.finish();
 }
 
-criterion_group!(benches, through);
+criterion_group!(benches, enqueue_and_serve);
 criterion_main!(benches);
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -1,4 +1,4 @@
-//! Team limits over routers, budgets, hedges, and room for the highest class.
+//! Team rate limits over several routers, retry budget, hedges, and room for the highest class.
 
 use crate::support::world::engine_id;
 use crate::support::{at, catalogue, millis, request, work};
@@ -21,8 +21,9 @@
     }
 }
 
-/// Sends 100 tokens each 10 ms to some of `routers`; gives what was let in after `skip` seconds.
-fn let_in(routers: usize, used: usize, talk: bool, seconds: u64) -> f64 {
+/// Sends requests of 100 tokens every 10 ms to each of the first `used` of `routers`; returns the
+/// admitted tokens per second after the first 10 seconds.
+fn admitted_rate(routers: usize, used: usize, exchange_digests: bool, seconds: u64) -> f64 {
     let spec = limited(1_000.0, 500);
     let team = "a".parse().expect("valid");
     let mut limits: Vec<_> = (0..routers).map(|_| TeamLimits::default()).collect();
@@ -36,7 +37,7 @@
             let result = limit.take(&team, &spec, Tokens(100), now);
             taken += u64::from(result.is_ok() && tick >= 1_000) * 100;
         }
-        if talk && tick % 100 == 0 {
+        if exchange_digests && tick % 100 == 0 {
             exchange(&mut limits, now);
         }
     }
@@ -60,29 +61,29 @@
     }
 }
 
-/// A team's callers all go to one router of three. While routers talk, that one may give out
-/// nearly the whole rate, and if all are used the rate holds for their sum.
+/// While routers exchange digests, a team that uses one of three routers gets nearly its whole rate
+/// there; if it uses all three, the rate limits their sum.
 #[test]
 fn a_rate_follows_demand() {
-    let one = let_in(3, 1, true, 30);
+    let one = admitted_rate(3, 1, true, 30);
     assert!((850.0..=1_050.0).contains(&one), "{one}");
-    let three = let_in(3, 3, true, 30);
+    let three = admitted_rate(3, 3, true, 30);
     assert!((850.0..=1_050.0).contains(&three), "{three}");
 }
 
-/// Routers hear nothing of each other. Each keeps to its equal part, so that the team gets no
-/// more than its rate from all of them, though less if it uses few.
+/// Without digests, each router uses an equal part of the rate, so that a team gets no more than its
+/// rate from all routers together, and less if it uses only some.
 #[test]
-fn a_rate_is_shared_equally_in_silence() {
-    let one = let_in(4, 1, false, 30);
+fn a_rate_is_divided_equally_without_digests() {
+    let one = admitted_rate(4, 1, false, 30);
     assert!((200.0..=300.0).contains(&one), "{one}");
-    let all = let_in(4, 4, false, 30);
+    let all = admitted_rate(4, 4, false, 30);
     assert!((900.0..=1_050.0).contains(&all), "{all}");
 }
 
-/// The time that a refused caller is told is the time at which it is let in.
+/// A refused caller that retries after the returned delay is admitted.
 #[test]
-fn a_team_is_told_the_truth() {
+fn the_retry_delay_of_a_team_limit_is_exact() {
     let spec = limited(1_000.0, 500);
     let team = "a".parse().expect("valid");
     let mut limits = TeamLimits::default();
@@ -95,10 +96,10 @@
     assert_eq!(again, Ok(()));
 }
 
-/// An operator gives a team a rate of nothing, or a weight of nothing. Its callers are refused with
-/// a time that can be told, and no one else's request is held up by it.
+/// A team with rate zero and weight zero is refused with a finite retry delay, and doesn't hold up
+/// the requests of other teams.
 #[test]
-fn a_team_with_nothing_is_refused_plainly() {
+fn a_team_without_a_rate_is_refused() {
     let mut settings = catalogue(&[("a", 1.0), ("none", 0.0)]);
     let team = "none".parse().expect("valid");
     settings.teams.insert(team, limited(0.0, 0));
@@ -119,8 +120,8 @@
     assert!((9..=10).contains(&refused), "{refused}");
 }
 
-/// Everything fails for an hour. Retries add at most a tenth, and what a quiet hour saved up
-/// does not pay for a storm.
+/// Every attempt fails for a long time. Retries add at most a tenth to the traffic, and the balance
+/// from a quiet period doesn't pay for a retry storm.
 #[test]
 fn retries_stay_within_a_tenth() {
     let mut budget = RetryBudget::default();
@@ -137,8 +138,8 @@
     assert!((900..=1_064).contains(&paid), "{paid}");
 }
 
-/// Low classes fill an engine as far as they may. A request of the highest class still finds
-/// room there.
+/// After low classes have filled an engine up to their limit, a request of the highest class still
+/// finds room there.
 #[test]
 fn the_highest_class_finds_room() {
     let mut windows = Windows::default();
@@ -197,9 +198,9 @@
     decider
 }
 
-/// An engine takes a request and goes silent before the first token. A class that allows it
-/// gets a second attempt on another engine, under an id of its own; a request that may not run
-/// twice never does, however late it is.
+/// An engine accepts a request and sends no first token. If the class allows hedges, a second
+/// attempt with its own id starts on another engine; a request that isn't repeatable is never
+/// hedged, however late it is.
 #[test]
 fn only_repeatable_work_is_hedged() {
     let mut settings = catalogue(&[("a", 1.0)]);
@@ -243,8 +244,8 @@
     }
 }
 
-/// Settings no longer know the team, or the class allows no more attempts. The caller hears so
-/// at once, with the reason.
+/// Requests of an unknown team, without attempts left, past their deadline or without an engine are
+/// refused immediately with the matching code.
 #[test]
 fn refusals_say_why() {
     let mut decider = decider(catalogue(&[("a", 1.0)]));
@@ -267,8 +268,7 @@
     assert_eq!(code(&mut decider, at(9_100)), RefusalCode::NoEngine);
 }
 
-/// A caller hangs up while its request waits. Nothing is decided for it any more, and its place
-/// in the queue is free.
+/// A caller disconnects while its request is queued. The request is removed and gets no decision.
 #[test]
 fn a_cancelled_request_gets_no_decision() {
     let mut decider = decider(catalogue(&[("a", 1.0)]));
--- a/crates/sesamegap-policy/tests/testsuite/load/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/mod.rs
@@ -1,4 +1,5 @@
-//! What callers get under load: bursts, skew, a slow engine, long with short, saturation.
+//! Service that callers get under load: bursts, skew between teams, a slow engine, long prompts
+//! beside short ones, and saturation.
 
 mod limits;
 mod windows;
@@ -22,7 +23,7 @@
     })
 }
 
-/// Four teams whose traffic at 1.0 is about what six engines can do; the fourth asks for little.
+/// Traffic of four teams that at load 1.0 is about the capacity of six engines; team d sends little.
 fn mix(load: f64) -> Vec<Kind> {
     vec![
         Kind::status("a", 10.0 * load),
@@ -35,9 +36,9 @@
     ]
 }
 
-/// Clerks open their forms at the same moment, and for three seconds five times as much comes as
-/// engines can do. Callers of the highest class must not notice; who is refused must hear it
-/// soon, and not all callers may come back at once.
+/// For three seconds, traffic is five times the capacity of the engines, as when many users start
+/// at the same moment. Callers of the highest class must not be affected; others must be refused
+/// early and with different retry delays.
 #[test]
 fn burst() {
     let mut all = calls(1, at(0), at(30_000), &mix(0.4));
@@ -58,8 +59,8 @@
     assert_eq!(after.late, 0, "the burst still hurts: {after:?}");
 }
 
-/// One team asks for ten times its share, in the same class as a team that asks for little.
-/// Callers of the light team must be served as if the other were not there.
+/// One team sends ten times its share, in the same class as a light team. The light team must be
+/// served as if it were alone.
 #[test]
 fn skew() {
     let kinds = [Kind::check("a", 80.0), Kind::check("d", 1.0)];
@@ -72,8 +73,8 @@
     assert!(light.late * 50 <= light.calls, "{light:?}");
 }
 
-/// One engine computes at a quarter of its speed and says nothing of it. If it kept its full
-/// part of the work, a sixth of all callers would miss their deadline.
+/// One engine runs at a quarter of its speed without reporting it. If it kept its full part of the
+/// requests, a sixth of all callers would miss their deadline.
 #[test]
 fn slow_engine() {
     let mut world = World::new(Setup {
@@ -90,8 +91,8 @@
     assert!(all.good * 100 >= all.calls * 97, "{all:?}");
 }
 
-/// Long reviews come beside short checks. Without a bound on queued prefill, short prompts wait
-/// behind minutes of long ones; with it, they wait little more than behind as much short work.
+/// Long reviews arrive beside short checks. Without a limit on queued prefill, short prompts wait
+/// behind minutes of long ones; with it, little more than behind the same amount of short ones.
 #[test]
 fn long_with_short() {
     let short = [Kind::check("a", 8.0), Kind::check("c", 9.6)];
@@ -110,9 +111,9 @@
     assert!(reviews.good * 100 >= reviews.calls * 95, "{reviews:?}");
 }
 
-/// Demand goes to four times what engines can do. What is let in must be answered in time, the
-/// lowest class is refused first, the light team not at all, and engines do as much useful work
-/// as before.
+/// Demand rises to four times the capacity of the engines. Admitted requests of the highest class
+/// must be answered in time, lower classes be refused first and the light team hardly at all, and
+/// the useful throughput of the engines must not drop by more than a fifth.
 #[test]
 fn saturation() {
     let mut done = Vec::new();
@@ -139,8 +140,8 @@
     assert!(done[3] * 10 >= done[0] * 8, "useful work {done:?}");
 }
 
-/// Engines come to a near halt while requests wait. What can no longer be answered in time is
-/// refused when that is known, and its callers are not kept until their deadline.
+/// Demand far exceeds capacity while requests are queued. Requests that can no longer meet their
+/// deadline must be refused as soon as this is known, and not only at the deadline.
 #[test]
 fn hopeless_work_is_refused_early() {
     let mut all = calls(7, at(0), at(20_000), &mix(1.2));
@@ -168,10 +169,10 @@
     assert!(refused.iter().all(|r| r.2 != RefusalCode::Unknown));
 }
 
-/// Refused callers come back when they were told to, up to four times. If they came back
-/// together, or too soon, they would be refused again and again while engines idle in between.
+/// Refused callers retry after the returned delay, up to four times. If they retried together or
+/// too early, they would be refused repeatedly while engines are idle in between.
 #[test]
-fn refused_callers_come_back() {
+fn refused_callers_retry() {
     let mut all = calls(9, at(0), at(20_000), &mix(0.5));
     all.extend(calls(10, at(5_000), at(8_000), &mix(4.0)));
     for call in &mut all {
@@ -189,8 +190,8 @@
     assert!(refusals as usize <= world.calls.len() * 2, "{refusals}");
 }
 
-/// Two engines crash under load and all they ran is tried again. Retries beyond the budget
-/// would pile on the engines that are left; callers of the highest class must be served.
+/// Two engines crash under load and all their requests are retried. Retries beyond the budget would
+/// overload the remaining engines; callers of the highest class must still be served.
 #[test]
 fn retries_after_a_crash() {
     let mut world = world(calls(11, at(0), at(40_000), &mix(0.6)));
@@ -207,8 +208,8 @@
     assert!(status.good * 100 >= status.calls * 98, "{status:?}");
 }
 
-/// Each submission gets one decision, no more and no less, whatever happens; a caller without
-/// one would wait for ever, and one with two would be answered twice.
+/// Each submission gets exactly one decision; a caller without one would wait forever, and a caller
+/// with two would be answered twice.
 #[test]
 fn one_decision_for_each_submission() {
     for (seed, load) in [(1, 0.5), (2, 2.0), (3, 6.0)] {
--- a/crates/sesamegap-policy/tests/testsuite/load/windows.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/windows.rs
@@ -1,4 +1,4 @@
-//! The fixed window against the adaptive one; prints the figures of `docs/design/load.md`.
+//! Compares the fixed and the adaptive window; prints the figures in `docs/design/load.md`.
 
 use super::{TEAMS, mix};
 use crate::support::traffic::calls;
@@ -6,8 +6,8 @@
 use crate::support::{at, catalogue};
 use sesamegap_policy::load::windows::WindowKind;
 
-/// Either window must keep its promises to the highest class; which is better is in the figures.
-/// Show them with `--nocapture`.
+/// With either window, at most 5 % of the admitted requests of the highest class may be late. Use
+/// `--nocapture` to print the figures that compare the two.
 #[test]
 fn fixed_and_adaptive() {
     for (kind, routers, load) in [WindowKind::Fixed, WindowKind::Adaptive]
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -1,22 +1,22 @@
-//! The queue against a sorted list that is searched from end to end each time.
+//! Compares the queue with a reference implementation that searches a plain list each time.
 
-mod oracle;
+mod reference;
 
 use crate::support::{at, cases, millis, request, work};
-use oracle::{Flaw, Line, List, Real};
 use quickcheck::{Arbitrary, Gen};
+use reference::{Defect, QueueModel, QueueUnderTest, ReferenceQueue};
 use sesamegap_policy::load::queue::{MAX_TRIES_WITHOUT_ROOM, QueuedRequest, Rank};
 
-/// What may happen to a queue.
+/// An operation on a queue.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A request comes: team, priority, time to its deadline, long or not.
+    /// Pushes a request: team, priority, time to its deadline, whether it is long.
     Push(u8, u8, u8, bool),
-    /// A caller is gone.
+    /// Cancels a request.
     Cancel(u8),
-    /// Engines have room for so many requests.
+    /// Serves up to this many requests.
     Serve(u8),
-    /// Time passes.
+    /// Advances the time.
     Pass(u8),
 }
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// Runs the same steps on both; says where they part.
-fn differ(seed: u64, real: &mut dyn Line) -> Option<String> {
+/// Runs the same steps on the given queue and the reference; returns the first difference.
+fn find_difference(seed: u64, real: &mut dyn QueueModel) -> Option<String> {
     let mut gen_ = Gen::from_size_and_seed(120, seed);
-    let mut list = List::default();
+    let mut list = ReferenceQueue::default();
     let mut now = 0;
     for (n, step) in Vec::<Step>::arbitrary(&mut gen_).into_iter().enumerate() {
         let (left, right) = match step {
@@ -87,30 +87,31 @@
     (left != right).then(|| format!("seed {seed}, at the end: {left:?}, list {right:?}"))
 }
 
-/// The queue keeps sums, places and rings in step; if one fell out, a request would be served
-/// in the wrong order, twice, or never, and its caller would wait for ever.
+/// Guards against sums, positions and rings of the queue that get out of sync: a request would be
+/// served out of order, twice, or never, and its caller would wait forever.
 #[test]
-fn serves_as_a_sorted_list_does() {
+fn agrees_with_the_reference_queue() {
     for seed in 0..cases(200) {
-        assert_eq!(differ(seed, &mut Real::default()), None);
+        assert_eq!(find_difference(seed, &mut QueueUnderTest::default()), None);
     }
 }
 
-/// Each flaw is a queue that forgets one rule. If the list agreed with one, the test above could
-/// not fail.
+/// Each defect is a queue that violates one rule. If the reference didn't detect it, the test above
+/// couldn't fail for that rule.
 #[test]
-fn the_list_catches_each_flaw() {
-    for flaw in Flaw::ALL {
-        let caught = (0..100).any(|seed| differ(seed, &mut Real::with(flaw)).is_some());
-        assert!(caught, "{flaw:?} went unnoticed");
+fn the_reference_queue_detects_each_defect() {
+    for defect in Defect::ALL {
+        let caught =
+            (0..100).any(|seed| find_difference(seed, &mut QueueUnderTest::with(defect)).is_some());
+        assert!(caught, "{defect:?} went unnoticed");
     }
 }
 
-/// Thousands wait and no engine has room. Each poll that looked at all of them would cost the
-/// decider milliseconds, and the more there is to do the less would get done.
+/// With thousands of requests queued and no room, a poll that looked at each of them would cost the
+/// decider milliseconds and lower its throughput as load grows.
 #[test]
 fn a_poll_without_room_tries_a_few() {
-    let mut real = Real::default();
+    let mut real = QueueUnderTest::default();
     for seq in 0..8_000 {
         real.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
     }
@@ -120,11 +121,11 @@
     assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
 }
 
-/// The queue is full of a heavy team's work. A light team's request pushes out the heavy one's
-/// latest; one more of the heavy team's is refused itself.
+/// The queue is full of requests of a heavy team. A request of a light team evicts the heavy team's
+/// requests with the latest deadlines; another request of the heavy team doesn't fit.
 #[test]
-fn newcomers_push_out_the_heaviest() {
-    let mut real = Real::default();
+fn new_requests_evict_the_heaviest_team() {
+    let mut real = QueueUnderTest::default();
     for seq in 0..100 {
         real.push(item(seq, (0, 1, 200, false), 0));
     }
--- a/crates/sesamegap-policy/tests/testsuite/queue/oracle.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
@@ -1,4 +1,5 @@
-//! A queue as one list, sorted anew for each question, and the real one behind the same calls.
+//! A reference queue that searches one plain list for each operation, and the queue under test
+//! behind the same trait.
 
 use sesamegap_policy::load::queue::{
     DispatchOutcome, LONG_PROMPT, MAX_TRIES_WITHOUT_ROOM, Queue, QueuedRequest, Rank,
@@ -6,20 +7,20 @@
 use sesamegap_wire::{Moment, RequestId, TeamId};
 use std::collections::BTreeMap;
 
-/// Requests by number, in the order in which they left.
-pub type Left = Vec<u64>;
+/// Sequence numbers of removed requests, in order of removal.
+pub type Removed = Vec<u64>;
 
-pub trait Line {
+pub trait QueueModel {
     fn push(&mut self, item: QueuedRequest);
-    fn cancel(&mut self, request: &RequestId) -> Left;
+    fn cancel(&mut self, request: &RequestId) -> Removed;
     /// Serves up to `room` requests.
-    fn serve(&mut self, room: u8) -> Left;
-    fn expire(&mut self, now: Moment) -> Left;
+    fn serve(&mut self, room: u8) -> Removed;
+    fn expire(&mut self, now: Moment) -> Removed;
 }
 
-/// A rule that a queue may forget.
+/// A rule that a defective queue violates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Flaw {
+pub enum Defect {
     Priority,
     Deadline,
     Weight,
@@ -27,7 +28,7 @@
     Expiry,
 }
 
-impl Flaw {
+impl Defect {
     pub const ALL: [Self; 5] = [
         Self::Priority,
         Self::Deadline,
@@ -37,22 +38,22 @@
     ];
 }
 
-/// The real queue.
+/// The queue under test, optionally with a defect.
 #[derive(Default)]
-pub struct Real {
+pub struct QueueUnderTest {
     pub queue: Queue,
-    flaw: Option<Flaw>,
+    defect: Option<Defect>,
 }
 
-impl Real {
-    pub fn with(flaw: Flaw) -> Self {
+impl QueueUnderTest {
+    pub fn with(defect: Defect) -> Self {
         Self {
             queue: Queue::default(),
-            flaw: Some(flaw),
+            defect: Some(defect),
         }
     }
 
-    /// Placements tried by a poll that finds no room.
+    /// Number of placements tried by a poll without room.
     pub fn tries(&mut self) -> usize {
         let mut tries = 0;
         self.queue.serve(|_| {
@@ -63,26 +64,26 @@
     }
 }
 
-impl Line for Real {
+impl QueueModel for QueueUnderTest {
     fn push(&mut self, mut item: QueuedRequest) {
-        match self.flaw {
-            Some(Flaw::Priority) => item.rank = Rank::new(item.rank.excess, 1),
-            Some(Flaw::Deadline) => item.deadline = Moment(0),
-            Some(Flaw::Weight) => item.weight = 1.0,
+        match self.defect {
+            Some(Defect::Priority) => item.rank = Rank::new(item.rank.excess, 1),
+            Some(Defect::Deadline) => item.deadline = Moment(0),
+            Some(Defect::Weight) => item.weight = 1.0,
             _ => {}
         }
         self.queue.push(item);
     }
 
-    fn cancel(&mut self, request: &RequestId) -> Left {
-        if self.flaw == Some(Flaw::Cancel) {
+    fn cancel(&mut self, request: &RequestId) -> Removed {
+        if self.defect == Some(Defect::Cancel) {
             return Vec::new();
         }
         let gone = self.queue.remove(request);
         gone.iter().map(|item| item.work.request.seq).collect()
     }
 
-    fn serve(&mut self, room: u8) -> Left {
+    fn serve(&mut self, room: u8) -> Removed {
         let mut left = Vec::new();
         self.queue.notify_room();
         self.queue.serve(|item| {
@@ -95,9 +96,9 @@
         left
     }
 
-    fn expire(&mut self, now: Moment) -> Left {
-        let now = match self.flaw {
-            Some(Flaw::Expiry) => Moment(0),
+    fn expire(&mut self, now: Moment) -> Removed {
+        let now = match self.defect {
+            Some(Defect::Expiry) => Moment(0),
             _ => now,
         };
         let expired = std::iter::from_fn(|| self.queue.expired(now));
@@ -105,20 +106,20 @@
     }
 }
 
-/// Items that compete with each other: of one rank, long or short.
+/// Requests served in turn with each other: one rank, and long or short prompts.
 type Lane = (Rank, bool);
 
-/// Whose turn it is in a lane, first come first, with what each may still spend.
+/// Teams of a lane in the order of their turns, with their credit.
 type Ring = Vec<(TeamId, f64)>;
 
-/// The naive queue.
+/// The reference queue.
 #[derive(Default)]
-pub struct List {
+pub struct ReferenceQueue {
     items: Vec<QueuedRequest>,
     rings: BTreeMap<Lane, Ring>,
 }
 
-impl List {
+impl ReferenceQueue {
     fn lane(item: &QueuedRequest) -> Lane {
         (item.rank, item.work.chain.tokens >= LONG_PROMPT)
     }
@@ -130,7 +131,8 @@
             .map(|(n, _)| n)
     }
 
-    /// Takes the next of a lane: teams in turn, a long prompt's worth of cost by weight each.
+    /// Removes the next request of a lane by deficit round robin; a turn's credit is the cost of a
+    /// long prompt times the team's weight.
     fn take(&mut self, lane: Lane) -> Option<QueuedRequest> {
         let team = self.turn(lane)?;
         let n = self.best(lane, &team)?;
@@ -140,11 +142,11 @@
         if ring[0].1 <= 0.0 {
             ring.rotate_left(1);
         }
-        self.tidy();
+        self.drop_idle_teams();
         Some(item)
     }
 
-    /// Gives credit in turn until the team in front has some.
+    /// Gives each team a turn's credit until the team at the front has positive credit.
     fn turn(&mut self, lane: Lane) -> Option<TeamId> {
         loop {
             let ring = self.rings.get_mut(&lane)?;
@@ -160,9 +162,9 @@
         }
     }
 
-    /// Tries some where no room is left, as the queue does to find that out. What is full after
-    /// all tries is not tried at lower ranks.
-    fn look(&mut self) {
+    /// Tries requests without room, as the queue does to find out that a lane is full. A lane that
+    /// is full after all tries is not tried at lower ranks.
+    fn probe_without_room(&mut self) {
         let mut full = [false, false];
         let lanes: Vec<_> = self.rings.keys().copied().collect();
         for lane in lanes {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Passes over one request after another, a team each; says whether the tries ran out.
+    /// Passes over one request per team in turn; returns whether it ran out of tries.
     fn pass(&mut self, lane: Lane) -> bool {
         let mut left: BTreeMap<TeamId, usize> = BTreeMap::new();
         for item in self.items.iter().filter(|item| Self::lane(item) == lane) {
@@ -196,8 +198,8 @@
         true
     }
 
-    /// Forgets the turns of teams with nothing left.
-    fn tidy(&mut self) {
+    /// Removes teams without requests from the rings.
+    fn drop_idle_teams(&mut self) {
         let items = &self.items;
         for (lane, ring) in &mut self.rings {
             ring.retain(|(team, _)| {
@@ -209,7 +211,7 @@
     }
 }
 
-impl Line for List {
+impl QueueModel for ReferenceQueue {
     fn push(&mut self, item: QueuedRequest) {
         let ring = self.rings.entry(Self::lane(&item)).or_default();
         if ring.iter().all(|(team, _)| *team != item.work.team) {
@@ -218,15 +220,15 @@
         self.items.push(item);
     }
 
-    fn cancel(&mut self, request: &RequestId) -> Left {
+    fn cancel(&mut self, request: &RequestId) -> Removed {
         let before = self.items.len();
         self.items.retain(|item| item.work.request != *request);
         let gone = self.items.len() < before;
-        self.tidy();
+        self.drop_idle_teams();
         gone.then_some(request.seq).into_iter().collect()
     }
 
-    fn serve(&mut self, room: u8) -> Left {
+    fn serve(&mut self, room: u8) -> Removed {
         let mut left = Vec::new();
         while left.len() < usize::from(room) {
             let Some(lane) = self.rings.keys().next().copied() else {
@@ -234,16 +236,16 @@
             };
             left.extend(self.take(lane).map(|item| item.work.request.seq));
         }
-        self.look();
+        self.probe_without_room();
         left
     }
 
-    fn expire(&mut self, now: Moment) -> Left {
+    fn expire(&mut self, now: Moment) -> Removed {
         let mut gone: Vec<_> = self.items.iter().filter(|i| i.hopeless <= now).collect();
         gone.sort_by_key(|item| item.hopeless);
         let gone = gone.iter().map(|item| item.work.request.seq).collect();
         self.items.retain(|item| item.hopeless > now);
-        self.tidy();
+        self.drop_idle_teams();
         gone
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/shifting/judge.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
@@ -1,4 +1,4 @@
-//! What no order may do, said without the planner's own code.
+//! Checks orders against the planner's invariants, independently of the planner's code.
 
 use sesamegap_policy::shifting::{EngineOrder, EngineView, MAX_CONCURRENT_LOADS, MIN_RESIDENCY};
 use sesamegap_settings::ModelSpec;
@@ -6,16 +6,16 @@
 use sesamegap_wire::{ModelId, Moment};
 use std::collections::BTreeMap;
 
-/// The fleet at the moment of an order, as it truly is.
-pub struct Judge<'a> {
+/// The actual state of the fleet when an order is issued.
+pub struct OrderChecker<'a> {
     pub engines: &'a [EngineView],
     pub models: &'a BTreeMap<ModelId, ModelSpec>,
     pub demand: &'a BTreeMap<ModelId, f64>,
     pub now: Moment,
 }
 
-impl Judge<'_> {
-    /// Says what is wrong with an order, if anything.
+impl OrderChecker<'_> {
+    /// Returns the invariant that an order violates, if any.
     pub fn fault(&self, order: &EngineOrder) -> Option<String> {
         let engine = self.engines.iter().find(|e| e.id == order.engine)?;
         match &order.wanted {
@@ -66,8 +66,8 @@
         None
     }
 
-    /// What stays less than a minute may only be weights that settings have left behind, and only
-    /// where a later version of the model goes on being served: an operator published twice.
+    /// Within the minimum residency, only versions older than the settings' may be dropped, and only
+    /// if the engine keeps a later version, as when an operator publishes twice in a row.
     fn stay_fault(&self, engine: &EngineView, order: &EngineOrder) -> Option<String> {
         let Wanted::Drop { model, below } = &order.wanted else {
             return None;
--- a/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
@@ -1,32 +1,32 @@
-//! Engines that load, drop, crash and leave, and a controller that asks the planner.
+//! Simulates engines that load, drop, crash and drain, and a controller that calls the planner.
 
-use super::judge::Judge;
+use super::checker::OrderChecker;
 use sesamegap_policy::shifting::{EngineOrder, EngineView, Fleet, plan};
 use sesamegap_settings::ModelSpec;
 use sesamegap_wire::engine::Wanted;
 use sesamegap_wire::{Incarnation, ModelId, Moment, WeightsVersion};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of one load.
+/// Duration of a load, in milliseconds.
 const LOAD: u64 = 500;
 
-/// Milliseconds between two questions to the planner.
+/// Interval between calls of the planner, in milliseconds.
 const TICK: u64 = 250;
 
-/// A planner that forgets one promise, by being shown a fleet that is not the true one.
+/// Makes the planner violate one invariant by giving it a distorted view of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Flaw {
-    /// Sees no load under way, so it starts more.
+pub enum Defect {
+    /// Hides loads in progress, so that the planner starts more.
     BlindToLoads,
-    /// Believes each engine to have stayed long enough.
+    /// Makes each engine appear past its minimum residency.
     NoStay,
-    /// Believes that a twin of each engine holds the same.
+    /// Adds a copy of each engine with the same weights.
     CountsTwice,
-    /// Believes all engines to stand in one failure domain.
+    /// Puts all engines into one failure domain.
     OneDomain,
 }
 
-impl Flaw {
+impl Defect {
     pub const ALL: [Self; 4] = [
         Self::BlindToLoads,
         Self::NoStay,
@@ -35,7 +35,7 @@
     ];
 
     fn distort(self, engines: &mut Vec<EngineView>) {
-        let mut twins = Vec::new();
+        let mut copies = Vec::new();
         for engine in engines.iter_mut() {
             match self {
                 Self::BlindToLoads => engine.loading = false,
@@ -44,11 +44,11 @@
                 Self::CountsTwice => {
                     let mut twin = engine.clone();
                     twin.id = format!("{}-twin", engine.id).parse().expect("valid");
-                    twins.push(twin);
+                    copies.push(twin);
                 }
             }
         }
-        engines.append(&mut twins);
+        engines.append(&mut copies);
     }
 }
 
@@ -57,11 +57,11 @@
     pub loads: u32,
     engines: Vec<EngineView>,
     loading: BTreeMap<usize, (u64, ModelId, WeightsVersion)>,
-    away: BTreeMap<usize, u64>,
+    down_until: BTreeMap<usize, u64>,
     models: BTreeMap<ModelId, ModelSpec>,
     demand: BTreeMap<ModelId, f64>,
     now: u64,
-    flaw: Option<Flaw>,
+    defect: Option<Defect>,
     last: Vec<EngineOrder>,
 }
 
@@ -70,7 +70,7 @@
         engines: usize,
         slots: usize,
         models: [(&str, ModelSpec); N],
-        flaw: Option<Flaw>,
+        defect: Option<Defect>,
     ) -> Self {
         let engines = (0..engines).map(|n| EngineView {
             id: format!("e{n}").parse().expect("valid"),
@@ -89,13 +89,13 @@
             loads: 0,
             engines: engines.collect(),
             loading: BTreeMap::new(),
-            away: BTreeMap::new(),
+            down_until: BTreeMap::new(),
             models: models
                 .map(|(n, s)| (n.parse().expect("valid"), s))
                 .collect(),
             demand: BTreeMap::new(),
             now: 100_000,
-            flaw,
+            defect,
             last: Vec::new(),
         }
     }
@@ -104,16 +104,16 @@
         Moment(self.now * 1_000)
     }
 
-    /// Engines that are up, as the controller sees them.
+    /// Running engines, as the controller sees them.
     fn live(&self) -> Vec<EngineView> {
-        let up = (0..self.engines.len()).filter(|n| !self.away.contains_key(n));
+        let up = (0..self.engines.len()).filter(|n| !self.down_until.contains_key(n));
         up.map(|n| self.engines[n].clone()).collect()
     }
 
     pub fn plan(&self) -> Vec<EngineOrder> {
         let mut engines = self.live();
-        if let Some(flaw) = self.flaw {
-            flaw.distort(&mut engines);
+        if let Some(defect) = self.defect {
+            defect.distort(&mut engines);
         }
         plan(Fleet {
             engines: &engines,
@@ -126,17 +126,17 @@
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..(seconds * 1_000).div_ceil(TICK) {
             self.now += TICK;
-            self.settle();
+            self.finish_loads();
             let orders = self.plan();
             for order in &orders {
-                self.obey(order);
+                self.execute(order);
             }
             self.last = orders;
         }
     }
 
-    /// Loads that end and engines that come back.
-    fn settle(&mut self) {
+    /// Completes finished loads and restarts engines.
+    fn finish_loads(&mut self) {
         let now = self.now;
         let done: Vec<_> = self.loading.extract_if(.., |_, l| l.0 <= now).collect();
         for (n, (_, model, version)) in done {
@@ -146,19 +146,19 @@
             engine.loading = false;
             engine.since = since;
         }
-        self.away.retain(|_, back| *back > now);
+        self.down_until.retain(|_, back| *back > now);
     }
 
-    /// Judges an order and carries it out.
-    fn obey(&mut self, order: &EngineOrder) {
+    /// Checks an order and executes it.
+    fn execute(&mut self, order: &EngineOrder) {
         let live = self.live();
-        let judge = Judge {
+        let checker = OrderChecker {
             engines: &live,
             models: &self.models,
             demand: &self.demand,
             now: self.moment(),
         };
-        self.faults.extend(judge.fault(order));
+        self.faults.extend(checker.fault(order));
         let since = self.moment();
         let Some(n) = self.engines.iter().position(|e| e.id == order.engine) else {
             return;
@@ -184,20 +184,20 @@
         }
     }
 
-    /// Gives the last orders once more, as a controller does that lost the answer.
+    /// Issues the last orders again, like a controller that lost the response.
     pub fn repeat(&mut self) {
         for order in self.last.clone() {
             let held = self.engines.iter().find(|e| e.id == order.engine);
             if held.is_some_and(|engine| engine.loading) {
-                self.obey_again(&order);
+                self.execute_again(&order);
             }
         }
     }
 
-    fn obey_again(&mut self, order: &EngineOrder) {
+    fn execute_again(&mut self, order: &EngineOrder) {
         let before = self.loads;
         let faults = std::mem::take(&mut self.faults);
-        self.obey(order);
+        self.execute(order);
         self.faults = faults;
         if self.loads > before {
             self.faults
@@ -217,7 +217,7 @@
         engine.incarnation.0 += 1;
         engine.since = since;
         self.loading.remove(&n);
-        self.away.insert(n, self.now + 3_000);
+        self.down_until.insert(n, self.now + 3_000);
     }
 
     pub fn leave(&mut self, engine: usize) {
@@ -229,7 +229,7 @@
         for n in 0..self.engines.len() {
             if self.engines[n].domain.as_str() == domain {
                 self.crash(n);
-                self.away.insert(n, u64::MAX);
+                self.down_until.insert(n, u64::MAX);
             }
         }
     }
@@ -251,7 +251,7 @@
         self.engines.reverse();
     }
 
-    /// Engines that are up and hold a version of a model.
+    /// Number of running engines that hold a version of a model.
     pub fn holders(&self, model: &str, version: u32) -> usize {
         let wanted = (model.parse().expect("valid"), WeightsVersion(version));
         let live = self.live();
--- a/crates/sesamegap-policy/tests/testsuite/shifting/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/mod.rs
@@ -1,28 +1,28 @@
-//! Shifting under crashes, changing demand and new versions, and what it must never do.
+//! Tests the planner under crashes, changing demand and new versions, and checks its invariants.
 
+mod checker;
 mod fleet;
-mod judge;
 
 use crate::support::cases;
-use fleet::{Flaw, Sim};
+use fleet::{Defect, Sim};
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_settings::ModelSpec;
 use sesamegap_wire::{Tokens, WeightsVersion};
 
-/// What may happen to the fleet.
+/// An event in the fleet.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Engines work on, and the planner is asked again and again.
+    /// Runs engines and planner for some seconds.
     Run(u8),
-    /// An engine crashes, to come back empty.
+    /// An engine crashes and restarts empty.
     Crash(u8),
-    /// An engine leaves for good.
+    /// An engine starts to drain for good.
     Leave(u8),
     /// Demand for a model changes.
     Demand(u8, u8),
     /// Operators publish a new version of a model.
     Version(u8),
-    /// The planner is another one, and an order is given twice.
+    /// A new planner issues the last orders again.
     Repeat,
 }
 
@@ -52,9 +52,9 @@
     }
 }
 
-fn sim(slots: usize, flaw: Option<Flaw>) -> Sim {
+fn sim(slots: usize, defect: Option<Defect>) -> Sim {
     let models = [("a", spec(2)), ("b", spec(1)), ("c", spec(0))];
-    Sim::new(9, slots, models, flaw)
+    Sim::new(9, slots, models, defect)
 }
 
 fn apply(sim: &mut Sim, step: &Step) {
@@ -68,11 +68,11 @@
     }
 }
 
-/// Runs steps and gives the first broken promise with the step that broke it.
-fn broken(seed: u64, slots: usize, flaw: Option<Flaw>) -> Option<String> {
+/// Runs random steps and returns the first violated invariant with the step that violated it.
+fn first_violation(seed: u64, slots: usize, defect: Option<Defect>) -> Option<String> {
     let mut gen_ = Gen::from_size_and_seed(60, seed);
     let steps = Vec::<Step>::arbitrary(&mut gen_);
-    let mut sim = sim(slots, flaw);
+    let mut sim = sim(slots, defect);
     for (n, step) in steps.iter().enumerate() {
         apply(&mut sim, step);
         if let Some(fault) = sim.faults.first() {
@@ -82,30 +82,31 @@
     None
 }
 
-/// Engines crash, leave and come back empty while demand and versions change. A planner that
-/// acted on each by itself would sooner or later take a model's last copy or load on all engines
-/// at once; callers of that model would be refused until it is loaded again.
+/// Engines crash, drain and restart empty while demand and versions change. A planner that reacted
+/// to each event separately could drop the last copy of a model or load on all engines at once;
+/// callers of the model would be refused until it is loaded again.
 #[test]
-fn keeps_its_promises_under_crashes() {
+fn keeps_its_invariants_under_crashes() {
     for seed in 0..cases(12) {
         for slots in [1, 2, 3] {
-            assert_eq!(broken(seed, slots, None), None, "slots {slots}");
+            assert_eq!(first_violation(seed, slots, None), None, "slots {slots}");
         }
     }
 }
 
-/// Each flaw is a planner that forgets one of the promises. If the judge let one pass, the test
-/// above could not fail.
+/// Each defect makes the planner violate one invariant. If the checker didn't detect it, the test
+/// above couldn't fail for that invariant.
 #[test]
-fn the_judge_catches_each_flaw() {
-    for flaw in Flaw::ALL {
-        let caught = |slots| (0..30).any(|seed| broken(seed, slots, Some(flaw)).is_some());
-        assert!(caught(1) || caught(2), "{flaw:?} went unnoticed");
+fn the_checker_detects_each_defect() {
+    for defect in Defect::ALL {
+        let caught =
+            |slots| (0..30).any(|seed| first_violation(seed, slots, Some(defect)).is_some());
+        assert!(caught(1) || caught(2), "{defect:?} went unnoticed");
     }
 }
 
-/// A new version is published while callers use the old one. If old copies went before new ones
-/// were there, callers would be refused for as long as a load takes.
+/// A new version is published while callers use the old one. If old copies were dropped before new
+/// ones are loaded, callers would be refused for the duration of a load.
 #[test]
 fn rolls_a_version_without_a_gap() {
     for slots in [1, 2] {
@@ -123,8 +124,8 @@
     }
 }
 
-/// Demand goes up and down around the edge of one more engine. Weights that moved each time
-/// would leave caches cold for good.
+/// Demand fluctuates around the threshold for one more engine. Weights that moved each time would
+/// keep caches cold.
 #[test]
 fn does_not_flap_with_demand() {
     let mut sim = sim(1, None);
@@ -138,8 +139,8 @@
     assert!(sim.loads <= loads + 1, "{} loads more", sim.loads - loads);
 }
 
-/// A failure domain is lost with all its engines. Models that had all their copies in it would
-/// be refused until they are loaded elsewhere.
+/// A failure domain is lost with all its engines. Requests for models with all copies in it would
+/// be refused until the models are loaded elsewhere.
 #[test]
 fn survives_a_lost_domain() {
     let mut sim = sim(2, None);
@@ -151,8 +152,8 @@
     assert!(sim.holders("b", 1) >= 1);
 }
 
-/// The lease changes hands in the middle of a change, and the new holder knows nothing of what
-/// the old one ordered. If it decided otherwise, engines would load one thing and drop another.
+/// The controller's lease moves during a change, and the new holder doesn't know the orders of the
+/// old one. If it decided differently, engines would load and drop weights needlessly.
 #[test]
 fn another_planner_decides_the_same() {
     let mut sim = sim(2, None);
