--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 fn name<T: std::str::FromStr>(text: &str) -> T {
-    text.parse().unwrap_or_else(|_| panic!("{text} is no name"))
+    text.parse()
+        .unwrap_or_else(|_| panic!("{text} is not a valid name"))
 }
 
 fn item(seq: u64) -> QueuedRequest {
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -155,7 +155,7 @@
     while windows.room(false).has(&engine, Tokens(1_000)) {
         windows.take(&request(sent), &place, Tokens(1_000), at(sent));
         sent += 1;
-        assert!(sent < 1_000, "no bound");
+        assert!(sent < 1_000, "no limit");
     }
     assert!(windows.room(true).has(&engine, Tokens(1_000)));
     for seq in 0..sent {
--- a/crates/sesamegap-policy/tests/testsuite/load/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/mod.rs
@@ -52,11 +52,11 @@
     assert!(returns.len() > 20, "{}", returns.len());
     assert!(
         seconds.len() > 5,
-        "all come back in {} half seconds",
+        "all retries fall into {} half seconds",
         seconds.len()
     );
     let after = world.tally(|call| call.at > at(20_000));
-    assert_eq!(after.late, 0, "the burst still hurts: {after:?}");
+    assert_eq!(after.late, 0, "late after the burst: {after:?}");
 }
 
 /// One team sends ten times its share, in the same class as a light team. The light team must be
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -79,12 +79,12 @@
         };
         if left != right {
             return Some(format!(
-                "seed {seed}, step {n} {step:?}: {left:?}, list {right:?}"
+                "seed {seed}, step {n} {step:?}: {left:?}, reference {right:?}"
             ));
         }
     }
     let (left, right) = (real.serve(u8::MAX), list.serve(u8::MAX));
-    (left != right).then(|| format!("seed {seed}, at the end: {left:?}, list {right:?}"))
+    (left != right).then(|| format!("seed {seed}, at the end: {left:?}, reference {right:?}"))
 }
 
 /// Guards against sums, positions and rings of the queue that get out of sync: a request would be
@@ -103,7 +103,7 @@
     for defect in Defect::ALL {
         let caught =
             (0..100).any(|seed| find_difference(seed, &mut QueueUnderTest::with(defect)).is_some());
-        assert!(caught, "{defect:?} went unnoticed");
+        assert!(caught, "{defect:?} was not detected");
     }
 }
 
@@ -116,7 +116,7 @@
         real.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
     }
     assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
-    assert_eq!(real.tries(), 0, "tried again without a sign of room");
+    assert_eq!(real.tries(), 0, "tried again without notify_room");
     real.queue.notify_room();
     assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
 }
--- a/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
@@ -42,14 +42,14 @@
     fn load_fault(&self, engine: &EngineView, model: &ModelId) -> Option<String> {
         let loading: Vec<_> = self.engines.iter().filter(|e| e.loading).collect();
         if loading.len() >= MAX_CONCURRENT_LOADS {
-            return Some(format!("a load too many on {}", engine.id));
+            return Some(format!("too many concurrent loads, at {}", engine.id));
         }
         if engine.loaded.len() >= engine.slots {
             return Some(format!("{} has no room for {model}", engine.id));
         }
         let urgent = !self.engines.iter().any(|e| !e.leaving && e.holds(model));
         let elsewhere = loading.iter().any(|e| e.domain != engine.domain);
-        (elsewhere && !urgent).then(|| format!("two domains at once, at {}", engine.id))
+        (elsewhere && !urgent).then(|| format!("two domains changed at once, at {}", engine.id))
     }
 
     fn drop_fault(&self, engine: &EngineView, model: &ModelId, rest: bool) -> Option<String> {
--- a/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
@@ -201,7 +201,7 @@
         self.faults = faults;
         if self.loads > before {
             self.faults
-                .push(format!("{order:?} given twice loaded twice"));
+                .push(format!("{order:?} issued twice started two loads"));
         }
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/shifting/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/mod.rs
@@ -101,7 +101,7 @@
     for defect in Defect::ALL {
         let caught =
             |slots| (0..30).any(|seed| first_violation(seed, slots, Some(defect)).is_some());
-        assert!(caught(1) || caught(2), "{defect:?} went unnoticed");
+        assert!(caught(1) || caught(2), "{defect:?} was not detected");
     }
 }
 
@@ -118,9 +118,9 @@
         sim.publish(0);
         sim.run(800);
         assert_eq!(sim.faults, Vec::<String>::new());
-        assert_eq!(sim.holders("a", 1), 0, "slots {slots}: old copies stayed");
+        assert_eq!(sim.holders("a", 1), 0, "slots {slots}: old copies remain");
         assert!(sim.holders("a", 2) >= before, "slots {slots}");
-        assert_eq!(sim.plan(), [], "slots {slots}: not at rest");
+        assert_eq!(sim.plan(), [], "slots {slots}: orders remain");
     }
 }
 
