--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -82,8 +82,8 @@
             Observation::Failed(engine) => self.placer.failed(&engine, now),
             Observation::Cancelled(request) => self.cancelled(&request),
             Observation::Routers(count) => {
-                self.teams.routers(count);
-                self.windows.routers(self.teams.shared_by());
+                self.teams.set_routers(count);
+                self.windows.set_routers(self.teams.shared_by());
             }
             Observation::Peer(vm, digest) => self.peer(vm, &digest, now),
             Observation::Warm(warmth) => self.placer.warm(&warmth, now),
@@ -216,7 +216,7 @@
     fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         self.placer.peer(vm.as_str(), digest, now);
         self.teams.peer(vm, digest, now);
-        self.windows.routers(self.teams.shared_by());
+        self.windows.set_routers(self.teams.shared_by());
     }
 
     /// Ends bookings whose end was never reported.
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sets the number of live routers, this one included.
-    pub fn routers(&mut self, count: u32) {
+    pub fn set_routers(&mut self, count: u32) {
         self.routers = count.max(1);
     }
 
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -125,7 +125,7 @@
     }
 
     /// Sets the number of routers that share the engines.
-    pub fn routers(&mut self, count: usize) {
+    pub fn set_routers(&mut self, count: usize) {
         self.routers = count.max(1);
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -28,7 +28,7 @@
     let team = "a".parse().expect("valid");
     let mut limits: Vec<_> = (0..routers).map(|_| TeamLimits::default()).collect();
     for limit in &mut limits {
-        limit.routers(u32::try_from(routers).expect("few"));
+        limit.set_routers(u32::try_from(routers).expect("few"));
     }
     let mut taken = 0;
     for tick in 0..seconds * 100 {
