--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -129,7 +129,7 @@
             cost,
         };
         if work.attempt == 0 {
-            self.shares.arrive(&claim, now);
+            self.shares.record_demand(&claim, now);
         }
         let rate = self.outlook.rate(&work.model);
         let excess = self.shares.exceeds(&claim, rate, now);
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -147,7 +147,7 @@
 
 impl Shares {
     /// Adds a request to its team's demand.
-    pub fn arrive(&mut self, claim: &Claim<'_>, now: Moment) {
+    pub fn record_demand(&mut self, claim: &Claim<'_>, now: Moment) {
         if !self.models.contains_key(claim.model) {
             self.models.insert(claim.model.clone(), Table::default());
         }
