--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -112,7 +112,7 @@
     /// Gives back what a refused request had paid.
     fn give_back(&mut self, work: &Work) {
         if work.attempt == 0 {
-            self.teams.give_back(&work.team, work.chain.tokens);
+            self.teams.refund(&work.team, work.chain.tokens);
         } else {
             self.budget.refund();
         }
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns the tokens of a request that was not admitted after all.
-    pub fn give_back(&mut self, team: &TeamId, tokens: Tokens) {
+    pub fn refund(&mut self, team: &TeamId, tokens: Tokens) {
         if let Some(bucket) = self.buckets.get_mut(team) {
             bucket.level += tokens.0 as f64;
         }
