--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -103,7 +103,7 @@
         if needed.is_some_and(|time| time.mean_plus_deviations(0.0) > left) || left.is_zero() {
             return Err(Barrier::new(RefusalCode::Deadline, SOON));
         }
-        if work.attempt > terms.class.retries || !self.budget.pay() {
+        if work.attempt > terms.class.retries || !self.budget.try_spend() {
             return Err(Barrier::new(RefusalCode::RetryBudget, SOON));
         }
         Ok(())
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -171,7 +171,7 @@
         let rank = Rank::new(false, class.priority);
         let time = self.outlook.first_time(twin, rank, now);
         let late = time.is_some_and(|time| now + time.mean_plus_deviations(0.0) >= deadline);
-        if !class.hedge || late || !self.budget.pay() {
+        if !class.hedge || late || !self.budget.try_spend() {
             return;
         }
         let ask = ask(twin, class);
--- a/crates/sesamegap-policy/src/load/limits/budget.rs
+++ b/crates/sesamegap-policy/src/load/limits/budget.rs
@@ -38,7 +38,7 @@
 
     /// Pays for a retry or hedge; returns `false` if the balance is too low.
     #[must_use]
-    pub fn pay(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let paid = self.left >= 1.0;
         if paid {
             self.left -= 1.0;
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -128,12 +128,12 @@
     for _ in 0..10_000 {
         budget.earn();
     }
-    let storm = (0..10_000).filter(|_| budget.pay()).count();
+    let storm = (0..10_000).filter(|_| budget.try_spend()).count();
     assert!(storm <= 64, "{storm}");
     let mut paid = 0;
     for _ in 0..10_000 {
         budget.earn();
-        paid += u32::from(budget.pay());
+        paid += u32::from(budget.try_spend());
     }
     assert!((900..=1_064).contains(&paid), "{paid}");
 }
