--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -199,7 +199,7 @@
 
     /// Refuses what has become hopeless by the clock.
     pub(super) fn expire(&mut self, now: Moment) {
-        while let Some(item) = self.queue.expired(now) {
+        while let Some(item) = self.queue.pop_expired(now) {
             let wait = self.outlook.wait(&self.queue, &item, item.cost, now);
             self.refuse(&item, RefusalCode::Deadline, wait, now);
         }
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -225,7 +225,7 @@
     }
 
     /// Removes and returns a request that has expired, if any.
-    pub fn expired(&mut self, now: Moment) -> Option<QueuedRequest> {
+    pub fn pop_expired(&mut self, now: Moment) -> Option<QueuedRequest> {
         let (due, request) = self.expiry.first_key_value()?;
         if due.0 > now {
             return None;
--- a/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
@@ -101,7 +101,7 @@
             Some(Defect::Expiry) => Moment(0),
             _ => now,
         };
-        let expired = std::iter::from_fn(|| self.queue.expired(now));
+        let expired = std::iter::from_fn(|| self.queue.pop_expired(now));
         expired.map(|item| item.work.request.seq).collect()
     }
 }
