--- a/crates/sesamegap-policy/src/decider/outlook.rs
+++ b/crates/sesamegap-policy/src/decider/outlook.rs
@@ -58,7 +58,7 @@
             return Duration::ZERO;
         };
         let team = &item.work.team;
-        let ahead = queue.ahead(item.rank, model, team, item.weight, extra);
+        let ahead = queue.cost_ahead(item.rank, model, team, item.weight, extra);
         if ahead <= 0.0 {
             return Duration::ZERO;
         }
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -307,7 +307,14 @@
     }
 
     /// Upper bound of the cost served until a new request of this team is, its own cost included.
-    pub fn ahead(&self, rank: Rank, model: &ModelId, team: &TeamId, weight: f64, cost: u64) -> f64 {
+    pub fn cost_ahead(
+        &self,
+        rank: Rank,
+        model: &ModelId,
+        team: &TeamId,
+        weight: f64,
+        cost: u64,
+    ) -> f64 {
         let above: u64 = self
             .levels
             .range(..rank)
