--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -212,7 +212,7 @@
     /// Only the last of a team in each lane is looked at, since all before it are better off,
     /// and another team each time, so that the cost does not grow with the queue.
     pub(super) fn sweep(&mut self, now: Moment) {
-        for item in self.queue.tails() {
+        for item in self.queue.latest_per_lane() {
             let wait = self.outlook.wait(&self.queue, &item, 0, now);
             if wait > item.deadline.since(now).mul_f64(SURE) {
                 self.queue.remove(&item.work.request);
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -383,7 +383,7 @@
     }
 
     /// The request with the latest deadline of one team per lane; each call selects the next team.
-    pub fn tails(&mut self) -> Vec<QueuedRequest> {
+    pub fn latest_per_lane(&mut self) -> Vec<QueuedRequest> {
         self.sweep = self.sweep.wrapping_add(1);
         let lanes = self.levels.values().flat_map(|level| level.lanes.values());
         let tails = lanes.filter_map(|lane| {
