--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -67,7 +67,7 @@
                 self.ready.push(Decision::Send {
                     request: item.work.request.clone(),
                     at,
-                    priority: item.rank.in_engine(),
+                    priority: item.rank.engine_priority(),
                 });
                 DispatchOutcome::Sent(missing + OUTPUT_TOKEN_COST * item.work.answer.0)
             }
@@ -192,7 +192,7 @@
             request,
             twin: twin.request.clone(),
             at,
-            priority: rank.in_engine(),
+            priority: rank.engine_priority(),
         });
     }
 }
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -69,7 +69,7 @@
     /// Engines have no concept of fair shares. If the upper half of the range were not reserved for
     /// requests within their share, a heavy team's excess requests of a high class would overtake
     /// a light team's requests of a low class there.
-    pub fn in_engine(self) -> u8 {
+    pub fn engine_priority(self) -> u8 {
         let upper = if self.excess { 0 } else { UPPER };
         upper + self.priority.0.min(UPPER - 1)
     }
