--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -215,7 +215,7 @@
 
     fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         self.placer.peer(vm.as_str(), digest, now);
-        self.teams.peer(vm, digest, now);
+        self.teams.record_digest(vm, digest, now);
         self.windows.set_routers(self.teams.shared_by());
     }
 
--- a/crates/sesamegap-policy/src/load/limits/peers.rs
+++ b/crates/sesamegap-policy/src/load/limits/peers.rs
@@ -35,7 +35,7 @@
 
 impl PeerDemand {
     /// Replaces the previous digest of a peer. A new peer beyond [`MAX_PEERS`] is ignored.
-    pub fn heard(&mut self, vm: VmId, digest: &Digest, now: Moment) {
+    pub fn record_digest(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&vm) {
             return;
         }
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -137,8 +137,8 @@
     }
 
     /// Records a peer's digest.
-    pub fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
-        self.peers.heard(vm, digest, now);
+    pub fn record_digest(&mut self, vm: VmId, digest: &Digest, now: Moment) {
+        self.peers.record_digest(vm, digest, now);
     }
 
     /// Adds the demand at this router to the digest, highest first.
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -56,7 +56,7 @@
     for (n, limit) in limits.iter_mut().enumerate() {
         for (peer, digest) in digests.iter().enumerate().filter(|(peer, _)| *peer != n) {
             let vm = format!("vm{peer}").parse().expect("valid");
-            limit.peer(vm, digest, now);
+            limit.record_digest(vm, digest, now);
         }
     }
 }
