--- a/crates/sesamegap-policy/src/load/learned/pace.rs
+++ b/crates/sesamegap-policy/src/load/learned/service_rate.rs
@@ -34,29 +34,29 @@
 #[derive(Debug, Default)]
 pub struct ServiceRate {
     rate: f64,
-    seen: Duration,
+    observed: Duration,
     done: f64,
-    since: Moment,
-    waited: bool,
-    last: Moment,
-    flow: DecayingRate,
+    sample_start: Moment,
+    backlogged: bool,
+    last_sample: Moment,
+    throughput: DecayingRate,
 }
 
 impl ServiceRate {
     /// Records work that engines have completed.
     pub fn done(&mut self, cost: u64, now: Moment) {
         self.done += cost as f64;
-        self.flow.add(cost as f64, now, DECAY_TIME);
-        self.rate = self.rate.max(self.flow.rate(now, DECAY_TIME));
+        self.throughput.add(cost as f64, now, DECAY_TIME);
+        self.rate = self.rate.max(self.throughput.rate(now, DECAY_TIME));
     }
 
     /// Takes a sample if one is due; `waiting` is the cost queued for this model.
     pub fn tick(&mut self, waiting: u64, now: Moment) {
         let waiting = waiting > 0 && waiting as f64 >= self.rate * MIN_BACKLOG.as_secs_f64();
-        let span = now.since(self.since);
-        if !self.waited || !waiting {
+        let span = now.since(self.sample_start);
+        if !self.backlogged || !waiting {
             // Only spans with a backlog from start to end are sampled.
-            if waiting != self.waited || span >= SAMPLE_INTERVAL {
+            if waiting != self.backlogged || span >= SAMPLE_INTERVAL {
                 self.restart(waiting, now);
             }
             return;
@@ -65,26 +65,26 @@
             return;
         }
         let sample = self.done / span.as_secs_f64();
-        let trust = (span.as_secs_f64() / DECAY_TIME.as_secs_f64()).min(1.0);
-        let first = span.as_secs_f64() / (self.seen + span).as_secs_f64();
-        self.rate += (sample - self.rate) * trust.max(first);
-        self.seen = (self.seen + span).min(MAX_AGE);
-        self.last = now;
+        let weight = (span.as_secs_f64() / DECAY_TIME.as_secs_f64()).min(1.0);
+        let initial_weight = span.as_secs_f64() / (self.observed + span).as_secs_f64();
+        self.rate += (sample - self.rate) * weight.max(initial_weight);
+        self.observed = (self.observed + span).min(MAX_AGE);
+        self.last_sample = now;
         self.restart(waiting, now);
     }
 
     fn restart(&mut self, waiting: bool, now: Moment) {
-        if now.since(self.last) > MAX_AGE {
-            self.seen = Duration::ZERO;
+        if now.since(self.last_sample) > MAX_AGE {
+            self.observed = Duration::ZERO;
         }
         self.done = 0.0;
-        self.since = now;
-        self.waited = waiting;
+        self.sample_start = now;
+        self.backlogged = waiting;
     }
 
     /// Cost per second, or `None` until enough has been observed.
     pub fn rate(&self) -> Option<f64> {
-        (self.seen >= MIN_OBSERVED && self.rate > 0.0).then_some(self.rate)
+        (self.observed >= MIN_OBSERVED && self.rate > 0.0).then_some(self.rate)
     }
 }
 
--- a/crates/sesamegap-policy/src/load/limits/budget.rs
+++ b/crates/sesamegap-policy/src/load/limits/budget.rs
@@ -19,13 +19,13 @@
 /// Token bucket of the retries and hedges that may still be made.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    left: f64,
+    balance: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            left: INITIAL_BALANCE,
+            balance: INITIAL_BALANCE,
         }
     }
 }
@@ -33,26 +33,26 @@
 impl RetryBudget {
     /// Credits a first attempt.
     pub fn earn(&mut self) {
-        self.left = (self.left + EARNED_PER_ATTEMPT).min(MAX_BALANCE);
+        self.balance = (self.balance + EARNED_PER_ATTEMPT).min(MAX_BALANCE);
     }
 
     /// Pays for a retry or hedge; returns `false` if the balance is too low.
     #[must_use]
     pub fn try_spend(&mut self) -> bool {
-        let paid = self.left >= 1.0;
+        let paid = self.balance >= 1.0;
         if paid {
-            self.left -= 1.0;
+            self.balance -= 1.0;
         }
         paid
     }
 
     /// Refunds an attempt that was paid for but not made.
     pub fn refund(&mut self) {
-        self.left = (self.left + 1.0).min(MAX_BALANCE);
+        self.balance = (self.balance + 1.0).min(MAX_BALANCE);
     }
 
     /// Retries or hedges left.
     pub fn left(&self) -> f64 {
-        self.left
+        self.balance
     }
 }
--- a/crates/sesamegap-policy/src/load/limits/peers.rs
+++ b/crates/sesamegap-policy/src/load/limits/peers.rs
@@ -40,7 +40,7 @@
             return;
         }
         let mut peer = self.peers.remove(&vm).unwrap_or_default();
-        self.discount(&mut peer);
+        self.stop_counting(&mut peer);
         let usable = digest.demand.iter().filter(|(_, rate)| rate.is_finite());
         let demand = usable.take(MAX_TEAMS_PER_PEER);
         peer.demand = demand.map(|(t, rate)| (t.clone(), rate.max(0.0))).collect();
@@ -63,14 +63,14 @@
         let mut peers = std::mem::take(&mut self.peers);
         for peer in peers.values_mut() {
             if peer.counted && now.since(peer.heard) > PEER_TIMEOUT {
-                self.discount(peer);
+                self.stop_counting(peer);
             }
         }
         peers.retain(|_, peer| now.since(peer.heard) <= PEER_RETENTION);
         self.peers = peers;
     }
 
-    fn discount(&mut self, peer: &mut Peer) {
+    fn stop_counting(&mut self, peer: &mut Peer) {
         if !std::mem::take(&mut peer.counted) {
             return;
         }
--- a/crates/sesamegap-policy/src/load/limits/comeback.rs
+++ b/crates/sesamegap-policy/src/load/limits/retry_schedule.rs
@@ -20,24 +20,24 @@
 /// Time of the last reserved retry, by priority.
 #[derive(Debug, Default)]
 pub struct RetrySchedule {
-    lines: BTreeMap<u8, Moment>,
+    last_retries: BTreeMap<u8, Moment>,
 }
 
 impl RetrySchedule {
-    /// Reserves a retry at least `earliest` from now and `step` after the previous one, and returns
+    /// Reserves a retry at least `earliest` from now and `interval` after the previous one, and returns
     /// its delay with jitter.
     pub fn reserve(
         &mut self,
         priority: u8,
         earliest: Duration,
-        step: Duration,
+        interval: Duration,
         now: Moment,
         rng: &mut dyn Rng,
     ) -> Duration {
-        let line = self.lines.entry(priority).or_default();
-        let at = (now + earliest.clamp(MIN_DELAY, MAX_DELAY)).max(*line + step);
-        *line = at.min(now + MAX_DELAY);
-        add_jitter(line.since(now), rng)
+        let last = self.last_retries.entry(priority).or_default();
+        let at = (now + earliest.clamp(MIN_DELAY, MAX_DELAY)).max(*last + interval);
+        *last = at.min(now + MAX_DELAY);
+        add_jitter(last.since(now), rng)
     }
 }
 
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -37,7 +37,7 @@
     flow: DecayingRate,
     /// Accumulates the fraction of each request that fits; a request is within the share when
     /// this reaches 1.
-    fitted: f64,
+    fit_credit: f64,
 }
 
 /// A team's demand by priority.
@@ -54,7 +54,7 @@
             self.tiers.push(Tier {
                 priority,
                 flow: DecayingRate::default(),
-                fitted: 0.0,
+                fit_credit: 0.0,
             });
             self.tiers.len() - 1
         });
@@ -67,7 +67,7 @@
         above.map(|tier| tier.flow.rate(now, DECAY_TIME)).sum()
     }
 
-    /// Whether the next request of a priority fits into a share; updates `fitted`.
+    /// Whether the next request of a priority fits into a share; updates `fit_credit`.
     fn fits(&mut self, priority: u8, share: f64, now: Moment) -> bool {
         let all = self.from(priority, now);
         let Some(tier) = self.tiers.iter_mut().find(|t| t.priority == priority) else {
@@ -77,26 +77,26 @@
         if all <= share || own <= 0.0 {
             return true;
         }
-        tier.fitted += ((share - (all - own)) / own).clamp(0.0, 1.0);
-        let fits = tier.fitted >= 1.0;
+        tier.fit_credit += ((share - (all - own)) / own).clamp(0.0, 1.0);
+        let fits = tier.fit_credit >= 1.0;
         if fits {
-            tier.fitted -= 1.0;
+            tier.fit_credit -= 1.0;
         }
         fits
     }
 }
 
 #[derive(Debug, Default)]
-struct Table {
+struct ModelShares {
     teams: FxHashMap<TeamId, Demand>,
     /// Demand per weight up to which work is within its share; `None` without overload.
     level: Option<f64>,
     at: Moment,
 }
 
-impl Table {
+impl ModelShares {
     /// Recomputes the common level for a service rate and drops teams without demand.
-    fn fill(&mut self, rate: Option<f64>, now: Moment) {
+    fn recompute(&mut self, rate: Option<f64>, now: Moment) {
         self.at = now;
         self.teams
             .retain(|_, demand| demand.from(0, now) >= MIN_DEMAND);
@@ -127,7 +127,7 @@
 /// Fair shares by model.
 #[derive(Debug, Default)]
 pub struct Shares {
-    models: FxHashMap<ModelId, Table>,
+    models: FxHashMap<ModelId, ModelShares>,
 }
 
 /// The properties of a request that decide its share.
@@ -149,7 +149,8 @@
     /// Adds a request to its team's demand.
     pub fn record_demand(&mut self, claim: &Claim<'_>, now: Moment) {
         if !self.models.contains_key(claim.model) {
-            self.models.insert(claim.model.clone(), Table::default());
+            self.models
+                .insert(claim.model.clone(), ModelShares::default());
         }
         let Some(table) = self.models.get_mut(claim.model) else {
             return;
@@ -168,7 +169,7 @@
             return false;
         };
         if now.since(table.at) >= RECOMPUTE_INTERVAL {
-            table.fill(rate, now);
+            table.recompute(rate, now);
         }
         let Some(level) = table.level else {
             return false;
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -75,7 +75,7 @@
             return Ok(());
         };
         self.peers.sweep(now);
-        let fresh = !self.buckets.contains_key(team);
+        let is_new = !self.buckets.contains_key(team);
         let mut bucket = self.buckets.remove(team).unwrap_or(Bucket {
             level: 0.0,
             at: now,
@@ -86,7 +86,7 @@
         let rate = (rate * part).max(f64::MIN_POSITIVE);
         let most = (spec.burst.0 as f64 * part).max(1.0);
         let gained = now.since(bucket.at).as_secs_f64() * rate;
-        bucket.level = if fresh {
+        bucket.level = if is_new {
             most
         } else {
             (bucket.level + gained).min(most)
--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -38,7 +38,7 @@
 pub struct Lane {
     ring: VecDeque<TeamId>,
     teams: FxHashMap<TeamId, TeamQueue>,
-    passed: Vec<TeamId>,
+    passed_over: Vec<TeamId>,
     /// Placements that may still be tried in the current room epoch.
     pub tries: u32,
     /// The room epoch in which `tries` was last reset.
@@ -76,12 +76,12 @@
         share.cost = share.cost.saturating_sub(item.cost);
         if share.items.is_empty() {
             self.teams.remove(team);
-            self.leave(team);
+            self.remove_from_ring(team);
         }
         Some(item)
     }
 
-    fn leave(&mut self, team: &TeamId) {
+    fn remove_from_ring(&mut self, team: &TeamId) {
         // The team served last is usually at the front, so the linear search below is rare.
         if self.ring.front() == Some(team) {
             self.ring.pop_front();
@@ -104,8 +104,8 @@
 
     /// The request to try next, except those passed over in this round.
     pub fn next(&mut self) -> Option<&QueuedRequest> {
-        let team = if self.passed.is_empty() {
-            self.turn()?
+        let team = if self.passed_over.is_empty() {
+            self.next_turn()?
         } else {
             self.next_not_passed()?
         };
@@ -114,14 +114,14 @@
     }
 
     /// Passes over the request just tried, so that a team whose engines are full doesn't block others.
-    pub fn pass(&mut self) {
+    pub fn pass_over(&mut self) {
         let Some(team) = self.ring.pop_front() else {
             return;
         };
         if let Some(share) = self.teams.get_mut(&team) {
             share.skip += 1;
         }
-        self.passed.push(team.clone());
+        self.passed_over.push(team.clone());
         self.ring.push_back(team);
     }
 
@@ -130,8 +130,8 @@
     /// Teams that were passed over keep their credit and stay at the back of the ring, so that the
     /// next round tries other teams first. Teams tried in their place get no credit: otherwise
     /// each poll without room would cancel the debt of heavy teams.
-    pub fn rewind(&mut self) {
-        while let Some(team) = self.passed.pop() {
+    pub fn end_round(&mut self) {
+        while let Some(team) = self.passed_over.pop() {
             if let Some(share) = self.teams.get_mut(&team) {
                 share.skip = 0;
             }
@@ -153,7 +153,7 @@
 
     /// Rotates the ring to the next team with credit, giving a turn's credit to each
     /// visited team that has none.
-    fn turn(&mut self) -> Option<TeamId> {
+    fn next_turn(&mut self) -> Option<TeamId> {
         loop {
             let team = self.ring.front()?.clone();
             let share = self.teams.get_mut(&team)?;
@@ -168,7 +168,7 @@
     }
 
     /// The request of a team with the latest deadline, and the cost of all its requests here.
-    pub fn tail(&self, team: &TeamId) -> Option<(u64, &QueuedRequest)> {
+    pub fn latest(&self, team: &TeamId) -> Option<(u64, &QueuedRequest)> {
         let share = self.teams.get(team)?;
         let (_, item) = share.items.last_key_value()?;
         Some((share.cost, item))
--- a/crates/sesamegap-policy/src/load/queue/level.rs
+++ b/crates/sesamegap-policy/src/load/queue/level.rs
@@ -8,12 +8,12 @@
 
 /// Queued cost and weight of a team in a level.
 #[derive(Debug, Clone, Copy, Default)]
-struct Load {
+struct TeamLoad {
     cost: u64,
     weight: f64,
 }
 
-impl Load {
+impl TeamLoad {
     /// Queued cost divided by weight, by which teams are compared.
     fn weighted_cost(self) -> u64 {
         weighted_cost(self.cost, self.weight)
@@ -35,8 +35,8 @@
 pub struct Level {
     /// Requests by model, weights version and prompt length.
     pub lanes: BTreeMap<LaneKey, Lane>,
-    loads: FxHashMap<TeamId, Load>,
-    heavy: BTreeSet<(u64, TeamId)>,
+    loads: FxHashMap<TeamId, TeamLoad>,
+    by_weighted_cost: BTreeSet<(u64, TeamId)>,
     models: FxHashMap<ModelId, u64>,
     weight: f64,
 }
@@ -44,7 +44,7 @@
 impl Level {
     /// Adds a request.
     pub fn push(&mut self, key: &LaneKey, item: QueuedRequest) {
-        self.note(&item, true);
+        self.update_sums(&item, true);
         if let Some(lane) = self.lanes.get_mut(key) {
             lane.push(item);
             return;
@@ -66,7 +66,7 @@
         if lane.is_empty() {
             self.lanes.remove(key);
         }
-        self.note(&item, false);
+        self.update_sums(&item, false);
         Some(item)
     }
 
@@ -87,22 +87,23 @@
 
     /// The team with the highest queued cost per weight, and that value.
     pub fn heaviest(&self) -> Option<(u64, &TeamId)> {
-        let (weighted_cost, team) = self.heavy.last()?;
+        let (weighted_cost, team) = self.by_weighted_cost.last()?;
         Some((*weighted_cost, team))
     }
 
     /// The request of a team with the latest deadline, from the lane with most of the team's cost.
-    pub fn tail(&self, team: &TeamId) -> Option<&QueuedRequest> {
-        let tails = self.lanes.values().filter_map(|lane| lane.tail(team));
-        let (_, item) = tails.max_by_key(|(cost, _)| *cost)?;
+    pub fn latest(&self, team: &TeamId) -> Option<&QueuedRequest> {
+        let latest = self.lanes.values().filter_map(|lane| lane.latest(team));
+        let (_, item) = latest.max_by_key(|(cost, _)| *cost)?;
         Some(item)
     }
 
     /// Updates the sums after a request was added or removed.
-    fn note(&mut self, item: &QueuedRequest, added: bool) {
+    fn update_sums(&mut self, item: &QueuedRequest, added: bool) {
         let team = &item.work.team;
         let load = self.loads.entry(team.clone()).or_default();
-        self.heavy.remove(&(load.weighted_cost(), team.clone()));
+        self.by_weighted_cost
+            .remove(&(load.weighted_cost(), team.clone()));
         self.weight -= load.weight;
         let model = self.models.entry(item.work.model.clone()).or_default();
         if added {
@@ -120,7 +121,8 @@
             self.loads.remove(team);
         } else {
             self.weight += load.weight;
-            self.heavy.insert((load.weighted_cost(), team.clone()));
+            self.by_weighted_cost
+                .insert((load.weighted_cost(), team.clone()));
         }
         if self.loads.is_empty() {
             // Resets the rounding errors that the running sum accumulates.
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -129,7 +129,7 @@
 
 /// Position of a request, to find it by its id.
 #[derive(Debug, Clone)]
-struct Place {
+struct Position {
     rank: Rank,
     key: LaneKey,
     team: TeamId,
@@ -141,23 +141,23 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     levels: BTreeMap<Rank, Level>,
-    places: FxHashMap<RequestId, Place>,
+    positions: FxHashMap<RequestId, Position>,
     expiry: BTreeMap<Due, RequestId>,
     classes: FxHashMap<ClassId, Tokens>,
     seq: u64,
     room_epoch: u64,
-    sweep: usize,
+    latest_round: usize,
 }
 
 impl Queue {
     /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Queued prompt tokens of a class.
@@ -176,7 +176,7 @@
         self.seq += 1;
         item.seq = self.seq;
         let key = item.key();
-        let place = Place {
+        let position = Position {
             rank: item.rank,
             key: key.clone(),
             team: item.work.team.clone(),
@@ -186,7 +186,7 @@
         let request = item.work.request.clone();
         self.expiry
             .insert((item.hopeless, item.seq), request.clone());
-        self.places.insert(request, place);
+        self.positions.insert(request, position);
         *self.classes.entry(item.work.class.clone()).or_default() += item.work.chain.tokens;
         let level = self.levels.entry(item.rank).or_default();
         level.push(&key, item);
@@ -198,12 +198,12 @@
 
     /// Removes a request.
     pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
-        let place = self.places.remove(request)?;
-        self.expiry.remove(&(place.hopeless, place.due.1));
-        let level = self.levels.get_mut(&place.rank)?;
-        let item = level.remove(&place.key, &place.team, place.due)?;
+        let position = self.positions.remove(request)?;
+        self.expiry.remove(&(position.hopeless, position.due.1));
+        let level = self.levels.get_mut(&position.rank)?;
+        let item = level.remove(&position.key, &position.team, position.due)?;
         if level.lanes.is_empty() {
-            self.levels.remove(&place.rank);
+            self.levels.remove(&position.rank);
         }
         if let Some(tokens) = self.classes.get_mut(&item.work.class) {
             *tokens = *tokens - item.work.chain.tokens;
@@ -237,7 +237,7 @@
     /// Offers requests in order until no lane has room; returns whether any lane was full.
     pub fn serve(&mut self, mut offer: impl FnMut(&QueuedRequest) -> DispatchOutcome) -> bool {
         let mut full: Vec<LaneKey> = Vec::new();
-        for (rank, key) in self.stale() {
+        for (rank, key) in self.retryable_lanes() {
             // A lane that is full for a higher rank is full for a lower one, which may use less room.
             if !full.contains(&key) && self.serve_lane(rank, &key, &mut offer) {
                 full.push(key);
@@ -247,14 +247,17 @@
     }
 
     /// Lanes that may have room, in order of rank.
-    fn stale(&self) -> Vec<(Rank, LaneKey)> {
+    fn retryable_lanes(&self) -> Vec<(Rank, LaneKey)> {
         let room_epoch = self.room_epoch;
         let lanes = self.levels.iter().flat_map(|(rank, level)| {
             let lanes = level.lanes.iter();
             lanes.map(move |(key, lane)| (*rank, key, lane))
         });
-        let stale = lanes.filter(|(_, _, lane)| lane.room_epoch != room_epoch || lane.tries > 0);
-        stale.map(|(rank, key, _)| (rank, key.clone())).collect()
+        let retryable =
+            lanes.filter(|(_, _, lane)| lane.room_epoch != room_epoch || lane.tries > 0);
+        retryable
+            .map(|(rank, key, _)| (rank, key.clone()))
+            .collect()
     }
 
     /// Serves one lane; returns whether it ran out of tries.
@@ -286,7 +289,7 @@
             let team = item.work.team.clone();
             match outcome {
                 DispatchOutcome::Full => {
-                    lane.pass();
+                    lane.pass_over();
                     lane.tries -= 1;
                 }
                 DispatchOutcome::Dropped => drop(self.remove(&request)),
@@ -297,7 +300,7 @@
             }
         }
         if let Some(lane) = self.lane(rank, key) {
-            lane.rewind();
+            lane.end_round();
         }
         full
     }
@@ -373,10 +376,11 @@
             if *rank == item.rank && most <= weighted_cost(own, item.weight) {
                 continue;
             }
-            let tail = level.tail(team);
-            let tail = tail.filter(|tail| class.is_none_or(|class| tail.work.class == *class));
-            if let Some(tail) = tail {
-                return Some(tail.work.request.clone());
+            let latest = level.latest(team);
+            let latest =
+                latest.filter(|latest| class.is_none_or(|class| latest.work.class == *class));
+            if let Some(latest) = latest {
+                return Some(latest.work.request.clone());
             }
         }
         None
@@ -384,11 +388,11 @@
 
     /// The request with the latest deadline of one team per lane; each call selects the next team.
     pub fn latest_per_lane(&mut self) -> Vec<QueuedRequest> {
-        self.sweep = self.sweep.wrapping_add(1);
+        self.latest_round = self.latest_round.wrapping_add(1);
         let lanes = self.levels.values().flat_map(|level| level.lanes.values());
         let tails = lanes.filter_map(|lane| {
-            let team = lane.team(self.sweep)?;
-            lane.tail(team).map(|(_, item)| item.clone())
+            let team = lane.team(self.latest_round)?;
+            lane.latest(team).map(|(_, item)| item.clone())
         });
         tails.collect()
     }
@@ -396,9 +400,13 @@
     /// Returns the number of requests by rank as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
-        for place in self.places.values() {
-            let excess = if place.rank.excess { "excess" } else { "share" };
-            let name = format!("{excess}/{}", place.rank.priority.0);
+        for position in self.positions.values() {
+            let excess = if position.rank.excess {
+                "excess"
+            } else {
+                "share"
+            };
+            let name = format!("{excess}/{}", position.rank.priority.0);
             *counts.entry(name).or_default() += 1;
         }
         serde_json::json!({ "requests": self.len(), "ranks": counts })
--- a/crates/sesamegap-policy/src/load/windows/adaptive.rs
+++ b/crates/sesamegap-policy/src/load/windows/adaptive.rs
@@ -40,7 +40,7 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the size lies between FEWEST and MOST"
+        reason = "the size lies between MIN_WINDOW and MAX_WINDOW"
     )]
     fn limit(&self, _routers: usize) -> usize {
         self.size as usize
--- a/crates/sesamegap-policy/src/load/windows/backlog.rs
+++ b/crates/sesamegap-policy/src/load/windows/backlog.rs
@@ -6,7 +6,7 @@
 use sesamegap_wire::{Moment, RequestId};
 
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct SentRequest {
     at: Moment,
     prefill: u64,
     /// Whether the last report was made before this request was sent.
@@ -22,13 +22,13 @@
     reported: (usize, u64),
     unseen: (usize, u64),
     own: (usize, u64),
-    sent: FxHashMap<RequestId, Sent>,
+    sent: FxHashMap<RequestId, SentRequest>,
 }
 
 impl Backlog {
     /// Records a request that this router has sent.
     pub fn sent(&mut self, request: &RequestId, prefill: u64, at: Moment) {
-        let sent = Sent {
+        let sent = SentRequest {
             at,
             prefill,
             unseen: true,
@@ -43,11 +43,11 @@
         let Some(sent) = self.sent.remove(request) else {
             return;
         };
-        take(&mut self.own, sent.prefill);
+        subtract(&mut self.own, sent.prefill);
         if sent.unseen {
-            take(&mut self.unseen, sent.prefill);
+            subtract(&mut self.unseen, sent.prefill);
         } else {
-            take(&mut self.reported, sent.prefill);
+            subtract(&mut self.reported, sent.prefill);
         }
     }
 
@@ -79,7 +79,7 @@
     sum.1 += prefill;
 }
 
-fn take(sum: &mut (usize, u64), prefill: u64) {
+fn subtract(sum: &mut (usize, u64), prefill: u64) {
     sum.0 = sum.0.saturating_sub(1);
     sum.1 = sum.1.saturating_sub(prefill);
 }
