--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -21,7 +21,7 @@
     QueuedRequest {
         rank: Rank::new(seq.is_multiple_of(5), u8::from(seq.is_multiple_of(2))),
         deadline,
-        hopeless: deadline,
+        expires_at: deadline,
         weight: 1.0,
         cost: tokens.0,
         seq: 0,
--- a/crates/sesamegap-policy/src/decider/arrivals.rs
+++ b/crates/sesamegap-policy/src/decider/arrivals.rs
@@ -142,7 +142,7 @@
         QueuedRequest {
             rank,
             deadline,
-            hopeless: now + left,
+            expires_at: now + left,
             weight,
             cost,
             seq: 0,
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -93,7 +93,7 @@
     /// Deadline of its first token.
     pub deadline: Moment,
     /// Time from which it can no longer meet its deadline and is refused.
-    pub hopeless: Moment,
+    pub expires_at: Moment,
     /// Weight of its team.
     pub weight: f64,
     /// Upper bound of its cost to an engine, in prompt tokens.
@@ -134,7 +134,7 @@
     key: LaneKey,
     team: TeamId,
     due: Due,
-    hopeless: Moment,
+    expires_at: Moment,
 }
 
 /// Requests that wait for room on an engine.
@@ -181,11 +181,11 @@
             key: key.clone(),
             team: item.work.team.clone(),
             due: item.due(),
-            hopeless: item.hopeless,
+            expires_at: item.expires_at,
         };
         let request = item.work.request.clone();
         self.expiry
-            .insert((item.hopeless, item.seq), request.clone());
+            .insert((item.expires_at, item.seq), request.clone());
         self.positions.insert(request, position);
         *self.classes.entry(item.work.class.clone()).or_default() += item.work.chain.tokens;
         let level = self.levels.entry(item.rank).or_default();
@@ -199,7 +199,7 @@
     /// Removes a request.
     pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         let position = self.positions.remove(request)?;
-        self.expiry.remove(&(position.hopeless, position.due.1));
+        self.expiry.remove(&(position.expires_at, position.due.1));
         let level = self.levels.get_mut(&position.rank)?;
         let item = level.remove(&position.key, &position.team, position.due)?;
         if level.lanes.is_empty() {
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -46,7 +46,7 @@
     QueuedRequest {
         rank: Rank::new(priority.is_multiple_of(7), priority % 3),
         deadline,
-        hopeless: deadline,
+        expires_at: deadline,
         weight,
         cost: tokens * 8,
         seq: 0,
--- a/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
@@ -241,10 +241,10 @@
     }
 
     fn expire(&mut self, now: Moment) -> Removed {
-        let mut gone: Vec<_> = self.items.iter().filter(|i| i.hopeless <= now).collect();
-        gone.sort_by_key(|item| item.hopeless);
+        let mut gone: Vec<_> = self.items.iter().filter(|i| i.expires_at <= now).collect();
+        gone.sort_by_key(|item| item.expires_at);
         let gone = gone.iter().map(|item| item.work.request.seq).collect();
-        self.items.retain(|item| item.hopeless > now);
+        self.items.retain(|item| item.expires_at > now);
         self.drop_idle_teams();
         gone
     }
