--- a/crates/sesamegap-policy/src/load/learned/service_rate.rs
+++ b/crates/sesamegap-policy/src/load/learned/service_rate.rs
@@ -97,15 +97,15 @@
 impl ServiceRates {
     /// Records work that engines of a model have completed.
     pub fn done(&mut self, model: &ModelId, cost: u64, now: Moment) {
-        if let Some(pace) = self.models.get_mut(model) {
-            pace.done(cost, now);
+        if let Some(service_rate) = self.models.get_mut(model) {
+            service_rate.done(cost, now);
         }
     }
 
     /// Takes samples that are due; `waiting` returns the cost queued for a model.
     pub fn tick(&mut self, waiting: impl Fn(&ModelId) -> u64, now: Moment) {
-        for (model, pace) in &mut self.models {
-            pace.tick(waiting(model), now);
+        for (model, service_rate) in &mut self.models {
+            service_rate.tick(waiting(model), now);
         }
     }
 
@@ -117,7 +117,8 @@
     /// Returns the rates as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let rates = self.models.iter();
-        let rates = rates.map(|(model, pace)| (model.to_string(), pace.rate().into()));
+        let rates =
+            rates.map(|(model, service_rate)| (model.to_string(), service_rate.rate().into()));
         rates.collect::<serde_json::Map<_, _>>().into()
     }
 
--- a/crates/sesamegap-policy/src/load/limits/retry_schedule.rs
+++ b/crates/sesamegap-policy/src/load/limits/retry_schedule.rs
@@ -43,6 +43,6 @@
 
 /// Lengthens a delay by a random part of up to a half.
 pub fn add_jitter(time: Duration, rng: &mut dyn Rng) -> Duration {
-    let part = f64::from(rng.next_u32()) / f64::from(u32::MAX);
-    time.mul_f64(1.0 + part / 2.0)
+    let random_part = f64::from(rng.next_u32()) / f64::from(u32::MAX);
+    time.mul_f64(1.0 + random_part / 2.0)
 }
--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -54,7 +54,7 @@
     /// Inserts a request into its team's queue by deadline.
     pub fn push(&mut self, item: QueuedRequest) {
         let team = item.work.team.clone();
-        let share = self.teams.entry(team.clone()).or_insert_with(|| {
+        let queue = self.teams.entry(team.clone()).or_insert_with(|| {
             self.ring.push_back(team);
             TeamQueue {
                 items: BTreeMap::new(),
@@ -64,17 +64,17 @@
                 skip: 0,
             }
         });
-        share.weight = item.weight;
-        share.cost += item.cost;
-        share.items.insert(item.due(), item);
+        queue.weight = item.weight;
+        queue.cost += item.cost;
+        queue.items.insert(item.due(), item);
     }
 
     /// Removes a request; a team without requests leaves the ring and loses its credit or debt.
     pub fn remove(&mut self, team: &TeamId, due: Due) -> Option<QueuedRequest> {
-        let share = self.teams.get_mut(team)?;
-        let item = share.items.remove(&due)?;
-        share.cost = share.cost.saturating_sub(item.cost);
-        if share.items.is_empty() {
+        let queue = self.teams.get_mut(team)?;
+        let item = queue.items.remove(&due)?;
+        queue.cost = queue.cost.saturating_sub(item.cost);
+        if queue.items.is_empty() {
             self.teams.remove(team);
             self.remove_from_ring(team);
         }
@@ -92,12 +92,12 @@
 
     /// Charges a team for a dispatched request; its turn ends when its credit is used up.
     pub fn charge(&mut self, team: &TeamId, cost: u64) {
-        let Some(share) = self.teams.get_mut(team) else {
+        let Some(queue) = self.teams.get_mut(team) else {
             return;
         };
-        let deepest = -MAX_DEBT_TURNS * QUANTUM * share.weight.max(MIN_WEIGHT);
-        share.credit = (share.credit - cost as f64).max(deepest);
-        if share.credit <= 0.0 && self.ring.front() == Some(team) {
+        let deepest = -MAX_DEBT_TURNS * QUANTUM * queue.weight.max(MIN_WEIGHT);
+        queue.credit = (queue.credit - cost as f64).max(deepest);
+        if queue.credit <= 0.0 && self.ring.front() == Some(team) {
             self.ring.rotate_left(1);
         }
     }
@@ -109,8 +109,8 @@
         } else {
             self.next_not_passed()?
         };
-        let share = self.teams.get(&team)?;
-        share.items.values().nth(share.skip)
+        let queue = self.teams.get(&team)?;
+        queue.items.values().nth(queue.skip)
     }
 
     /// Passes over the request just tried, so that a team whose engines are full doesn't block others.
@@ -118,8 +118,8 @@
         let Some(team) = self.ring.pop_front() else {
             return;
         };
-        if let Some(share) = self.teams.get_mut(&team) {
-            share.skip += 1;
+        if let Some(queue) = self.teams.get_mut(&team) {
+            queue.skip += 1;
         }
         self.passed_over.push(team.clone());
         self.ring.push_back(team);
@@ -132,8 +132,8 @@
     /// each poll without room would cancel the debt of heavy teams.
     pub fn end_round(&mut self) {
         while let Some(team) = self.passed_over.pop() {
-            if let Some(share) = self.teams.get_mut(&team) {
-                share.skip = 0;
+            if let Some(queue) = self.teams.get_mut(&team) {
+                queue.skip = 0;
             }
         }
     }
@@ -142,8 +142,8 @@
     fn next_not_passed(&mut self) -> Option<TeamId> {
         for _ in 0..self.ring.len() {
             let team = self.ring.front()?;
-            let share = self.teams.get(team)?;
-            if share.skip < share.items.len() {
+            let queue = self.teams.get(team)?;
+            if queue.skip < queue.items.len() {
                 return Some(team.clone());
             }
             self.ring.rotate_left(1);
@@ -156,11 +156,11 @@
     fn next_turn(&mut self) -> Option<TeamId> {
         loop {
             let team = self.ring.front()?.clone();
-            let share = self.teams.get_mut(&team)?;
-            if share.credit <= 0.0 {
-                share.credit += QUANTUM * share.weight.max(MIN_WEIGHT);
+            let queue = self.teams.get_mut(&team)?;
+            if queue.credit <= 0.0 {
+                queue.credit += QUANTUM * queue.weight.max(MIN_WEIGHT);
             }
-            if share.credit > 0.0 {
+            if queue.credit > 0.0 {
                 return Some(team);
             }
             self.ring.rotate_left(1);
@@ -169,9 +169,9 @@
 
     /// The request of a team with the latest deadline, and the cost of all its requests here.
     pub fn latest(&self, team: &TeamId) -> Option<(u64, &QueuedRequest)> {
-        let share = self.teams.get(team)?;
-        let (_, item) = share.items.last_key_value()?;
-        Some((share.cost, item))
+        let queue = self.teams.get(team)?;
+        let (_, item) = queue.items.last_key_value()?;
+        Some((queue.cost, item))
     }
 
     /// The team at an index of the ring, modulo its length.
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -390,11 +390,11 @@
     pub fn latest_per_lane(&mut self) -> Vec<QueuedRequest> {
         self.latest_round = self.latest_round.wrapping_add(1);
         let lanes = self.levels.values().flat_map(|level| level.lanes.values());
-        let tails = lanes.filter_map(|lane| {
+        let latest = lanes.filter_map(|lane| {
             let team = lane.team(self.latest_round)?;
             lane.latest(team).map(|(_, item)| item.clone())
         });
-        tails.collect()
+        latest.collect()
     }
 
     /// Returns the number of requests by rank as JSON for a diagnostic dump.
--- a/crates/sesamegap-policy/src/shifting/mod.rs
+++ b/crates/sesamegap-policy/src/shifting/mod.rs
@@ -84,7 +84,7 @@
         Some(next.1)
     }
 
-    fn free(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.loaded.len() + usize::from(self.loading) < self.slots
     }
 }
@@ -176,9 +176,9 @@
             return;
         };
         let engine = &self.engines[at];
-        let wanting = !engine.has(model, version) && !engine.loading && engine.free();
+        let can_load = !engine.has(model, version) && !engine.loading && engine.has_free_slot();
         let allowed = urgent || self.may_change(&engine.domain);
-        if !wanting || loading >= MAX_CONCURRENT_LOADS || !allowed {
+        if !can_load || loading >= MAX_CONCURRENT_LOADS || !allowed {
             return;
         }
         self.changing_domains.insert(engine.domain.clone());
@@ -216,13 +216,13 @@
     /// reason.
     fn droppable(&self, at: usize, settled: bool) -> Option<(ModelId, WeightsVersion)> {
         let engine = &self.engines[at];
-        let blocks_target = !engine.free() && self.lacks_target(engine);
+        let blocks_target = !engine.has_free_slot() && self.lacks_target(engine);
         engine.loaded.iter().find_map(|(model, version)| {
             let Some(spec) = self.fleet.models.get(model) else {
                 // The model was removed from the settings: drop it when its slot is needed.
                 return blocks_target.then(|| (model.clone(), WeightsVersion(u32::MAX)));
             };
-            let spared = self.others(at, model) >= self.min_remaining(model);
+            let can_be_spared = self.others(at, model) >= self.min_remaining(model);
             if *version < spec.version {
                 if settled && self.current(model) >= self.required_current(model) {
                     return Some((model.clone(), spec.version));
@@ -230,12 +230,12 @@
                 let next = engine.version_after(model, *version);
                 let below = next.unwrap_or(spec.version).min(spec.version);
                 // If a later version remains, the engine continues to serve the model.
-                let dropped = blocks_target && (next.is_some() || (settled && spared));
-                return dropped.then(|| (model.clone(), below));
+                let may_drop = blocks_target && (next.is_some() || (settled && can_be_spared));
+                return may_drop.then(|| (model.clone(), below));
             }
-            let placed = self.is_target(model, &engine.id);
-            let needless = settled && blocks_target && !placed && spared;
-            needless.then(|| (model.clone(), WeightsVersion(u32::MAX)))
+            let is_placed = self.is_target(model, &engine.id);
+            let is_unneeded = settled && blocks_target && !is_placed && can_be_spared;
+            is_unneeded.then(|| (model.clone(), WeightsVersion(u32::MAX)))
         })
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -55,26 +55,26 @@
 }
 
 /// Runs the same steps on the given queue and the reference; returns the first difference.
-fn find_difference(seed: u64, real: &mut dyn QueueModel) -> Option<String> {
+fn find_difference(seed: u64, queue: &mut dyn QueueModel) -> Option<String> {
     let mut gen_ = Gen::from_size_and_seed(120, seed);
-    let mut list = ReferenceQueue::default();
+    let mut reference = ReferenceQueue::default();
     let mut now = 0;
     for (n, step) in Vec::<Step>::arbitrary(&mut gen_).into_iter().enumerate() {
         let (left, right) = match step {
             Step::Push(team, priority, patience, long) => {
                 let item = item(n as u64, (team, priority, patience, long), now);
-                real.push(item.clone());
-                list.push(item);
+                queue.push(item.clone());
+                reference.push(item);
                 continue;
             }
             Step::Cancel(which) => {
                 let gone = request(u64::from(which));
-                (real.cancel(&gone), list.cancel(&gone))
+                (queue.cancel(&gone), reference.cancel(&gone))
             }
-            Step::Serve(room) => (real.serve(room), list.serve(room)),
+            Step::Serve(room) => (queue.serve(room), reference.serve(room)),
             Step::Pass(time) => {
                 now += u64::from(time);
-                (real.expire(at(now)), list.expire(at(now)))
+                (queue.expire(at(now)), reference.expire(at(now)))
             }
         };
         if left != right {
@@ -83,7 +83,7 @@
             ));
         }
     }
-    let (left, right) = (real.serve(u8::MAX), list.serve(u8::MAX));
+    let (left, right) = (queue.serve(u8::MAX), reference.serve(u8::MAX));
     (left != right).then(|| format!("seed {seed}, at the end: {left:?}, reference {right:?}"))
 }
 
@@ -111,30 +111,30 @@
 /// decider milliseconds and lower its throughput as load grows.
 #[test]
 fn a_poll_without_room_tries_a_few() {
-    let mut real = QueueUnderTest::default();
+    let mut queue = QueueUnderTest::default();
     for seq in 0..8_000 {
-        real.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
+        queue.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
     }
-    assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
-    assert_eq!(real.tries(), 0, "tried again without notify_room");
-    real.queue.notify_room();
-    assert_eq!(real.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
+    assert_eq!(queue.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
+    assert_eq!(queue.tries(), 0, "tried again without notify_room");
+    queue.queue.notify_room();
+    assert_eq!(queue.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
 }
 
 /// The queue is full of requests of a heavy team. A request of a light team evicts the heavy team's
 /// requests with the latest deadlines; another request of the heavy team doesn't fit.
 #[test]
 fn new_requests_evict_the_heaviest_team() {
-    let mut real = QueueUnderTest::default();
+    let mut queue = QueueUnderTest::default();
     for seq in 0..100 {
-        real.push(item(seq, (0, 1, 200, false), 0));
+        queue.push(item(seq, (0, 1, 200, false), 0));
     }
-    let full = real.queue.tokens(&"check".parse().expect("valid"));
+    let full = queue.queue.tokens(&"check".parse().expect("valid"));
     let heavy = item(200, (0, 1, 100, false), 0);
-    assert_eq!(real.queue.make_room(&heavy, full), None);
-    assert_eq!(real.queue.len(), 100);
+    assert_eq!(queue.queue.make_room(&heavy, full), None);
+    assert_eq!(queue.queue.len(), 100);
     let light = item(201, (1, 1, 100, false), 0);
-    let victims = real.queue.make_room(&light, full).expect("room");
+    let victims = queue.queue.make_room(&light, full).expect("room");
     assert!(
         victims
             .iter()
@@ -144,5 +144,5 @@
         victims.first().map(|victim| victim.work.request.seq),
         Some(99)
     );
-    assert_eq!(real.queue.len(), 100 - victims.len());
+    assert_eq!(queue.queue.len(), 100 - victims.len());
 }
