--- a/crates/sesamegap-policy/src/load/limits/retry_schedule.rs
+++ b/crates/sesamegap-policy/src/load/limits/retry_schedule.rs
@@ -24,8 +24,8 @@
 }
 
 impl RetrySchedule {
-    /// Reserves a retry at least `earliest` from now and `interval` after the previous one, and returns
-    /// its delay with jitter.
+    /// Reserves a retry at least `earliest` from now and `interval` after the previous one, and
+    /// returns its delay with jitter.
     pub fn reserve(
         &mut self,
         priority: u8,
--- a/crates/sesamegap-policy/src/load/queue/lane.rs
+++ b/crates/sesamegap-policy/src/load/queue/lane.rs
@@ -113,7 +113,8 @@
         queue.items.values().nth(queue.skip)
     }
 
-    /// Passes over the request just tried, so that a team whose engines are full doesn't block others.
+    /// Passes over the request just tried, so that a team whose engines are full doesn't block
+    /// others.
     pub fn pass_over(&mut self) {
         let Some(team) = self.ring.pop_front() else {
             return;
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -41,8 +41,8 @@
 /// Maximum number of requests that one new request may evict; bounds the cost of a submission.
 const MAX_VICTIMS: usize = 16;
 
-/// Cost of an output token in prompt tokens. Each decode step reads all weights to produce one token
-/// per stream, while prefill processes many tokens at once.
+/// Cost of an output token in prompt tokens. Each decode step reads all weights to produce one
+/// token per stream, while prefill processes many tokens at once.
 pub const OUTPUT_TOKEN_COST: u64 = 4;
 
 /// Lowest engine priority of requests within their team's share.
@@ -238,7 +238,8 @@
     pub fn serve(&mut self, mut offer: impl FnMut(&QueuedRequest) -> DispatchOutcome) -> bool {
         let mut full: Vec<LaneKey> = Vec::new();
         for (rank, key) in self.retryable_lanes() {
-            // A lane that is full for a higher rank is full for a lower one, which may use less room.
+            // A lane that is full for a higher rank is full for a lower one, which may use less
+            // room.
             if !full.contains(&key) && self.serve_lane(rank, &key, &mut offer) {
                 full.push(key);
             }
--- a/crates/sesamegap-policy/src/load/windows/backlog.rs
+++ b/crates/sesamegap-policy/src/load/windows/backlog.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Waiting requests, assuming that each of `routers` has sent as many since the report as this one.
+    /// Waiting requests, assuming that each of `routers` has sent as many since the report as this
+    /// one.
     pub fn waiting(&self, routers: usize) -> usize {
         (self.reported.0 + self.unseen.0 * routers).max(self.own.0)
     }
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -23,8 +23,8 @@
 use sesamegap_wire::{Moment, RequestId, Tokens, UpstreamId};
 use std::fmt;
 
-/// Total requests in flight to one engine that fixed windows divide between routers: about twice the
-/// batch of current engines, so that the next request is already there when one ends.
+/// Total requests in flight to one engine that fixed windows divide between routers: about twice
+/// the batch of current engines, so that the next request is already there when one ends.
 const FIXED_TOTAL_IN_FLIGHT: usize = 64;
 
 /// Minimum window of a router on an engine, regardless of the number of routers.
--- a/crates/sesamegap-policy/src/shifting/mod.rs
+++ b/crates/sesamegap-policy/src/shifting/mod.rs
@@ -5,7 +5,7 @@
 //! orders, so a new holder of the controller's lease continues where the previous one stopped, and
 //! a lost order is issued again. Orders are idempotent, as each states a desired state.
 //!
-//! [`targets`] computes which engines should hold each model: enough for its demand and never
+//! [`targets()`] computes which engines should hold each model: enough for its demand and never
 //! fewer than the settings require, spread over failure domains, preferably where the model is
 //! already loaded. The rest of this module moves the fleet towards the targets without disrupting
 //! service:
@@ -187,8 +187,8 @@
         self.order(at, Wanted::Load { model, version });
     }
 
-    /// Orders drops of old versions that are no longer needed, and of weights that occupy slots needed
-    /// by the targets.
+    /// Orders drops of old versions that are no longer needed, and of weights that occupy slots
+    /// needed by the targets.
     fn drops(&mut self) {
         for at in 0..self.engines.len() {
             let engine = &self.engines[at];
@@ -216,11 +216,11 @@
     /// reason.
     fn droppable(&self, at: usize, settled: bool) -> Option<(ModelId, WeightsVersion)> {
         let engine = &self.engines[at];
-        let blocks_target = !engine.has_free_slot() && self.lacks_target(engine);
+        let needs_slot = !engine.has_free_slot() && self.lacks_target(engine);
         engine.loaded.iter().find_map(|(model, version)| {
             let Some(spec) = self.fleet.models.get(model) else {
                 // The model was removed from the settings: drop it when its slot is needed.
-                return blocks_target.then(|| (model.clone(), WeightsVersion(u32::MAX)));
+                return needs_slot.then(|| (model.clone(), WeightsVersion(u32::MAX)));
             };
             let can_be_spared = self.others(at, model) >= self.min_remaining(model);
             if *version < spec.version {
@@ -230,11 +230,11 @@
                 let next = engine.version_after(model, *version);
                 let below = next.unwrap_or(spec.version).min(spec.version);
                 // If a later version remains, the engine continues to serve the model.
-                let may_drop = blocks_target && (next.is_some() || (settled && can_be_spared));
+                let may_drop = needs_slot && (next.is_some() || (settled && can_be_spared));
                 return may_drop.then(|| (model.clone(), below));
             }
             let is_placed = self.is_target(model, &engine.id);
-            let is_unneeded = settled && blocks_target && !is_placed && can_be_spared;
+            let is_unneeded = settled && needs_slot && !is_placed && can_be_spared;
             is_unneeded.then(|| (model.clone(), WeightsVersion(u32::MAX)))
         })
     }
--- a/crates/sesamegap-policy/src/shifting/serving.rs
+++ b/crates/sesamegap-policy/src/shifting/serving.rs
@@ -9,9 +9,9 @@
 use sesamegap_wire::WeightsVersion;
 use std::collections::BTreeMap;
 
-/// Ratio of engines with the wanted version, to the more widely held of the two versions, from which
-/// the wanted version serves all requests. Half of the engines can carry all requests until the
-/// rest have loaded it, and an engine that can't load it doesn't keep old weights in service
+/// Ratio of engines with the wanted version, to the more widely held of the two versions, from
+/// which the wanted version serves all requests. Half of the engines can carry all requests until
+/// the rest have loaded it, and an engine that can't load it doesn't keep old weights in service
 /// indefinitely.
 const TAKEOVER_RATIO: f64 = 0.5;
 
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -71,8 +71,8 @@
     assert!((850.0..=1_050.0).contains(&three), "{three}");
 }
 
-/// Without digests, each router uses an equal part of the rate, so that a team gets no more than its
-/// rate from all routers together, and less if it uses only some.
+/// Without digests, each router uses an equal part of the rate, so that a team gets no more than
+/// its rate from all routers together, and less if it uses only some.
 #[test]
 fn a_rate_is_divided_equally_without_digests() {
     let one = admitted_rate(4, 1, false, 30);
--- a/crates/sesamegap-policy/tests/testsuite/load/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/mod.rs
@@ -23,7 +23,8 @@
     })
 }
 
-/// Traffic of four teams that at load 1.0 is about the capacity of six engines; team d sends little.
+/// Traffic of four teams that at load 1.0 is about the capacity of six engines; team d sends
+/// little.
 fn mix(load: f64) -> Vec<Kind> {
     vec![
         Kind::status("a", 10.0 * load),
--- a/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
@@ -66,8 +66,9 @@
         None
     }
 
-    /// Within the minimum residency, only versions older than the settings' may be dropped, and only
-    /// if the engine keeps a later version, as when an operator publishes twice in a row.
+    /// Within the minimum residency, only versions older than the one in the settings may be
+    /// dropped, and only if the engine keeps a later version, as when an operator publishes twice
+    /// in a row.
     fn stay_fault(&self, engine: &EngineView, order: &EngineOrder) -> Option<String> {
         let Wanted::Drop { model, below } = &order.wanted else {
             return None;
