--- a/crates/sesamegap-policy/src/load/limits/peers.rs
+++ b/crates/sesamegap-policy/src/load/limits/peers.rs
@@ -34,7 +34,7 @@
 }
 
 impl PeerDemand {
-    /// Replaces the previous digest of a peer. A new peer beyond [`MAX_PEERS`] is ignored.
+    /// Replaces the previous digest of a peer. A new peer beyond `MAX_PEERS` is ignored.
     pub fn record_digest(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&vm) {
             return;
@@ -54,7 +54,7 @@
     }
 
     /// Stops counting peers that have timed out and removes those past their retention. Does work
-    /// only five times per [`PEER_TIMEOUT`], so it may be called on each poll.
+    /// only five times per `PEER_TIMEOUT`, so it may be called on each poll.
     pub fn sweep(&mut self, now: Moment) {
         if now.since(self.swept) < PEER_TIMEOUT / 5 {
             return;
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -32,7 +32,7 @@
 
 /// Demand of a team at one priority.
 #[derive(Debug)]
-struct Tier {
+struct PriorityDemand {
     priority: u8,
     flow: DecayingRate,
     /// Accumulates the fraction of each request that fits; a request is within the share when
@@ -44,14 +44,14 @@
 #[derive(Debug, Default)]
 struct Demand {
     weight: f64,
-    tiers: Vec<Tier>,
+    tiers: Vec<PriorityDemand>,
 }
 
 impl Demand {
     fn add(&mut self, priority: u8, cost: f64, now: Moment) {
         let tier = self.tiers.iter().position(|t| t.priority == priority);
         let at = tier.unwrap_or_else(|| {
-            self.tiers.push(Tier {
+            self.tiers.push(PriorityDemand {
                 priority,
                 flow: DecayingRate::default(),
                 fit_credit: 0.0,
@@ -62,14 +62,14 @@
     }
 
     /// Demand at this priority or a higher one.
-    fn from(&self, priority: u8, now: Moment) -> f64 {
+    fn at_or_above(&self, priority: u8, now: Moment) -> f64 {
         let above = self.tiers.iter().filter(|t| t.priority >= priority);
         above.map(|tier| tier.flow.rate(now, DECAY_TIME)).sum()
     }
 
     /// Whether the next request of a priority fits into a share; updates `fit_credit`.
     fn fits(&mut self, priority: u8, share: f64, now: Moment) -> bool {
-        let all = self.from(priority, now);
+        let all = self.at_or_above(priority, now);
         let Some(tier) = self.tiers.iter_mut().find(|t| t.priority == priority) else {
             return true;
         };
@@ -99,9 +99,9 @@
     fn recompute(&mut self, rate: Option<f64>, now: Moment) {
         self.at = now;
         self.teams
-            .retain(|_, demand| demand.from(0, now) >= MIN_DEMAND);
+            .retain(|_, demand| demand.at_or_above(0, now) >= MIN_DEMAND);
         let demands = self.teams.values();
-        let mut demands: Vec<_> = demands.map(|d| (d.from(0, now), d.weight)).collect();
+        let mut demands: Vec<_> = demands.map(|d| (d.at_or_above(0, now), d.weight)).collect();
         let all: f64 = demands.iter().map(|(demand, _)| demand).sum();
         let rate = rate.filter(|rate| all > rate * OVERLOAD_RATIO);
         self.level = rate.and_then(|rate| level(&mut demands, rate));
@@ -152,30 +152,30 @@
             self.models
                 .insert(claim.model.clone(), ModelShares::default());
         }
-        let Some(table) = self.models.get_mut(claim.model) else {
+        let Some(shares) = self.models.get_mut(claim.model) else {
             return;
         };
-        if table.teams.len() >= MAX_TEAMS && !table.teams.contains_key(claim.team) {
+        if shares.teams.len() >= MAX_TEAMS && !shares.teams.contains_key(claim.team) {
             return;
         }
-        let demand = table.teams.entry(claim.team.clone()).or_default();
+        let demand = shares.teams.entry(claim.team.clone()).or_default();
         demand.weight = claim.weight;
         demand.add(claim.priority, claim.cost as f64, now);
     }
 
     /// Whether a request exceeds its team's share of this service rate.
     pub fn exceeds(&mut self, claim: &Claim<'_>, rate: Option<f64>, now: Moment) -> bool {
-        let Some(table) = self.models.get_mut(claim.model) else {
+        let Some(shares) = self.models.get_mut(claim.model) else {
             return false;
         };
-        if now.since(table.at) >= RECOMPUTE_INTERVAL {
-            table.recompute(rate, now);
+        if now.since(shares.at) >= RECOMPUTE_INTERVAL {
+            shares.recompute(rate, now);
         }
-        let Some(level) = table.level else {
+        let Some(level) = shares.level else {
             return false;
         };
         let share = level * claim.weight;
-        let demand = table.teams.get_mut(claim.team);
+        let demand = shares.teams.get_mut(claim.team);
         demand.is_some_and(|demand| !demand.fits(claim.priority, share, now))
     }
 
@@ -187,7 +187,7 @@
     /// Returns the levels as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let levels = self.models.iter();
-        let levels = levels.map(|(model, table)| (model.to_string(), table.level.into()));
+        let levels = levels.map(|(model, shares)| (model.to_string(), shares.level.into()));
         levels.collect::<serde_json::Map<_, _>>().into()
     }
 }
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -228,13 +228,13 @@
         let limit = engine.window.limit(self.routers);
         let reserve = (limit / RESERVE_DIVISOR).max(1);
         let usable = if highest { limit } else { limit - reserve };
-        let more = if highest { 2 } else { 1 };
+        let factor = if highest { 2 } else { 1 };
         let waiting = engine.backlog.waiting(self.routers);
-        if engine.flights >= usable || waiting >= MAX_WAITING * more {
+        if engine.flights >= usable || waiting >= MAX_WAITING * factor {
             return false;
         }
         let queued = engine.backlog.prefill(self.routers);
-        queued == 0 || queued + prefill.0 <= MAX_QUEUED_PREFILL * more as u64
+        queued == 0 || queued + prefill.0 <= MAX_QUEUED_PREFILL * factor as u64
     }
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Duration of a load, in milliseconds.
-const LOAD: u64 = 500;
+const LOAD_TIME: u64 = 500;
 
 /// Interval between calls of the planner, in milliseconds.
-const TICK: u64 = 250;
+const PLAN_INTERVAL: u64 = 250;
 
 /// Makes the planner violate one invariant by giving it a distorted view of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     }
 }
 
-pub struct Sim {
+pub struct Simulation {
     pub faults: Vec<String>,
     pub loads: u32,
     engines: Vec<EngineView>,
@@ -65,7 +65,7 @@
     last: Vec<EngineOrder>,
 }
 
-impl Sim {
+impl Simulation {
     pub fn new<const N: usize>(
         engines: usize,
         slots: usize,
@@ -124,8 +124,8 @@
     }
 
     pub fn run(&mut self, seconds: u64) {
-        for _ in 0..(seconds * 1_000).div_ceil(TICK) {
-            self.now += TICK;
+        for _ in 0..(seconds * 1_000).div_ceil(PLAN_INTERVAL) {
+            self.now += PLAN_INTERVAL;
             self.finish_loads();
             let orders = self.plan();
             for order in &orders {
@@ -170,7 +170,7 @@
                 if !held && !engine.loading {
                     engine.loading = true;
                     self.loads += 1;
-                    let load = (self.now + LOAD, model.clone(), *version);
+                    let load = (self.now + LOAD_TIME, model.clone(), *version);
                     self.loading.insert(n, load);
                 }
             }
--- a/crates/sesamegap-policy/tests/testsuite/shifting/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/mod.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use crate::support::cases;
-use fleet::{Defect, Sim};
+use fleet::{Defect, Simulation};
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_settings::ModelSpec;
 use sesamegap_wire::{Tokens, WeightsVersion};
@@ -52,12 +52,12 @@
     }
 }
 
-fn sim(slots: usize, defect: Option<Defect>) -> Sim {
+fn sim(slots: usize, defect: Option<Defect>) -> Simulation {
     let models = [("a", spec(2)), ("b", spec(1)), ("c", spec(0))];
-    Sim::new(9, slots, models, defect)
+    Simulation::new(9, slots, models, defect)
 }
 
-fn apply(sim: &mut Sim, step: &Step) {
+fn apply(sim: &mut Simulation, step: &Step) {
     match step {
         Step::Run(seconds) => sim.run(u64::from(*seconds) + 1),
         Step::Crash(engine) => sim.crash(usize::from(*engine)),
