--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -99,7 +99,7 @@
 /// A team with rate zero and weight zero is refused with a finite retry delay, and doesn't hold up
 /// the requests of other teams.
 #[test]
-fn a_team_without_a_rate_is_refused() {
+fn a_team_with_rate_zero_is_refused() {
     let mut settings = catalogue(&[("a", 1.0), ("none", 0.0)]);
     let team = "none".parse().expect("valid");
     settings.teams.insert(team, limited(0.0, 0));
