--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -1,26 +1,27 @@
-//! Cost of a request's way through the queue at three lengths, and of a poll without room.
+//! Measures queueing and dispatching a request at three queue lengths, and a poll without room.
 //!
-//! Load: eight teams, two classes and one model; what is sent is replaced, so that the length
-//! stays the same. Placing is left out; its cost is measured by itself.
+//! Uses eight teams, two priorities and one model. Each dispatched request is replaced, so that the
+//! queue length stays constant. Placement is excluded; `benches/placing.rs` measures it.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sesamegap_policy::Work;
-use sesamegap_policy::load::queue::{Item, Offer, Queue, Rank};
+use sesamegap_policy::load::queue::{DispatchOutcome, Queue, QueuedRequest, Rank};
 use sesamegap_wire::{Chain, Incarnation, Moment, RequestId, Tokens, WeightsVersion};
 use std::hint::black_box;
 use std::time::Duration;
 
 fn name<T: std::str::FromStr>(text: &str) -> T {
-    text.parse().unwrap_or_else(|_| panic!("{text} is no name"))
+    text.parse()
+        .unwrap_or_else(|_| panic!("{text} is not a valid name"))
 }
 
-fn item(seq: u64) -> Item {
+fn item(seq: u64) -> QueuedRequest {
     let deadline = Moment(1_000_000 + seq * 7_919 % 5_000_000);
     let tokens = Tokens(if seq.is_multiple_of(3) { 40_000 } else { 4_000 });
-    Item {
+    QueuedRequest {
         rank: Rank::new(seq.is_multiple_of(5), u8::from(seq.is_multiple_of(2))),
         deadline,
-        hopeless: deadline,
+        expires_at: deadline,
         weight: 1.0,
         cost: tokens.0,
         seq: 0,
@@ -54,7 +55,7 @@
     queue
 }
 
-fn through(c: &mut Criterion) {
+fn enqueue_and_serve(c: &mut Criterion) {
     let mut group = c.benchmark_group("queue");
     group.sample_size(20);
     group.measurement_time(Duration::from_secs(2));
@@ -66,21 +67,21 @@
                 queue.push(item(seq));
                 seq += 1;
                 let mut sent = false;
-                queue.room();
+                queue.notify_room();
                 queue.serve(|item| {
                     if std::mem::replace(&mut sent, true) {
-                        return Offer::Full;
+                        return DispatchOutcome::Full;
                     }
-                    Offer::Sent(black_box(item.cost))
+                    DispatchOutcome::Sent(black_box(item.cost))
                 });
             });
         });
         group.bench_function(BenchmarkId::new("no room", length), |b| {
             b.iter(|| {
-                queue.room();
+                queue.notify_room();
                 queue.serve(|item| {
                     black_box(item.cost);
-                    Offer::Full
+                    DispatchOutcome::Full
                 })
             });
         });
@@ -88,5 +89,5 @@
     group.finish();
 }
 
-criterion_group!(benches, through);
+criterion_group!(benches, enqueue_and_serve);
 criterion_main!(benches);
--- a/crates/sesamegap-policy/src/decider/admission.rs
+++ b/crates/sesamegap-policy/src/decider/admission.rs
@@ -6,8 +6,8 @@
 //! deadline passes.
 
 use super::{Decider, Decision, Refusal, RefusalCode, Work};
-use crate::load::limits::{Claim, spread};
-use crate::load::queue::{ANSWER_COST, Item, LEAST_WEIGHT, Rank};
+use crate::load::limits::{Claim, add_jitter};
+use crate::load::queue::{MIN_WEIGHT, OUTPUT_TOKEN_COST, QueuedRequest, Rank};
 use sesamegap_settings::{Catalogue, ClassSpec, TeamSpec};
 use sesamegap_wire::Moment;
 use std::sync::Arc;
@@ -64,7 +64,7 @@
     pub(super) fn admit_or_refuse(&mut self, work: Work, now: Moment) {
         let catalogue = Arc::clone(&self.catalogue);
         let Some(settings) = RequestSettings::of(&work, &catalogue) else {
-            let after = spread(DEFAULT_RETRY_DELAY, &mut self.rng);
+            let after = add_jitter(DEFAULT_RETRY_DELAY, &mut self.rng);
             self.refuse_after(&work, RefusalCode::Unknown, after);
             return;
         };
@@ -73,7 +73,7 @@
             _ => self.check_retry(&work, settings, now),
         };
         if let Err(rejection) = charged {
-            let after = spread(rejection.min_delay, &mut self.rng);
+            let after = add_jitter(rejection.min_delay, &mut self.rng);
             self.refuse_after(&work, rejection.code, after);
             return;
         }
@@ -117,10 +117,12 @@
         let left = (work.arrived + settings.class.deadline).since(now);
         let rank = Rank::new(false, settings.class.priority);
         let time_to_first_token = self.estimator.first_token_time(work, rank, now);
-        if time_to_first_token.is_some_and(|time| time.with(0.0) > left) || left.is_zero() {
+        if time_to_first_token.is_some_and(|time| time.mean_plus_deviations(0.0) > left)
+            || left.is_zero()
+        {
             return Err(Rejection::new(RefusalCode::Deadline, DEFAULT_RETRY_DELAY));
         }
-        if work.attempt > settings.class.retries || !self.budget.pay() {
+        if work.attempt > settings.class.retries || !self.budget.try_spend() {
             return Err(Rejection::new(
                 RefusalCode::RetryBudget,
                 DEFAULT_RETRY_DELAY,
@@ -132,15 +134,15 @@
     /// Refunds what a refused request was charged.
     fn refund(&mut self, work: &Work) {
         if work.attempt == 0 {
-            self.teams.give_back(&work.team, work.chain.tokens);
+            self.teams.refund(&work.team, work.chain.tokens);
         } else {
             self.budget.refund();
         }
     }
 
-    fn item(&mut self, work: Work, settings: RequestSettings<'_>, now: Moment) -> Item {
-        let cost = work.chain.tokens.0 + ANSWER_COST * work.answer.0;
-        let weight = settings.team.weight.max(LEAST_WEIGHT);
+    fn item(&mut self, work: Work, settings: RequestSettings<'_>, now: Moment) -> QueuedRequest {
+        let cost = work.chain.tokens.0 + OUTPUT_TOKEN_COST * work.answer.0;
+        let weight = settings.team.weight.max(MIN_WEIGHT);
         let claim = Claim {
             model: &work.model,
             team: &work.team,
@@ -149,7 +151,7 @@
             cost,
         };
         if work.attempt == 0 {
-            self.shares.arrive(&claim, now);
+            self.shares.record_demand(&claim, now);
         }
         let rate = self.estimator.rate(&work.model);
         let excess = self.shares.exceeds(&claim, rate, now);
@@ -157,12 +159,12 @@
         let rank = Rank::new(excess, settings.class.priority);
         let first = self.estimator.first_token_time(&work, rank, now);
         // The shortest first-token time that is still likely: one deviation below the mean.
-        let least = first.map_or(Duration::ZERO, |time| time.with(-1.0));
+        let least = first.map_or(Duration::ZERO, |time| time.mean_plus_deviations(-1.0));
         let left = deadline.since(now).saturating_sub(least);
-        Item {
+        QueuedRequest {
             rank,
             deadline,
-            hopeless: now + left,
+            expires_at: now + left,
             weight,
             cost,
             seq: 0,
@@ -180,7 +182,7 @@
     /// a variance that was observed under load.
     fn check_admission(
         &mut self,
-        item: &Item,
+        item: &QueuedRequest,
         class: &ClassSpec,
         now: Moment,
     ) -> Result<(), Rejection> {
@@ -206,7 +208,7 @@
     }
 
     /// Estimates the time from now to the first token, margin included.
-    fn time_to_first_token(&self, item: &Item, now: Moment) -> Duration {
+    fn time_to_first_token(&self, item: &QueuedRequest, now: Moment) -> Duration {
         let wait = self.estimator.queue_wait(&self.queue, item, item.cost, now);
         let margin = match wait.is_zero() {
             true => 0.0,
@@ -214,10 +216,10 @@
             false => OTHER_CLASSES_MARGIN,
         };
         let first = self.estimator.first_token_time(&item.work, item.rank, now);
-        wait + first.map_or(Duration::ZERO, |time| time.with(margin))
+        wait + first.map_or(Duration::ZERO, |time| time.mean_plus_deviations(margin))
     }
 
-    fn enqueue(&mut self, item: Item, now: Moment) {
+    fn enqueue(&mut self, item: QueuedRequest, now: Moment) {
         if item.work.attempt == 0 {
             self.budget.earn();
         }
@@ -227,7 +229,7 @@
 
     /// Refuses queued requests whose latest useful start time has passed.
     pub(super) fn expire(&mut self, now: Moment) {
-        while let Some(item) = self.queue.expired(now) {
+        while let Some(item) = self.queue.pop_expired(now) {
             let wait = self
                 .estimator
                 .queue_wait(&self.queue, &item, item.cost, now);
@@ -243,7 +245,7 @@
     /// since those before it wait less, and a different team each time, so that the cost does not
     /// grow with the queue.
     pub(super) fn sweep(&mut self, now: Moment) {
-        for item in self.queue.tails() {
+        for item in self.queue.latest_per_lane() {
             let wait = self.estimator.queue_wait(&self.queue, &item, 0, now);
             if wait > item.deadline.since(now).mul_f64(HOPELESS_FACTOR) {
                 self.queue.remove(&item.work.request);
@@ -255,7 +257,7 @@
     /// Refuses a request, with a retry delay reserved so that retries are spread over time.
     pub(super) fn refuse(
         &mut self,
-        item: &Item,
+        item: &QueuedRequest,
         code: RefusalCode,
         min_delay: Duration,
         now: Moment,
--- a/crates/sesamegap-policy/src/decider/builder.rs
+++ b/crates/sesamegap-policy/src/decider/builder.rs
@@ -4,7 +4,7 @@
 use super::attempts::AttemptTable;
 use super::estimator::WaitEstimator;
 use crate::load::Windows;
-use crate::load::limits::{Comebacks, RetryBudget, Shares, TeamLimits};
+use crate::load::limits::{RetryBudget, RetrySchedule, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::WindowKind;
 use crate::placing::{Placer, PrefixPlacer};
@@ -81,7 +81,7 @@
             teams: TeamLimits::default(),
             shares: Shares::default(),
             budget: RetryBudget::default(),
-            comebacks: Comebacks::default(),
+            comebacks: RetrySchedule::default(),
             highest_priority: 0,
             recheck_at: None,
             last_sweep: Moment::default(),
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -4,7 +4,7 @@
 use super::estimator::WaitEstimator;
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
-use crate::load::queue::{ANSWER_COST, Item, Offer, Rank};
+use crate::load::queue::{DispatchOutcome, OUTPUT_TOKEN_COST, QueuedRequest, Rank};
 use crate::placing::{Ask, Placed, Placement, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
@@ -37,14 +37,14 @@
     catalogue: &'a Catalogue,
     rng: &'a mut ChaCha12Rng,
     decisions: &'a mut Vec<Decision>,
-    refused: Vec<(Item, RefusalCode)>,
+    refused: Vec<(QueuedRequest, RefusalCode)>,
     recheck_at: Option<Moment>,
     highest_priority: u8,
     now: Moment,
 }
 
 impl Sender<'_> {
-    fn try_send(&mut self, item: &Item, hedge: Option<Moment>) -> Offer {
+    fn try_send(&mut self, item: &QueuedRequest, hedge: Option<Moment>) -> DispatchOutcome {
         let catalogue = self.catalogue;
         let Some(class) = catalogue.classes.get(&item.work.class) else {
             return self.drop_item(item, RefusalCode::Unknown);
@@ -59,7 +59,7 @@
             Placed::Full(wait) => {
                 let again = self.now + wait.clamp(ROOM_CHECK_BOUNDS.0, ROOM_CHECK_BOUNDS.1);
                 self.recheck_at = Some(self.recheck_at.map_or(again, |at| at.min(again)));
-                Offer::Full
+                DispatchOutcome::Full
             }
             Placed::At(at) if self.misses_deadline(item, &at) => {
                 self.drop_item(item, RefusalCode::Deadline)
@@ -71,9 +71,9 @@
                 self.decisions.push(Decision::Send {
                     request: item.work.request.clone(),
                     at,
-                    priority: item.rank.in_engine(),
+                    priority: item.rank.engine_priority(),
                 });
-                Offer::Sent(missing + ANSWER_COST * item.work.answer.0)
+                DispatchOutcome::Sent(missing + OUTPUT_TOKEN_COST * item.work.answer.0)
             }
         }
     }
@@ -84,17 +84,23 @@
     /// compute a prefill for an answer that nobody waits for. Since the expected wait is only an
     /// estimate, an engine on which this router has nothing in flight is used regardless: without
     /// answers from it, the estimate could never be corrected.
-    fn misses_deadline(&self, item: &Item, at: &Placement) -> bool {
+    fn misses_deadline(&self, item: &QueuedRequest, at: &Placement) -> bool {
         let wait = self.estimator.corrected(item.rank, at.wait);
         self.now + wait > item.deadline && self.windows.busy(&at.engine)
     }
 
-    fn drop_item(&mut self, item: &Item, code: RefusalCode) -> Offer {
+    fn drop_item(&mut self, item: &QueuedRequest, code: RefusalCode) -> DispatchOutcome {
         self.refused.push((item.clone(), code));
-        Offer::Dropped
+        DispatchOutcome::Dropped
     }
 
-    fn start_attempt(&mut self, ask: &Ask<'_>, item: &Item, at: &Placement, hedge: Option<Moment>) {
+    fn start_attempt(
+        &mut self,
+        ask: &Ask<'_>,
+        item: &QueuedRequest,
+        at: &Placement,
+        hedge: Option<Moment>,
+    ) {
         let (work, rank) = (&item.work, item.rank);
         self.placer.sent(ask, at, self.now);
         let missing = work.chain.tokens - at.cached;
@@ -112,7 +118,7 @@
         engine: at.engine.clone(),
         model: work.model.clone(),
         tokens: work.chain.tokens,
-        cost: work.chain.tokens.0 + ANSWER_COST * work.answer.0,
+        cost: work.chain.tokens.0 + OUTPUT_TOKEN_COST * work.answer.0,
         sent_at: now,
         rank,
         expected_first_token: at.wait,
@@ -143,7 +149,7 @@
         self.queue.serve(|item| {
             let work = &item.work;
             let time = estimator.first_token_time(work, item.rank, now);
-            let due = time.map(|time| now + time.with(HEDGE_AFTER));
+            let due = time.map(|time| now + time.mean_plus_deviations(HEDGE_AFTER));
             let hedge = due.filter(|_| work.repeatable && work.attempt == 0);
             sender.try_send(item, hedge)
         });
@@ -179,8 +185,8 @@
         let deadline = hedge.arrived + class.deadline;
         let rank = Rank::new(false, class.priority);
         let time = self.estimator.first_token_time(hedge, rank, now);
-        let too_late = time.is_some_and(|time| now + time.with(0.0) >= deadline);
-        if !class.hedge || too_late || !self.budget.pay() {
+        let too_late = time.is_some_and(|time| now + time.mean_plus_deviations(0.0) >= deadline);
+        if !class.hedge || too_late || !self.budget.try_spend() {
             return;
         }
         let ask = ask(hedge, class);
@@ -201,7 +207,7 @@
             request,
             hedge_id: hedge.request.clone(),
             at,
-            priority: rank.in_engine(),
+            priority: rank.engine_priority(),
         });
     }
 }
--- a/crates/sesamegap-policy/src/decider/estimator.rs
+++ b/crates/sesamegap-policy/src/decider/estimator.rs
@@ -2,8 +2,8 @@
 
 use super::Work;
 use super::attempts::Attempt;
-use crate::load::learned::{FirstTime, FirstTimes, Inflow, Paces};
-use crate::load::queue::{Item, Queue, Rank};
+use crate::load::learned::{AdmittedRates, ServiceRates, TtftEstimate, TtftEstimates};
+use crate::load::queue::{Queue, QueuedRequest, Rank};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::{ModelId, Moment};
 use std::collections::BTreeMap;
@@ -35,9 +35,9 @@
 /// Service rates and first-token times learned from this router's traffic.
 #[derive(Debug, Default)]
 pub struct WaitEstimator {
-    paces: Paces,
-    firsts: FirstTimes,
-    inflow: Inflow,
+    paces: ServiceRates,
+    firsts: TtftEstimates,
+    inflow: AdmittedRates,
     errors: BTreeMap<Rank, ExpectationError>,
 }
 
@@ -53,13 +53,19 @@
     /// The work queued ahead is assumed to be served at the rate that work of higher rank leaves
     /// over, because such work keeps arriving and is served first. `extra` is the request's own
     /// cost if it is not in the queue yet, and 0 otherwise.
-    pub fn queue_wait(&self, queue: &Queue, item: &Item, extra: u64, now: Moment) -> Duration {
+    pub fn queue_wait(
+        &self,
+        queue: &Queue,
+        item: &QueuedRequest,
+        extra: u64,
+        now: Moment,
+    ) -> Duration {
         let model = &item.work.model;
         let Some(rate) = self.paces.rate(model) else {
             return Duration::ZERO;
         };
         let team = &item.work.team;
-        let ahead = queue.ahead(item.rank, model, team, item.weight, extra);
+        let ahead = queue.cost_ahead(item.rank, model, team, item.weight, extra);
         if ahead <= 0.0 {
             return Duration::ZERO;
         }
@@ -75,12 +81,12 @@
     }
 
     /// Estimates the first-token time from requests of similar size and rank.
-    pub fn first_token_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<FirstTime> {
+    pub fn first_token_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<TtftEstimate> {
         self.firsts.get(&work.model, rank, work.chain.tokens, now)
     }
 
     /// Records an admitted request.
-    pub fn record_admitted(&mut self, item: &Item, now: Moment) {
+    pub fn record_admitted(&mut self, item: &QueuedRequest, now: Moment) {
         self.inflow.add(&item.work.model, item.rank, item.cost, now);
     }
 
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -22,7 +22,7 @@
 pub use work::{Decision, Observation, Refusal, RefusalCode, Work};
 
 use crate::load::Windows;
-use crate::load::limits::{Comebacks, RetryBudget, Shares, TeamLimits};
+use crate::load::limits::{RetryBudget, RetrySchedule, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::Signal;
 use crate::placing::{Ask, Need, Placer};
@@ -53,7 +53,7 @@
     teams: TeamLimits,
     shares: Shares,
     budget: RetryBudget,
-    comebacks: Comebacks,
+    comebacks: RetrySchedule,
     highest_priority: u8,
     recheck_at: Option<Moment>,
     last_sweep: Moment,
@@ -75,7 +75,7 @@
             Observation::Report(engine, report) => {
                 self.placer.report(&engine, &report, now);
                 self.windows.report(&engine, &report, now);
-                self.queue.room();
+                self.queue.notify_room();
             }
             Observation::Cache(engine, batch) => self.cache(engine, &batch, now),
             Observation::Listing(engine, listing) => self.placer.listing(&engine, &listing, now),
@@ -85,8 +85,8 @@
             Observation::EngineFailed(engine) => self.placer.failed(&engine, now),
             Observation::Cancelled(request) => self.cancelled(&request),
             Observation::Routers(count) => {
-                self.teams.routers(count);
-                self.windows.routers(self.teams.shared_by());
+                self.teams.set_routers(count);
+                self.windows.set_routers(self.teams.shared_by());
             }
             Observation::Peer(vm, digest) => self.peer(vm, &digest, now),
             Observation::Warm(warmth) => self.placer.warm(&warmth, now),
@@ -103,7 +103,7 @@
         }
         if self.recheck_at.is_some_and(|at| at <= now) {
             self.recheck_at = None;
-            self.queue.room();
+            self.queue.notify_room();
         }
         self.dispatch(now);
         self.send_due_hedges(now);
@@ -162,14 +162,14 @@
             .keep(|model| catalogue.models.contains_key(model));
         self.estimator.retain_models(&catalogue);
         self.catalogue = catalogue;
-        self.queue.room();
+        self.queue.notify_room();
     }
 
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
         self.placer.fleet(engines, now);
         let known: rustc_hash::FxHashSet<_> = engines.iter().map(|entry| &entry.id).collect();
         self.windows.keep(|id| known.contains(id));
-        self.queue.room();
+        self.queue.notify_room();
     }
 
     fn cache(&mut self, engine: UpstreamId, batch: &CacheBatch, now: Moment) {
@@ -195,7 +195,7 @@
         self.estimator
             .record_first_token(attempt, time.min(attempt.late_after * 2), now);
         self.windows.computed(request, signal, now);
-        self.queue.room();
+        self.queue.notify_room();
     }
 
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment) {
@@ -209,7 +209,7 @@
             }
         }
         if self.windows.release(request) {
-            self.queue.room();
+            self.queue.notify_room();
         }
     }
 
@@ -220,8 +220,8 @@
 
     fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
         self.placer.peer(vm.as_str(), digest, now);
-        self.teams.peer(vm, digest, now);
-        self.windows.routers(self.teams.shared_by());
+        self.teams.record_digest(vm, digest, now);
+        self.windows.set_routers(self.teams.shared_by());
     }
 
     /// Finishes attempts whose end was never reported.
--- a/crates/sesamegap-policy/src/load/learned/mod.rs
+++ b/crates/sesamegap-policy/src/load/learned/mod.rs
@@ -1,11 +1,12 @@
-//! What a router learns from its own traffic: service rates and first-token times.
+//! Estimates that a router derives from its own traffic: service rates, admitted work and times
+//! to first token.
 
-mod first;
-mod flow;
-mod inflow;
-mod pace;
+mod admitted_rates;
+mod decaying_rate;
+mod service_rate;
+mod ttft;
 
-pub use first::{FirstTime, FirstTimes};
-pub use flow::Flow;
-pub use inflow::Inflow;
-pub use pace::{Pace, Paces};
+pub use admitted_rates::AdmittedRates;
+pub use decaying_rate::DecayingRate;
+pub use service_rate::{ServiceRate, ServiceRates};
+pub use ttft::{TtftEstimate, TtftEstimates};
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -1,111 +1,114 @@
-//! Which work is within its team's fair share.
+//! Weighted max-min fair shares of each model's service rate between teams.
 //!
-//! Load: saturation with demand skewed between teams. Harm prevented: a team that asks for little
-//! is refused because a heavier one asks for much. The service rate of a model is filled up
-//! evenly: each team gets its demand or its weight times one common level, whichever is less. A
-//! team above the level keeps its highest classes within its share, as far as they fit; of the
-//! class at the edge a part fits, and the rest is excess. Demand counts what arrives, refused or not, so that refusing a team does not
-//! make it look light.
-
-use crate::load::learned::Flow;
+//! Under saturation with skewed demand, a team with little demand must not be refused because of
+//! a team with much. Each team gets the lesser of its demand and its weight times a common level,
+//! which is chosen so that the service rate is used up. A team above the level has its highest
+//! priorities counted within its share as far as they fit, then a fraction of the next priority;
+//! the rest is excess. Demand includes refused requests, so that refusing a team does not lower
+//! its measured demand.
+
+use crate::load::learned::DecayingRate;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, Moment, TeamId};
 use std::time::Duration;
 
-/// Age at which demand has lost about two thirds of its weight: long against single requests,
-/// of which a light team may send one in some seconds to one router.
-const MEMORY: Duration = Duration::from_secs(20);
+/// Time constant of the exponential decay of demand. It is long compared to the interval between
+/// requests, as a light team may send one router a single request in several seconds.
+const DECAY_TIME: Duration = Duration::from_secs(20);
 
-/// How often the common level is worked out again.
-const PERIOD: Duration = Duration::from_millis(250);
+/// Interval at which the common level is recomputed.
+const RECOMPUTE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Demand by service rate from which there is not enough for all. Both are estimates from a few
-/// requests a second; a smaller excess is left to the queue, which is fair as well.
-const OVERLOAD: f64 = 1.25;
+/// Ratio of demand to service rate above which shares are enforced. Both are estimates from a few
+/// requests per second; a smaller overload is left to the queue, which is fair as well.
+const OVERLOAD_RATIO: f64 = 1.25;
 
-/// Teams tracked for one model; more than one router can serve within the memory.
-const MOST_TEAMS: usize = 8_192;
+/// Maximum number of teams tracked per model; more than one router can serve within
+/// [`DECAY_TIME`].
+const MAX_TEAMS: usize = 8_192;
 
-/// Demand below which a team is forgotten, in cost a second.
-const LEAST: f64 = 1.0;
+/// Demand below which a team is no longer tracked, in cost per second.
+const MIN_DEMAND: f64 = 1.0;
 
-/// Demand of one priority.
+/// Demand of a team at one priority.
 #[derive(Debug)]
-struct Tier {
+struct PriorityDemand {
     priority: u8,
-    flow: Flow,
-    /// Adds up the parts of requests that fit, until one fits whole.
-    fitted: f64,
+    flow: DecayingRate,
+    /// Accumulates the fraction of each request that fits; a request is within the share when
+    /// this reaches 1.
+    fit_credit: f64,
 }
 
 /// A team's demand by priority.
 #[derive(Debug, Default)]
 struct Demand {
     weight: f64,
-    tiers: Vec<Tier>,
+    tiers: Vec<PriorityDemand>,
 }
 
 impl Demand {
     fn add(&mut self, priority: u8, cost: f64, now: Moment) {
         let tier = self.tiers.iter().position(|t| t.priority == priority);
         let at = tier.unwrap_or_else(|| {
-            self.tiers.push(Tier {
+            self.tiers.push(PriorityDemand {
                 priority,
-                flow: Flow::default(),
-                fitted: 0.0,
+                flow: DecayingRate::default(),
+                fit_credit: 0.0,
             });
             self.tiers.len() - 1
         });
-        self.tiers[at].flow.add(cost, now, MEMORY);
+        self.tiers[at].flow.add(cost, now, DECAY_TIME);
     }
 
-    /// Demand at this priority and above.
-    fn from(&self, priority: u8, now: Moment) -> f64 {
+    /// Demand at this priority or a higher one.
+    fn at_or_above(&self, priority: u8, now: Moment) -> f64 {
         let above = self.tiers.iter().filter(|t| t.priority >= priority);
-        above.map(|tier| tier.flow.rate(now, MEMORY)).sum()
+        above.map(|tier| tier.flow.rate(now, DECAY_TIME)).sum()
     }
 
-    /// Whether the next request of a priority fits into a share.
+    /// Whether the next request of a priority fits into a share; updates `fit_credit`.
     fn fits(&mut self, priority: u8, share: f64, now: Moment) -> bool {
-        let all = self.from(priority, now);
+        let all = self.at_or_above(priority, now);
         let Some(tier) = self.tiers.iter_mut().find(|t| t.priority == priority) else {
             return true;
         };
-        let own = tier.flow.rate(now, MEMORY);
+        let own = tier.flow.rate(now, DECAY_TIME);
         if all <= share || own <= 0.0 {
             return true;
         }
-        tier.fitted += ((share - (all - own)) / own).clamp(0.0, 1.0);
-        let fits = tier.fitted >= 1.0;
+        tier.fit_credit += ((share - (all - own)) / own).clamp(0.0, 1.0);
+        let fits = tier.fit_credit >= 1.0;
         if fits {
-            tier.fitted -= 1.0;
+            tier.fit_credit -= 1.0;
         }
         fits
     }
 }
 
 #[derive(Debug, Default)]
-struct Table {
+struct ModelShares {
     teams: FxHashMap<TeamId, Demand>,
-    /// Demand by weight up to which work is within its share; none while there is enough.
+    /// Demand per weight up to which work is within its share; `None` without overload.
     level: Option<f64>,
     at: Moment,
 }
 
-impl Table {
-    /// Works out the common level for a service rate.
-    fn fill(&mut self, rate: Option<f64>, now: Moment) {
+impl ModelShares {
+    /// Recomputes the common level for a service rate and drops teams without demand.
+    fn recompute(&mut self, rate: Option<f64>, now: Moment) {
         self.at = now;
-        self.teams.retain(|_, demand| demand.from(0, now) >= LEAST);
+        self.teams
+            .retain(|_, demand| demand.at_or_above(0, now) >= MIN_DEMAND);
         let demands = self.teams.values();
-        let mut demands: Vec<_> = demands.map(|d| (d.from(0, now), d.weight)).collect();
+        let mut demands: Vec<_> = demands.map(|d| (d.at_or_above(0, now), d.weight)).collect();
         let all: f64 = demands.iter().map(|(demand, _)| demand).sum();
-        let rate = rate.filter(|rate| all > rate * OVERLOAD);
+        let rate = rate.filter(|rate| all > rate * OVERLOAD_RATIO);
         self.level = rate.and_then(|rate| level(&mut demands, rate));
     }
 }
 
-/// The level at which a rate is used up, if demand exceeds it.
+/// Demand per weight at which a service rate is used up; `None` if demand doesn't exceed it.
 fn level(demands: &mut [(f64, f64)], rate: f64) -> Option<f64> {
     demands.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
     let mut left = rate;
@@ -124,66 +127,67 @@
 /// Fair shares by model.
 #[derive(Debug, Default)]
 pub struct Shares {
-    models: FxHashMap<ModelId, Table>,
+    models: FxHashMap<ModelId, ModelShares>,
 }
 
-/// One request as shares see it.
+/// The properties of a request that decide its share.
 #[derive(Debug)]
 pub struct Claim<'a> {
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a ModelId,
-    /// Team that asks.
+    /// Requesting team.
     pub team: &'a TeamId,
-    /// Its weight.
+    /// Weight of the team.
     pub weight: f64,
-    /// The request's priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// Its cost.
+    /// Cost of the request.
     pub cost: u64,
 }
 
 impl Shares {
-    /// Counts a request's demand.
-    pub fn arrive(&mut self, claim: &Claim<'_>, now: Moment) {
+    /// Adds a request to its team's demand.
+    pub fn record_demand(&mut self, claim: &Claim<'_>, now: Moment) {
         if !self.models.contains_key(claim.model) {
-            self.models.insert(claim.model.clone(), Table::default());
+            self.models
+                .insert(claim.model.clone(), ModelShares::default());
         }
-        let Some(table) = self.models.get_mut(claim.model) else {
+        let Some(shares) = self.models.get_mut(claim.model) else {
             return;
         };
-        if table.teams.len() >= MOST_TEAMS && !table.teams.contains_key(claim.team) {
+        if shares.teams.len() >= MAX_TEAMS && !shares.teams.contains_key(claim.team) {
             return;
         }
-        let demand = table.teams.entry(claim.team.clone()).or_default();
+        let demand = shares.teams.entry(claim.team.clone()).or_default();
         demand.weight = claim.weight;
         demand.add(claim.priority, claim.cost as f64, now);
     }
 
-    /// Whether a request exceeds its team's share at this service rate.
+    /// Whether a request exceeds its team's share of this service rate.
     pub fn exceeds(&mut self, claim: &Claim<'_>, rate: Option<f64>, now: Moment) -> bool {
-        let Some(table) = self.models.get_mut(claim.model) else {
+        let Some(shares) = self.models.get_mut(claim.model) else {
             return false;
         };
-        if now.since(table.at) >= PERIOD {
-            table.fill(rate, now);
+        if now.since(shares.at) >= RECOMPUTE_INTERVAL {
+            shares.recompute(rate, now);
         }
-        let Some(level) = table.level else {
+        let Some(level) = shares.level else {
             return false;
         };
         let share = level * claim.weight;
-        let demand = table.teams.get_mut(claim.team);
+        let demand = shares.teams.get_mut(claim.team);
         demand.is_some_and(|demand| !demand.fits(claim.priority, share, now))
     }
 
-    /// Keeps to the models that settings know.
+    /// Drops the shares of models that are not in the settings.
     pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
 
-    /// Describes the levels for a dump.
+    /// Returns the levels as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
         let levels = self.models.iter();
-        let levels = levels.map(|(model, table)| (model.to_string(), table.level.into()));
+        let levels = levels.map(|(model, shares)| (model.to_string(), shares.level.into()));
         levels.collect::<serde_json::Map<_, _>>().into()
     }
 }
--- a/crates/sesamegap-policy/src/load/queue/level.rs
+++ b/crates/sesamegap-policy/src/load/queue/level.rs
@@ -1,107 +1,113 @@
-//! All work of one rank, and who has most of it.
+//! All queued requests of one rank, with the queued cost per team and model.
 
-use super::lane::{LEAST_WEIGHT, Lane};
-use super::{Item, LaneKey, TRIES};
+use super::lane::{Lane, MIN_WEIGHT};
+use super::{LaneKey, MAX_TRIES_WITHOUT_ROOM, QueuedRequest};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{ModelId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a team has waiting in a level.
+/// Queued cost and weight of a team in a level.
 #[derive(Debug, Clone, Copy, Default)]
-struct Load {
+struct TeamLoad {
     cost: u64,
     weight: f64,
 }
 
-impl Load {
-    /// Cost by weight, the measure by which one team is heavier than another.
-    fn heft(self) -> u64 {
-        heft(self.cost, self.weight)
+impl TeamLoad {
+    /// Queued cost divided by weight, by which teams are compared.
+    fn weighted_cost(self) -> u64 {
+        weighted_cost(self.cost, self.weight)
     }
 }
 
-/// Cost by weight.
+/// Cost divided by weight.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a float cast saturates and costs are never below zero"
 )]
-pub fn heft(cost: u64, weight: f64) -> u64 {
-    (cost as f64 / weight.max(LEAST_WEIGHT)) as u64
+pub fn weighted_cost(cost: u64, weight: f64) -> u64 {
+    (cost as f64 / weight.max(MIN_WEIGHT)) as u64
 }
 
-/// Work of one rank.
+/// Queued requests of one rank.
 #[derive(Debug, Default)]
 pub struct Level {
-    /// Work by the engines it wants.
+    /// Requests by model, weights version and prompt length.
     pub lanes: BTreeMap<LaneKey, Lane>,
-    loads: FxHashMap<TeamId, Load>,
-    heavy: BTreeSet<(u64, TeamId)>,
+    loads: FxHashMap<TeamId, TeamLoad>,
+    by_weighted_cost: BTreeSet<(u64, TeamId)>,
     models: FxHashMap<ModelId, u64>,
     weight: f64,
 }
 
 impl Level {
-    /// Adds an item.
-    pub fn push(&mut self, key: &LaneKey, item: Item) {
-        self.note(&item, true);
+    /// Adds a request.
+    pub fn push(&mut self, key: &LaneKey, item: QueuedRequest) {
+        self.update_sums(&item, true);
         if let Some(lane) = self.lanes.get_mut(key) {
             lane.push(item);
             return;
         }
         let lane = self.lanes.entry(key.clone()).or_default();
-        lane.tries = TRIES;
+        lane.tries = MAX_TRIES_WITHOUT_ROOM;
         lane.push(item);
     }
 
-    /// Takes an item out.
-    pub fn remove(&mut self, key: &LaneKey, team: &TeamId, due: super::Due) -> Option<Item> {
+    /// Removes a request.
+    pub fn remove(
+        &mut self,
+        key: &LaneKey,
+        team: &TeamId,
+        due: super::Due,
+    ) -> Option<QueuedRequest> {
         let lane = self.lanes.get_mut(key)?;
         let item = lane.remove(team, due)?;
         if lane.is_empty() {
             self.lanes.remove(key);
         }
-        self.note(&item, false);
+        self.update_sums(&item, false);
         Some(item)
     }
 
-    /// Cost waiting for a model.
+    /// Cost queued for a model.
     pub fn cost(&self, model: &ModelId) -> u64 {
         self.models.get(model).copied().unwrap_or(0)
     }
 
-    /// Cost that a team has waiting, all models together.
+    /// Cost that a team has queued, over all models.
     pub fn load(&self, team: &TeamId) -> u64 {
         self.loads.get(team).map_or(0, |load| load.cost)
     }
 
-    /// Weights of all teams with work here.
+    /// Sum of the weights of teams with requests here.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// The team with most waiting for its weight, and how much that is.
+    /// The team with the highest queued cost per weight, and that value.
     pub fn heaviest(&self) -> Option<(u64, &TeamId)> {
-        let (heft, team) = self.heavy.last()?;
-        Some((*heft, team))
+        let (weighted_cost, team) = self.by_weighted_cost.last()?;
+        Some((*weighted_cost, team))
     }
 
-    /// The latest due item of a team, from the lane in which it has most.
-    pub fn tail(&self, team: &TeamId) -> Option<&Item> {
-        let tails = self.lanes.values().filter_map(|lane| lane.tail(team));
-        let (_, item) = tails.max_by_key(|(cost, _)| *cost)?;
+    /// The request of a team with the latest deadline, from the lane with most of the team's cost.
+    pub fn latest(&self, team: &TeamId) -> Option<&QueuedRequest> {
+        let latest = self.lanes.values().filter_map(|lane| lane.latest(team));
+        let (_, item) = latest.max_by_key(|(cost, _)| *cost)?;
         Some(item)
     }
 
-    /// Keeps the sums in step with the lanes.
-    fn note(&mut self, item: &Item, added: bool) {
+    /// Updates the sums after a request was added or removed.
+    fn update_sums(&mut self, item: &QueuedRequest, added: bool) {
         let team = &item.work.team;
         let load = self.loads.entry(team.clone()).or_default();
-        self.heavy.remove(&(load.heft(), team.clone()));
+        self.by_weighted_cost
+            .remove(&(load.weighted_cost(), team.clone()));
         self.weight -= load.weight;
         let model = self.models.entry(item.work.model.clone()).or_default();
         if added {
-            load.weight = item.weight.max(LEAST_WEIGHT);
+            load.weight = item.weight.max(MIN_WEIGHT);
             load.cost += item.cost;
             *model += item.cost;
         } else {
@@ -115,10 +121,11 @@
             self.loads.remove(team);
         } else {
             self.weight += load.weight;
-            self.heavy.insert((load.heft(), team.clone()));
+            self.by_weighted_cost
+                .insert((load.weighted_cost(), team.clone()));
         }
         if self.loads.is_empty() {
-            // Rounding errors of the running sum end here.
+            // Resets the rounding errors that the running sum accumulates.
             self.weight = 0.0;
         }
     }
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -1,22 +1,22 @@
-//! The queue against a sorted list that is searched from end to end each time.
+//! Compares the queue with a reference implementation that searches a plain list each time.
 
-mod oracle;
+mod reference;
 
 use crate::support::{at, cases, millis, request, work};
-use oracle::{Flaw, Line, List, Real};
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::load::queue::{Item, Rank, TRIES};
+use reference::{Defect, QueueModel, QueueUnderTest, ReferenceQueue};
+use sesamegap_policy::load::queue::{MAX_TRIES_WITHOUT_ROOM, QueuedRequest, Rank};
 
-/// What may happen to a queue.
+/// An operation on a queue.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A request comes: team, priority, time to its deadline, long or not.
+    /// Pushes a request: team, priority, time to its deadline, whether it is long.
     Push(u8, u8, u8, bool),
-    /// A caller is gone.
+    /// Cancels a request.
     Cancel(u8),
-    /// Engines have room for so many requests.
+    /// Serves up to this many requests.
     Serve(u8),
-    /// Time passes.
+    /// Advances the time.
     Pass(u8),
 }
 
@@ -34,7 +34,7 @@
 
 const TEAMS: [(&str, f64); 4] = [("a", 1.0), ("b", 2.0), ("c", 0.5), ("d", 1.0)];
 
-fn item(seq: u64, step: (u8, u8, u8, bool), now: u64) -> Item {
+fn item(seq: u64, step: (u8, u8, u8, bool), now: u64) -> QueuedRequest {
     let (team, priority, patience, long) = step;
     let (name, weight) = TEAMS[usize::from(team) % TEAMS.len()];
     let tokens = if long {
@@ -43,10 +43,10 @@
         1_000 + u64::from(team) * 16
     };
     let deadline = at(now) + millis(100 + u64::from(patience) * 40);
-    Item {
+    QueuedRequest {
         rank: Rank::new(priority.is_multiple_of(7), priority % 3),
         deadline,
-        hopeless: deadline,
+        expires_at: deadline,
         weight,
         cost: tokens * 8,
         seq: 0,
@@ -54,86 +54,87 @@
     }
 }
 
-/// Runs the same steps on both; says where they part.
-fn differ(seed: u64, real: &mut dyn Line) -> Option<String> {
+/// Runs the same steps on the given queue and the reference; returns the first difference.
+fn find_difference(seed: u64, queue: &mut dyn QueueModel) -> Option<String> {
     let mut gen_ = Gen::from_size_and_seed(120, seed);
-    let mut list = List::default();
+    let mut reference = ReferenceQueue::default();
     let mut now = 0;
     for (n, step) in Vec::<Step>::arbitrary(&mut gen_).into_iter().enumerate() {
         let (left, right) = match step {
             Step::Push(team, priority, patience, long) => {
                 let item = item(n as u64, (team, priority, patience, long), now);
-                real.push(item.clone());
-                list.push(item);
+                queue.push(item.clone());
+                reference.push(item);
                 continue;
             }
             Step::Cancel(which) => {
                 let gone = request(u64::from(which));
-                (real.cancel(&gone), list.cancel(&gone))
+                (queue.cancel(&gone), reference.cancel(&gone))
             }
-            Step::Serve(room) => (real.serve(room), list.serve(room)),
+            Step::Serve(room) => (queue.serve(room), reference.serve(room)),
             Step::Pass(time) => {
                 now += u64::from(time);
-                (real.expire(at(now)), list.expire(at(now)))
+                (queue.expire(at(now)), reference.expire(at(now)))
             }
         };
         if left != right {
             return Some(format!(
-                "seed {seed}, step {n} {step:?}: {left:?}, list {right:?}"
+                "seed {seed}, step {n} {step:?}: {left:?}, reference {right:?}"
             ));
         }
     }
-    let (left, right) = (real.serve(u8::MAX), list.serve(u8::MAX));
-    (left != right).then(|| format!("seed {seed}, at the end: {left:?}, list {right:?}"))
+    let (left, right) = (queue.serve(u8::MAX), reference.serve(u8::MAX));
+    (left != right).then(|| format!("seed {seed}, at the end: {left:?}, reference {right:?}"))
 }
 
-/// The queue keeps sums, places and rings in step; if one fell out, a request would be served
-/// in the wrong order, twice, or never, and its caller would wait for ever.
+/// Guards against sums, positions and rings of the queue that get out of sync: a request would be
+/// served out of order, twice, or never, and its caller would wait forever.
 #[test]
-fn serves_as_a_sorted_list_does() {
+fn agrees_with_the_reference_queue() {
     for seed in 0..cases(200) {
-        assert_eq!(differ(seed, &mut Real::default()), None);
+        assert_eq!(find_difference(seed, &mut QueueUnderTest::default()), None);
     }
 }
 
-/// Each flaw is a queue that forgets one rule. If the list agreed with one, the test above could
-/// not fail.
+/// Each defect is a queue that violates one rule. If the reference didn't detect it, the test above
+/// couldn't fail for that rule.
 #[test]
-fn the_list_catches_each_flaw() {
-    for flaw in Flaw::ALL {
-        let caught = (0..100).any(|seed| differ(seed, &mut Real::with(flaw)).is_some());
-        assert!(caught, "{flaw:?} went unnoticed");
+fn the_reference_queue_detects_each_defect() {
+    for defect in Defect::ALL {
+        let caught =
+            (0..100).any(|seed| find_difference(seed, &mut QueueUnderTest::with(defect)).is_some());
+        assert!(caught, "{defect:?} was not detected");
     }
 }
 
-/// Thousands wait and no engine has room. Each poll that looked at all of them would cost the
-/// decider milliseconds, and the more there is to do the less would get done.
+/// With thousands of requests queued and no room, a poll that looked at each of them would cost the
+/// decider milliseconds and lower its throughput as load grows.
 #[test]
 fn a_poll_without_room_tries_a_few() {
-    let mut real = Real::default();
+    let mut queue = QueueUnderTest::default();
     for seq in 0..8_000 {
-        real.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
+        queue.push(item(seq, (seq.to_le_bytes()[0], 1, 200, false), 0));
     }
-    assert_eq!(real.tries(), TRIES as usize);
-    assert_eq!(real.tries(), 0, "tried again without a sign of room");
-    real.queue.room();
-    assert_eq!(real.tries(), TRIES as usize);
+    assert_eq!(queue.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
+    assert_eq!(queue.tries(), 0, "tried again without notify_room");
+    queue.queue.notify_room();
+    assert_eq!(queue.tries(), MAX_TRIES_WITHOUT_ROOM as usize);
 }
 
-/// The queue is full of a heavy team's work. A light team's request pushes out the heavy one's
-/// latest; one more of the heavy team's is refused itself.
+/// The queue is full of requests of a heavy team. A request of a light team evicts the heavy team's
+/// requests with the latest deadlines; another request of the heavy team doesn't fit.
 #[test]
-fn newcomers_push_out_the_heaviest() {
-    let mut real = Real::default();
+fn new_requests_evict_the_heaviest_team() {
+    let mut queue = QueueUnderTest::default();
     for seq in 0..100 {
-        real.push(item(seq, (0, 1, 200, false), 0));
+        queue.push(item(seq, (0, 1, 200, false), 0));
     }
-    let full = real.queue.tokens(&"check".parse().expect("valid"));
+    let full = queue.queue.tokens(&"check".parse().expect("valid"));
     let heavy = item(200, (0, 1, 100, false), 0);
-    assert_eq!(real.queue.make_room(&heavy, full), None);
-    assert_eq!(real.queue.len(), 100);
+    assert_eq!(queue.queue.make_room(&heavy, full), None);
+    assert_eq!(queue.queue.len(), 100);
     let light = item(201, (1, 1, 100, false), 0);
-    let victims = real.queue.make_room(&light, full).expect("room");
+    let victims = queue.queue.make_room(&light, full).expect("room");
     assert!(
         victims
             .iter()
@@ -143,5 +144,5 @@
         victims.first().map(|victim| victim.work.request.seq),
         Some(99)
     );
-    assert_eq!(real.queue.len(), 100 - victims.len());
+    assert_eq!(queue.queue.len(), 100 - victims.len());
 }
--- a/crates/sesamegap-policy/tests/testsuite/shifting/judge.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
@@ -1,21 +1,21 @@
-//! What no order may do, said without the planner's own code.
+//! Checks orders against the planner's invariants, independently of the planner's code.
 
-use sesamegap_policy::shifting::{EngineOrder, EngineView, LEAST_STAY, MOST_LOADS};
+use sesamegap_policy::shifting::{EngineOrder, EngineView, MAX_CONCURRENT_LOADS, MIN_RESIDENCY};
 use sesamegap_settings::ModelSpec;
 use sesamegap_wire::engine::Wanted;
 use sesamegap_wire::{ModelId, Moment};
 use std::collections::BTreeMap;
 
-/// The fleet at the moment of an order, as it truly is.
-pub struct Judge<'a> {
+/// The actual state of the fleet when an order is issued.
+pub struct OrderChecker<'a> {
     pub engines: &'a [EngineView],
     pub models: &'a BTreeMap<ModelId, ModelSpec>,
     pub demand: &'a BTreeMap<ModelId, f64>,
     pub now: Moment,
 }
 
-impl Judge<'_> {
-    /// Says what is wrong with an order, if anything.
+impl OrderChecker<'_> {
+    /// Returns the invariant that an order violates, if any.
     pub fn fault(&self, order: &EngineOrder) -> Option<String> {
         let engine = self.engines.iter().find(|e| e.id == order.engine)?;
         match &order.wanted {
@@ -41,15 +41,15 @@
 
     fn load_fault(&self, engine: &EngineView, model: &ModelId) -> Option<String> {
         let loading: Vec<_> = self.engines.iter().filter(|e| e.loading).collect();
-        if loading.len() >= MOST_LOADS {
-            return Some(format!("a load too many on {}", engine.id));
+        if loading.len() >= MAX_CONCURRENT_LOADS {
+            return Some(format!("too many concurrent loads, at {}", engine.id));
         }
         if engine.loaded.len() >= engine.slots {
             return Some(format!("{} has no room for {model}", engine.id));
         }
         let urgent = !self.engines.iter().any(|e| !e.leaving && e.holds(model));
         let elsewhere = loading.iter().any(|e| e.domain != engine.domain);
-        (elsewhere && !urgent).then(|| format!("two domains at once, at {}", engine.id))
+        (elsewhere && !urgent).then(|| format!("two domains changed at once, at {}", engine.id))
     }
 
     fn drop_fault(&self, engine: &EngineView, model: &ModelId, rest: bool) -> Option<String> {
@@ -66,8 +66,9 @@
         None
     }
 
-    /// What stays less than a minute may only be weights that settings have left behind, and only
-    /// where a later version of the model goes on being served: an operator published twice.
+    /// Within the minimum residency, only versions older than the one in the settings may be
+    /// dropped, and only if the engine keeps a later version, as when an operator publishes twice
+    /// in a row.
     fn stay_fault(&self, engine: &EngineView, order: &EngineOrder) -> Option<String> {
         let Wanted::Drop { model, below } = &order.wanted else {
             return None;
@@ -77,7 +78,7 @@
         let behind = wanted.is_some_and(|wanted| *below <= wanted);
         let mut held = engine.loaded.iter();
         let rest = held.any(|(held, version)| held == model && version >= below);
-        let allowed = stayed >= LEAST_STAY || (behind && rest);
+        let allowed = stayed >= MIN_RESIDENCY || (behind && rest);
         (!allowed).then(|| format!("{} changed again after {stayed:?}", engine.id))
     }
 }
