--- a/crates/sesamegap-policy/src/routing/belief/contact.rs
+++ b/crates/sesamegap-policy/src/routing/belief/contact.rs
@@ -1,57 +1,59 @@
-//! Whether the store of the fleet list is in reach.
+//! Whether the store that holds the fleet list is reachable.
 
 use sesamegap_wire::Moment;
 use std::time::Duration;
 
-/// How long another VM's word shows that the store answers: with eight readers one comes several times
-/// a second.
-const TOLD: Duration = Duration::from_secs(1);
+/// How long a peer's report that the store answers stays valid. With eight readers, several such reports
+/// arrive per second.
+const PEER_REPORT_VALIDITY: Duration = Duration::from_secs(1);
 
-/// What is known of the store's reach.
+/// What this VM knows about the store's reachability.
 ///
-/// A store that turns this VM away and serves others is not away: upstreams reach it too.
+/// A store that rejects this VM but serves others counts as reachable, since upstreams can reach it too.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Contact {
     away: bool,
     back: Option<Moment>,
-    told: Option<Moment>,
+    peer_report: Option<Moment>,
 }
 
 impl Contact {
-    /// Notes whether the store answers this VM.
+    /// Records whether the store answered this VM.
     pub fn store(&mut self, answers: bool, now: Moment) {
-        let told = self.told.is_some_and(|at| now.since(at) < TOLD);
+        let reachable_by_peer = self
+            .peer_report
+            .is_some_and(|at| now.since(at) < PEER_REPORT_VALIDITY);
         if !answers {
-            self.away |= !told;
+            self.away |= !reachable_by_peer;
         } else if std::mem::take(&mut self.away) {
             self.back = Some(now);
         }
     }
 
-    /// Notes that the store was restored from a copy, which lacks the newest entries until they are written again.
+    /// Records that the store was restored from a copy, which lacks the newest entries until they are written again.
     pub fn restored(&mut self, now: Moment) {
         self.away = false;
         self.back = Some(now);
     }
 
-    /// Notes that the store answers another VM.
+    /// Records a peer's report that the store answers it.
     pub fn told(&mut self, now: Moment) {
-        self.told = Some(now);
+        self.peer_report = Some(now);
         self.store(true, now);
     }
 
-    /// Whether nobody reads the store.
+    /// Whether the store is unreachable: it did not answer this VM, and no recent peer report says otherwise.
     pub fn is_away(&self) -> bool {
         self.away
     }
 
-    /// Whether entries that are missing may have lapsed for want of the store.
-    pub(super) fn excuses(&self, lapse: Duration, now: Moment) -> bool {
+    /// Whether missing entries may have expired because the store was unreachable.
+    pub(super) fn may_explain_expiry(&self, lapse: Duration, now: Moment) -> bool {
         self.away || self.back.is_some_and(|at| now.since(at) < lapse)
     }
 
-    /// Whether the store was in reach since a moment, and for at least this long.
-    pub(super) fn lasted(&self, since: Moment, span: Duration, now: Moment) -> bool {
+    /// Whether the store has been reachable without a break since `since`, and for at least `span`.
+    pub(super) fn reachable_for(&self, since: Moment, span: Duration, now: Moment) -> bool {
         let since = since.max(self.back.unwrap_or_default());
         !self.away && now.since(since) >= span
     }
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -1,23 +1,27 @@
-//! What an entry VM believes of an upstream: whether it is there, which life of it, and whether it leaves.
+//! An entry VM's view of an upstream: whether it is present, which incarnation of it runs, and whether it is
+//! draining.
 //!
-//! The fleet list says so, read by this VM or by a peer for it; the upstream says itself which life it is.
-//! Words come doubled, in the wrong order and late. The list is written only when more than a heartbeat
-//! changes, so a sound upstream that is believed gone says nothing more by itself: whatever takes one out
-//! must also bring it back. Words are ordered so, the first rule that decides counts:
+//! The fleet list is the source for presence, read by this VM or relayed by a peer; the upstream itself reports
+//! its incarnation. Updates may be duplicated, reordered and delayed. The list is written only when more than
+//! the heartbeat changes, so a healthy upstream that is wrongly considered gone sends nothing further by
+//! itself: every rule that removes an upstream must also be able to restore it. Updates are ordered by the
+//! first of these rules that decides:
 //!
-//! 1. **Lives.** A newer life drops all that is known of the former one; a former life's word says nothing.
-//! 2. **Positions.** Each word of the list has a position in its log, whoever tells it. One at or before the
-//!    newest that was taken in is a repeat. So words may come in any order, and as often as they like. When the
-//!    store is restored from a copy, its positions begin a new timeline, whose words come after all of the former.
-//! 3. **Heartbeats.** A record that was done late is newer in the log and older in truth. One that is no
-//!    newer than what is known of the same life changes nothing about an upstream that is listed, and lists one
-//!    that is gone only in doubt.
+//! 1. **Incarnations.** A newer incarnation discards everything known about the previous one; updates from a
+//!    previous incarnation are ignored.
+//! 2. **Positions.** Each update carries its position in the list's log, whoever relays it. An update at or
+//!    before the newest position applied is a repeat. Updates may therefore arrive in any order and any number
+//!    of times. Restoring the store from a copy starts a new timeline, whose positions follow all earlier ones.
+//! 3. **Heartbeats.** A write that was delayed is newer in the log but holds older data. A record whose
+//!    heartbeat is no newer than the known one of the same incarnation changes nothing for an upstream that is
+//!    listed, and only puts one that is gone into the doubted state.
 //!
-//! Bounds: an entry that lapsed with the store away has [`Rules::lapse`] from the store's return. A doubt ends
-//! with the next newer record, or when the entry has stood for [`Rules::stands`] while the store was in
-//! reach, which nobody's does without heartbeats. An upstream that said that it leaves, and is gone, stays
-//! gone for this life. Whether an upstream answers is another question ([`super::silence`]): one that leaves
-//! without a word answers for as long as it may be asked, so its answers do not contradict the list.
+//! Time bounds: an entry that lapsed while the store was unreachable has [`Rules::lapse`] from the store's
+//! return to reappear. Doubt ends with the next newer record, or once the entry has remained for
+//! [`Rules::stands`] while the store was reachable, which no entry does without heartbeats. An upstream that
+//! announced that it leaves and is gone stays gone for this incarnation. Whether an upstream answers requests is
+//! tracked separately ([`super::silence`]): one that leaves without announcing it answers for as long as it may
+//! be asked, so its answers do not contradict the list.
 
 mod contact;
 
@@ -26,38 +30,38 @@
 use sesamegap_wire::{Incarnation, LogPosition, Moment};
 use std::time::Duration;
 
-/// Time in which an upstream that lives is listed again after the store's return; the users' pages.
+/// Time within which a live upstream is listed again after the store's return, as the user documentation states.
 pub const LAPSE: Duration = Duration::from_secs(2);
 
-/// Time for which an upstream that leaves still takes requests, the users' `drainMs` where they set none;
-/// the list is read more often than that.
+/// Time for which a leaving upstream still accepts requests: the default of the `drainMs` setting. The list is
+/// read more often than that.
 pub const DRAIN: Duration = Duration::from_secs(2);
 
-/// Time between heartbeats, the users' `heartbeatMs` where they set none.
+/// Time between heartbeats: the default of the `heartbeatMs` setting.
 pub const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// Heartbeats without which the list drops an entry; the users' pages.
-const SILENT: u32 = 3;
+/// Missed heartbeats after which the list drops an entry, as the user documentation states.
+const MISSED_HEARTBEATS: u32 = 3;
 
-/// How long a gone upstream is remembered, so that a late word does not bring it back; ten times as long as
-/// writes are held up.
+/// How long a removed upstream is remembered, so that a delayed update does not restore it; ten times as long
+/// as writes are delayed.
 pub const TOMBSTONE: Duration = Duration::from_mins(1);
 
-/// Spans that decide.
+/// Time limits that decide between presence and absence.
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
-    /// How long an entry that lapsed with the store away may take to come back.
+    /// How long an entry that lapsed while the store was unreachable may take to reappear.
     pub lapse: Duration,
-    /// How long an entry must stand in the list to prove that its upstream lives.
+    /// How long an entry must remain in the list to prove that its upstream is alive.
     pub stands: Duration,
 }
 
 impl Rules {
-    /// Rules for a list whose entries are renewed and read at these paces.
+    /// Rules for a list with this heartbeat interval and drain time.
     pub fn new(lapse: Duration, heartbeat: Duration, drain: Duration) -> Self {
         Self {
             lapse,
-            stands: heartbeat * SILENT + drain,
+            stands: heartbeat * MISSED_HEARTBEATS + drain,
         }
     }
 }
@@ -68,66 +72,67 @@
     }
 }
 
-/// What an entry of the list says of its upstream.
+/// Content of an upstream's entry in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listing {
-    /// Number of the heartbeat.
+    /// Heartbeat number.
     pub beat: u64,
-    /// The life that wrote it; unset if it does not say.
+    /// Incarnation that wrote the entry, if it states one.
     pub born: Option<Incarnation>,
-    /// Whether it says that it leaves.
+    /// Whether the upstream announces that it is leaving.
     pub leaving: bool,
 }
 
-/// What a record of the list says.
+/// State of an upstream according to a record of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Said {
     /// The upstream is listed.
     Listed(Listing),
     /// Its entry was removed.
     Removed,
-    /// Another writer's record lies over it, and nobody knows what is at its address.
+    /// Another writer's record hides its entry, so what runs at its address is unknown.
     Withdrawn,
 }
 
-/// A word of the list, read or told.
+/// An update of the list, read from the store or relayed by a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Word {
-    /// Its position in the list's log.
+    /// Position in the list's log.
     pub at: LogPosition,
-    /// What it says.
+    /// State that it reports.
     pub said: Said,
 }
 
-/// What a word did.
+/// Effect of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// An upstream that was not known, or is back.
+    /// The upstream was unknown or gone, and is now listed.
     New,
-    /// It started again: all that was known of its former life is void.
+    /// The upstream restarted: everything known about its previous incarnation is discarded.
     Restarted,
-    /// It is leaving.
+    /// The upstream announced that it is leaving.
     Leaving,
-    /// It holds newer weights than was known.
+    /// The upstream holds newer weights than were known.
     Reloaded,
-    /// It is gone.
+    /// The upstream is gone.
     Gone,
-    /// Its entry is gone, but may come back.
+    /// The entry was removed, but may reappear.
     Lapsed,
-    /// It was gone, and a record of unknown age lists it; it is not used until that has stood.
+    /// The upstream was gone and a record of unknown age lists it; it is not used until that entry has remained
+    /// for [`Rules::stands`].
     Doubted,
-    /// A newer record that says nothing new.
+    /// A newer record without new information.
     Same,
-    /// A word that was taken in before.
+    /// An update that was applied before.
     Repeat,
-    /// A record that is older than what is known, and says nothing.
+    /// A record with older data than known; ignored.
     Late,
-    /// A word of or about a former life, which says nothing.
+    /// An update from or about a previous incarnation; ignored.
     Former,
 }
 
 impl Change {
-    /// Whether the word was discarded.
+    /// Whether the update was discarded.
     pub fn is_discarded(self) -> bool {
         matches!(self, Self::Late | Self::Former)
     }
@@ -136,14 +141,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Listed,
-    /// Removed while the store was away; listed again by a late record since.
+    /// Removed while the store was unreachable; holds the time at which a delayed record listed it again, if any.
     Lapsed(Option<Moment>),
     Gone(Moment),
-    /// Listed by a late record since.
+    /// Listed by a delayed record since this time.
     Doubted(Moment),
 }
 
-/// What is believed of one upstream.
+/// The view of one upstream.
 #[derive(Debug, Clone)]
 pub struct Belief {
     at: Option<LogPosition>,
@@ -154,7 +159,7 @@
 }
 
 impl Belief {
-    /// Nothing was heard yet.
+    /// Creates the view of an upstream for which no update has arrived.
     pub fn new(now: Moment) -> Self {
         Self {
             at: None,
@@ -165,7 +170,7 @@
         }
     }
 
-    /// The life that it is believed to be in.
+    /// The newest known incarnation.
     pub fn born(&self) -> Option<Incarnation> {
         self.born
     }
@@ -175,25 +180,25 @@
         self.beat
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the upstream announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether it is listed, or may well be listed again.
+    /// Whether the upstream is listed, or has lapsed and may be listed again.
     pub fn is_known(&self) -> bool {
         matches!(self.state, State::Listed | State::Lapsed(_))
     }
 
-    /// Whether its entry lapsed.
+    /// Whether the entry was removed while the store was unreachable.
     pub fn is_lapsed(&self) -> bool {
         matches!(self.state, State::Lapsed(_))
     }
 
-    /// Whether it lapsed and did not come back in time, which counts from the store's return: one that lives
-    /// writes again as soon as it can.
+    /// Whether the entry lapsed and did not reappear within [`Rules::lapse`] of the store's return. A live
+    /// upstream writes again as soon as it can.
     pub fn is_overdue(&self, rules: &Rules, contact: &Contact, now: Moment) -> bool {
-        self.is_lapsed() && contact.lasted(Moment(0), rules.lapse, now)
+        self.is_lapsed() && contact.reachable_for(Moment(0), rules.lapse, now)
     }
 
     /// Whether a tombstone is old enough to be forgotten.
@@ -201,13 +206,13 @@
         matches!(self.state, State::Gone(since) if now.since(since) >= TOMBSTONE)
     }
 
-    /// Takes in a word of the list.
+    /// Applies an update of the list.
     pub fn hear(&mut self, word: Word, rules: &Rules, contact: &Contact, now: Moment) -> Change {
         let repeat = self.at.is_some_and(|at| word.at <= at);
         let restored = self.at.is_some_and(|at| word.at.timeline > at.timeline);
         self.at = self.at.max(Some(word.at));
         match word.said {
-            // What was heard after it may have been of the former life.
+            // Later updates that were already applied may belong to the previous incarnation.
             Said::Listed(listing) if self.is_newer(listing.born) => self.restart(listing, repeat),
             Said::Listed(listing) if repeat => self.repeat(listing),
             Said::Removed | Said::Withdrawn if repeat => Change::Repeat,
@@ -215,19 +220,19 @@
             Said::Listed(listing) => self.list(listing, now),
             Said::Removed => {
                 if restored {
-                    self.expect_again();
+                    self.accept_rewrite();
                 }
-                let excused = contact.excuses(rules.lapse, now) && !self.leaving;
-                self.remove(excused, now)
+                let may_reappear = contact.may_explain_expiry(rules.lapse, now) && !self.leaving;
+                self.remove(may_reappear, now)
             }
             Said::Withdrawn => self.withdraw(now),
         }
     }
 
-    /// Takes in which life the upstream itself, or a peer that asked it, says that it is.
+    /// Applies the incarnation that the upstream itself, or a peer that asked it, reports.
     pub fn meet(&mut self, born: Option<Incarnation>) -> Change {
         if self.is_newer(born) {
-            self.begin(born);
+            self.reset_to(born);
             Change::Restarted
         } else if self.is_former(born) {
             Change::Former
@@ -236,14 +241,14 @@
         }
     }
 
-    /// Lets time decide: lapses that are overdue, doubts that have stood.
+    /// Applies time limits: ends overdue lapses, and lists doubted upstreams whose entry has remained long enough.
     pub fn expire(&mut self, rules: &Rules, contact: &Contact, now: Moment) -> Change {
         match self.state {
             State::Lapsed(again) if self.is_overdue(rules, contact, now) => {
                 self.state = again.map_or(State::Gone(now), State::Doubted);
                 Change::Gone
             }
-            State::Doubted(since) if contact.lasted(since, rules.stands, now) => {
+            State::Doubted(since) if contact.reachable_for(since, rules.stands, now) => {
                 self.state = State::Listed;
                 Change::New
             }
@@ -251,7 +256,7 @@
         }
     }
 
-    /// One that does not say which life it is may be of any.
+    /// An unstated incarnation may be any, so it is neither newer nor former.
     fn is_newer(&self, born: Option<Incarnation>) -> bool {
         born.is_some() && born > self.born
     }
@@ -260,7 +265,7 @@
         born.is_some() && born < self.born
     }
 
-    fn begin(&mut self, born: Option<Incarnation>) {
+    fn reset_to(&mut self, born: Option<Incarnation>) {
         self.born = born;
         self.beat = None;
         self.leaving = false;
@@ -268,10 +273,10 @@
 
     fn restart(&mut self, listing: Listing, repeat: bool) -> Change {
         let first = self.born.is_none() && self.beat.is_none();
-        self.begin(listing.born);
+        self.reset_to(listing.born);
         self.beat = Some(listing.beat);
         self.leaving = listing.leaving;
-        // A removal that was heard after it was of this life too.
+        // A removal that comes later in the log and was already applied concerns this incarnation too.
         if !repeat {
             self.state = State::Listed;
         }
@@ -282,21 +287,22 @@
         }
     }
 
-    /// Its own entry lies under another writer's. It has not left, and may write the entry that it had once more,
-    /// after which nothing comes while nothing changes: only older heartbeats are late from now on.
+    /// Handles an entry that is hidden by another writer's. The upstream has not left and may write the same entry
+    /// once more, after which no update follows while nothing changes. So from now on only records with older
+    /// heartbeats count as late.
     fn withdraw(&mut self, now: Moment) -> Change {
-        self.expect_again();
+        self.accept_rewrite();
         self.remove(false, now)
     }
 
-    /// Lets the entry that is known count as newer when it is written once more.
-    fn expect_again(&mut self) {
+    /// Makes the known entry count as newer when it is written once more.
+    fn accept_rewrite(&mut self) {
         if self.is_known() {
             self.beat = self.beat.and_then(|beat| beat.checked_sub(1));
         }
     }
 
-    /// An upstream never takes back that it leaves, so that counts however late it is heard.
+    /// An upstream never revokes its leaving, so the announcement counts however late it arrives.
     fn repeat(&mut self, listing: Listing) -> Change {
         let leaves = listing.leaving && !self.leaving && !self.is_former(listing.born);
         if !leaves {
@@ -345,10 +351,10 @@
         }
     }
 
-    fn remove(&mut self, excused: bool, now: Moment) -> Change {
+    fn remove(&mut self, may_reappear: bool, now: Moment) -> Change {
         match self.state {
             State::Gone(_) => Change::Same,
-            State::Listed | State::Lapsed(_) if excused => {
+            State::Listed | State::Lapsed(_) if may_reappear => {
                 self.state = State::Lapsed(None);
                 Change::Lapsed
             }
