--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use crate::peers::Loads;
 use crate::ports::{Report, Weights};
 use sesamegap_policy::routing::Openness;
-use sesamegap_policy::routing::belief::{self, Belief, Contact, Listing, Said, Word};
+use sesamegap_policy::routing::belief::{self, Belief, Listing, Said, StoreReachability, Word};
 use sesamegap_policy::routing::placed::Placed;
 use sesamegap_policy::routing::recall::Recall;
 use sesamegap_policy::routing::silence::Silences;
@@ -47,7 +47,7 @@
     upstreams: BTreeMap<UpstreamId, Upstream>,
     /// Of those that were only heard to be removed.
     unlisted: BTreeMap<UpstreamId, Belief>,
-    contact: Contact,
+    contact: StoreReachability,
     pub(crate) recall: Recall,
     pub(crate) loads: Loads,
     /// What this VM has placed for others, by who asked and the number given.
@@ -64,7 +64,7 @@
             rules,
             upstreams: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            contact: Contact::default(),
+            contact: StoreReachability::default(),
             recall: Recall::default(),
             loads: Loads::default(),
             placed: Placed::default(),
--- a/crates/sesamegap-policy/src/routing/belief/contact.rs
+++ b/crates/sesamegap-policy/src/routing/belief/contact.rs
@@ -11,13 +11,13 @@
 ///
 /// A store that rejects this VM but serves others counts as reachable, since upstreams can reach it too.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Contact {
+pub struct StoreReachability {
     away: bool,
     back: Option<Moment>,
     peer_report: Option<Moment>,
 }
 
-impl Contact {
+impl StoreReachability {
     /// Records whether the store answered this VM.
     pub fn store(&mut self, answers: bool, now: Moment) {
         let reachable_by_peer = self
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -25,7 +25,7 @@
 
 mod contact;
 
-pub use contact::Contact;
+pub use contact::StoreReachability;
 
 use sesamegap_wire::{Incarnation, LogPosition, Moment};
 use std::time::Duration;
@@ -197,7 +197,7 @@
 
     /// Whether the entry lapsed and did not reappear within [`Rules::lapse`] of the store's return. A live
     /// upstream writes again as soon as it can.
-    pub fn is_overdue(&self, rules: &Rules, contact: &Contact, now: Moment) -> bool {
+    pub fn is_overdue(&self, rules: &Rules, contact: &StoreReachability, now: Moment) -> bool {
         self.is_lapsed() && contact.reachable_for(Moment(0), rules.lapse, now)
     }
 
@@ -207,7 +207,13 @@
     }
 
     /// Applies an update of the list.
-    pub fn hear(&mut self, word: Word, rules: &Rules, contact: &Contact, now: Moment) -> Change {
+    pub fn hear(
+        &mut self,
+        word: Word,
+        rules: &Rules,
+        contact: &StoreReachability,
+        now: Moment,
+    ) -> Change {
         let repeat = self.at.is_some_and(|at| word.at <= at);
         let restored = self.at.is_some_and(|at| word.at.timeline > at.timeline);
         self.at = self.at.max(Some(word.at));
@@ -242,7 +248,7 @@
     }
 
     /// Applies time limits: ends overdue lapses, and lists doubted upstreams whose entry has remained long enough.
-    pub fn expire(&mut self, rules: &Rules, contact: &Contact, now: Moment) -> Change {
+    pub fn expire(&mut self, rules: &Rules, contact: &StoreReachability, now: Moment) -> Change {
         match self.state {
             State::Lapsed(again) if self.is_overdue(rules, contact, now) => {
                 self.state = again.map_or(State::Gone(now), State::Doubted);
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sesamegap_policy::routing::belief::{
-    Belief, Change, Contact, LAPSE, Listing, Rules, Said, TOMBSTONE, Word,
+    Belief, Change, LAPSE, Listing, Rules, Said, StoreReachability, TOMBSTONE, Word,
 };
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use world::{Judge, Real, Step, World, play};
@@ -45,7 +45,7 @@
         words.extend(words.clone());
         words.shuffle(&mut StdRng::seed_from_u64(seed));
         let mut judge = Real::new();
-        let contact = Contact::default();
+        let contact = StoreReachability::default();
         for word in words {
             judge.hear(word, &contact, world.now);
         }
@@ -69,7 +69,7 @@
 }
 
 impl Judge for ByBeats {
-    fn hear(&mut self, word: Word, _contact: &Contact, _now: u64) -> Change {
+    fn hear(&mut self, word: Word, _contact: &StoreReachability, _now: u64) -> Change {
         match word.said {
             Said::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
             Said::Listed(listing) => {
@@ -81,7 +81,7 @@
         Change::Same
     }
 
-    fn expire(&mut self, _contact: &Contact, _now: u64) {}
+    fn expire(&mut self, _contact: &StoreReachability, _now: u64) {}
 
     fn is_known(&self) -> bool {
         self.known.is_some()
@@ -104,7 +104,7 @@
 }
 
 impl Judge for ByPositions {
-    fn hear(&mut self, word: Word, _contact: &Contact, _now: u64) -> Change {
+    fn hear(&mut self, word: Word, _contact: &StoreReachability, _now: u64) -> Change {
         if self.at.is_none_or(|at| at < word.at) {
             self.at = Some(word.at);
             self.known = match word.said {
@@ -118,7 +118,7 @@
         Change::Same
     }
 
-    fn expire(&mut self, _contact: &Contact, _now: u64) {}
+    fn expire(&mut self, _contact: &StoreReachability, _now: u64) {}
 
     fn is_known(&self) -> bool {
         self.known.is_some_and(|known| !known.leaving)
@@ -181,11 +181,11 @@
 }
 
 impl Judge for Altered {
-    fn hear(&mut self, word: Word, contact: &Contact, now: u64) -> Change {
+    fn hear(&mut self, word: Word, contact: &StoreReachability, now: u64) -> Change {
         self.real.hear((self.heard)(word), contact, now)
     }
 
-    fn expire(&mut self, contact: &Contact, now: u64) {
+    fn expire(&mut self, contact: &StoreReachability, now: u64) {
         if self.expires {
             self.real.expire(contact, now);
         }
@@ -239,7 +239,12 @@
 }
 
 fn hear(belief: &mut Belief, word: Word, ms: u64) -> Change {
-    belief.hear(word, &Rules::default(), &Contact::default(), at(ms))
+    belief.hear(
+        word,
+        &Rules::default(),
+        &StoreReachability::default(),
+        at(ms),
+    )
 }
 
 /// A worker's heartbeats were held up until the store dropped its entry; the first of them to be done lists
@@ -256,7 +261,7 @@
         Change::Doubted
     );
     assert!(!belief.is_known());
-    let contact = Contact::default();
+    let contact = StoreReachability::default();
     let stood = 5_000 + u64::try_from(rules.stands.as_millis()).expect("a short span");
     assert_eq!(belief.expire(&rules, &contact, at(stood - 1)), Change::Same);
     assert_eq!(belief.expire(&rules, &contact, at(stood)), Change::New);
@@ -273,7 +278,7 @@
     hear(&mut belief, listed(2, 5, Some(1)), 5_000);
     assert!(!belief.is_known());
     assert_eq!(hear(&mut belief, removed(3), 8_600), Change::Gone);
-    let end = belief.expire(&Rules::default(), &Contact::default(), at(20_000));
+    let end = belief.expire(&Rules::default(), &StoreReachability::default(), at(20_000));
     assert_eq!(end, Change::Same);
     assert!(!belief.is_known() && !belief.is_forgotten(at(20_000)));
     let forgotten = at(8_600) + TOMBSTONE;
@@ -288,7 +293,7 @@
     hear(&mut belief, listed(0, 5, None), 0);
     hear(&mut belief, removed(1), 4_000);
     hear(&mut belief, listed(2, 5, None), 5_000);
-    let mut contact = Contact::default();
+    let mut contact = StoreReachability::default();
     contact.store(false, at(5_500));
     assert_eq!(belief.expire(&rules, &contact, at(30_000)), Change::Same);
     contact.store(true, at(30_000));
@@ -328,7 +333,7 @@
 #[test]
 fn a_lapse_ends_two_seconds_after_the_stores_return() {
     let rules = Rules::default();
-    let mut contact = Contact::default();
+    let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
     hear(&mut belief, listed(0, 5, Some(1)), 0);
     contact.store(false, at(1_000));
@@ -353,7 +358,7 @@
 #[test]
 fn a_worker_missing_from_a_restored_list_comes_back_with_the_same_heartbeat() {
     let rules = Rules::default();
-    let mut contact = Contact::default();
+    let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
     belief.hear(listed(40, 7, Some(1)), &rules, &contact, at(100));
     contact.restored(at(1_000));
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -2,7 +2,9 @@
 
 use crate::support::at;
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::routing::belief::{Belief, Change, Contact, Listing, Rules, Said, Word};
+use sesamegap_policy::routing::belief::{
+    Belief, Change, Listing, Rules, Said, StoreReachability, Word,
+};
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use std::collections::BTreeSet;
 
@@ -76,8 +78,8 @@
 
 /// What decides about one upstream.
 pub trait Judge {
-    fn hear(&mut self, word: Word, contact: &Contact, now: u64) -> Change;
-    fn expire(&mut self, contact: &Contact, now: u64);
+    fn hear(&mut self, word: Word, contact: &StoreReachability, now: u64) -> Change;
+    fn expire(&mut self, contact: &StoreReachability, now: u64);
     fn is_known(&self) -> bool;
     fn is_leaving(&self) -> bool;
     fn born(&self) -> Option<Incarnation>;
@@ -94,11 +96,11 @@
 }
 
 impl Judge for Real {
-    fn hear(&mut self, word: Word, contact: &Contact, now: u64) -> Change {
+    fn hear(&mut self, word: Word, contact: &StoreReachability, now: u64) -> Change {
         self.0.hear(word, &self.1, contact, at(now * 100))
     }
 
-    fn expire(&mut self, contact: &Contact, now: u64) {
+    fn expire(&mut self, contact: &StoreReachability, now: u64) {
         self.0.expire(&self.1, contact, at(now * 100));
     }
 
@@ -290,7 +292,7 @@
 /// The VM, as far as it hears of the upstream.
 struct Vm<'a> {
     judge: &'a mut dyn Judge,
-    contact: Contact,
+    contact: StoreReachability,
     away: bool,
     read: usize,
     timeline: Timeline,
@@ -346,7 +348,7 @@
     let mut world = World::new();
     let mut vm = Vm {
         judge,
-        contact: Contact::default(),
+        contact: StoreReachability::default(),
         away: false,
         read: 0,
         timeline: Timeline(0),
