--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -19,7 +19,9 @@
 use crate::peers::Loads;
 use crate::ports::{Report, Weights};
 use sesamegap_policy::routing::Openness;
-use sesamegap_policy::routing::belief::{self, Belief, Listing, Said, StoreReachability, Word};
+use sesamegap_policy::routing::belief::{
+    self, Belief, ListUpdate, Listing, Said, StoreReachability,
+};
 use sesamegap_policy::routing::placed::Placed;
 use sesamegap_policy::routing::recall::Recall;
 use sesamegap_policy::routing::silence::Silences;
@@ -163,7 +165,7 @@
 
     /// Takes in an entry that lies at a position of the list's log.
     pub fn apply(&mut self, id: &UpstreamId, entry: Entry, at: LogPosition, now: Moment) -> Change {
-        let word = Word {
+        let word = ListUpdate {
             at,
             said: Said::Listed(Listing {
                 beat: entry.beat,
@@ -207,7 +209,7 @@
                 .entry(id.clone())
                 .or_insert_with(|| Belief::new(now)),
         };
-        let word = Word { at, said };
+        let word = ListUpdate { at, said };
         belief.hear(word, &self.rules.belief, &self.contact, now)
     }
 
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -96,7 +96,7 @@
 
 /// An update of the list, read from the store or relayed by a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct ListUpdate {
     /// Position in the list's log.
     pub at: LogPosition,
     /// State that it reports.
@@ -209,7 +209,7 @@
     /// Applies an update of the list.
     pub fn hear(
         &mut self,
-        word: Word,
+        word: ListUpdate,
         rules: &Rules,
         contact: &StoreReachability,
         now: Moment,
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sesamegap_policy::routing::belief::{
-    Belief, Change, LAPSE, Listing, Rules, Said, StoreReachability, TOMBSTONE, Word,
+    Belief, Change, LAPSE, ListUpdate, Listing, Rules, Said, StoreReachability, TOMBSTONE,
 };
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use world::{Judge, Real, Step, World, play};
@@ -41,7 +41,7 @@
 fn words_may_come_in_any_order() {
     for seed in 0..cases(500) {
         let world = play(&steps(seed), &mut Real::new()).expect("checked by the other test");
-        let mut words: Vec<Word> = (0..world.log.len()).map(|no| world.word(no)).collect();
+        let mut words: Vec<ListUpdate> = (0..world.log.len()).map(|no| world.word(no)).collect();
         words.extend(words.clone());
         words.shuffle(&mut StdRng::seed_from_u64(seed));
         let mut judge = Real::new();
@@ -69,7 +69,7 @@
 }
 
 impl Judge for ByBeats {
-    fn hear(&mut self, word: Word, _contact: &StoreReachability, _now: u64) -> Change {
+    fn hear(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         match word.said {
             Said::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
             Said::Listed(listing) => {
@@ -104,7 +104,7 @@
 }
 
 impl Judge for ByPositions {
-    fn hear(&mut self, word: Word, _contact: &StoreReachability, _now: u64) -> Change {
+    fn hear(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         if self.at.is_none_or(|at| at < word.at) {
             self.at = Some(word.at);
             self.known = match word.said {
@@ -137,12 +137,12 @@
 #[derive(Debug)]
 struct Altered {
     real: Real,
-    heard: fn(Word) -> Word,
+    heard: fn(ListUpdate) -> ListUpdate,
     expires: bool,
 }
 
 impl Altered {
-    fn new(heard: fn(Word) -> Word) -> Self {
+    fn new(heard: fn(ListUpdate) -> ListUpdate) -> Self {
         Self {
             real: Real::new(),
             heard,
@@ -167,13 +167,13 @@
                 }),
                 said => said,
             };
-            Word { said, ..word }
+            ListUpdate { said, ..word }
         })
     }
 
     /// Offsets of a restored store are compared with those of before.
     fn timeless() -> Self {
-        Self::new(|word| Word {
+        Self::new(|word| ListUpdate {
             at: offset(word.at.offset.0),
             ..word
         })
@@ -181,7 +181,7 @@
 }
 
 impl Judge for Altered {
-    fn hear(&mut self, word: Word, contact: &StoreReachability, now: u64) -> Change {
+    fn hear(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
         self.real.hear((self.heard)(word), contact, now)
     }
 
@@ -220,8 +220,8 @@
     }
 }
 
-fn listed(at: u64, beat: u64, born: Option<u64>) -> Word {
-    Word {
+fn listed(at: u64, beat: u64, born: Option<u64>) -> ListUpdate {
+    ListUpdate {
         at: offset(at),
         said: Said::Listed(Listing {
             beat,
@@ -231,14 +231,14 @@
     }
 }
 
-fn removed(at: u64) -> Word {
-    Word {
+fn removed(at: u64) -> ListUpdate {
+    ListUpdate {
         at: offset(at),
         said: Said::Removed,
     }
 }
 
-fn hear(belief: &mut Belief, word: Word, ms: u64) -> Change {
+fn hear(belief: &mut Belief, word: ListUpdate, ms: u64) -> Change {
     belief.hear(
         word,
         &Rules::default(),
@@ -362,7 +362,7 @@
     let mut belief = Belief::new(at(0));
     belief.hear(listed(40, 7, Some(1)), &rules, &contact, at(100));
     contact.restored(at(1_000));
-    let on_copy = |no: u64, word: Word| Word {
+    let on_copy = |no: u64, word: ListUpdate| ListUpdate {
         at: LogPosition::new(Timeline(1), Offset(no)),
         ..word
     };
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -3,7 +3,7 @@
 use crate::support::at;
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::routing::belief::{
-    Belief, Change, Listing, Rules, Said, StoreReachability, Word,
+    Belief, Change, ListUpdate, Listing, Rules, Said, StoreReachability,
 };
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use std::collections::BTreeSet;
@@ -78,7 +78,7 @@
 
 /// What decides about one upstream.
 pub trait Judge {
-    fn hear(&mut self, word: Word, contact: &StoreReachability, now: u64) -> Change;
+    fn hear(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
     fn expire(&mut self, contact: &StoreReachability, now: u64);
     fn is_known(&self) -> bool;
     fn is_leaving(&self) -> bool;
@@ -96,7 +96,7 @@
 }
 
 impl Judge for Real {
-    fn hear(&mut self, word: Word, contact: &StoreReachability, now: u64) -> Change {
+    fn hear(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
         self.0.hear(word, &self.1, contact, at(now * 100))
     }
 
@@ -142,7 +142,7 @@
     pub log: Vec<Said>,
     timeline: Timeline,
     /// All words of all timelines, which may be told at any time.
-    words: Vec<Word>,
+    words: Vec<ListUpdate>,
 }
 
 impl World {
@@ -168,21 +168,21 @@
         self.alive.filter(|listing| !listing.leaving)
     }
 
-    pub fn word(&self, no: usize) -> Word {
-        Word {
+    pub fn word(&self, no: usize) -> ListUpdate {
+        ListUpdate {
             at: LogPosition::new(self.timeline, Offset(no as u64)),
             said: self.log[no],
         }
     }
 
     /// What the list's newest record says, as a VM reads it that reads the whole list.
-    fn newest(&self) -> Option<Word> {
+    fn newest(&self) -> Option<ListUpdate> {
         let last = self.log.len().checked_sub(1)?;
         let said = match &self.entry {
             Some(entry) => Said::Listed(entry.listing),
             None => Said::Removed,
         };
-        Some(Word {
+        Some(ListUpdate {
             said,
             ..self.word(last)
         })
