--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use crate::ports::{Report, Weights};
 use sesamegap_policy::routing::Openness;
 use sesamegap_policy::routing::belief::{
-    self, Belief, ListUpdate, Listing, Said, StoreReachability,
+    self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
 };
 use sesamegap_policy::routing::placed::Placed;
 use sesamegap_policy::routing::recall::Recall;
@@ -167,7 +167,7 @@
     pub fn apply(&mut self, id: &UpstreamId, entry: Entry, at: LogPosition, now: Moment) -> Change {
         let word = ListUpdate {
             at,
-            said: Said::Listed(Listing {
+            said: ListRecord::Listed(Listing {
                 beat: entry.beat,
                 born: entry.born,
                 leaving: entry.leaving,
@@ -193,15 +193,21 @@
 
     /// Takes in that the list's log says at a position that an entry is gone.
     pub fn remove(&mut self, id: &UpstreamId, at: LogPosition, now: Moment) -> Change {
-        self.unlist(id, at, Said::Removed, now)
+        self.unlist(id, at, ListRecord::Removed, now)
     }
 
     /// Takes in that a record there names no upstream: unlike a lapsed one it gets no time.
     pub fn withdraw(&mut self, id: &UpstreamId, at: LogPosition, now: Moment) -> Change {
-        self.unlist(id, at, Said::Withdrawn, now)
+        self.unlist(id, at, ListRecord::Withdrawn, now)
     }
 
-    fn unlist(&mut self, id: &UpstreamId, at: LogPosition, said: Said, now: Moment) -> Change {
+    fn unlist(
+        &mut self,
+        id: &UpstreamId,
+        at: LogPosition,
+        said: ListRecord,
+        now: Moment,
+    ) -> Change {
         let belief = match self.upstreams.get_mut(id) {
             Some(upstream) => &mut upstream.belief,
             None => self
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -85,7 +85,7 @@
 
 /// State of an upstream according to a record of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum ListRecord {
     /// The upstream is listed.
     Listed(Listing),
     /// Its entry was removed.
@@ -100,7 +100,7 @@
     /// Position in the list's log.
     pub at: LogPosition,
     /// State that it reports.
-    pub said: Said,
+    pub said: ListRecord,
 }
 
 /// Effect of an update.
@@ -219,19 +219,21 @@
         self.at = self.at.max(Some(word.at));
         match word.said {
             // Later updates that were already applied may belong to the previous incarnation.
-            Said::Listed(listing) if self.is_newer(listing.born) => self.restart(listing, repeat),
-            Said::Listed(listing) if repeat => self.repeat(listing),
-            Said::Removed | Said::Withdrawn if repeat => Change::Repeat,
-            Said::Listed(listing) if self.is_former(listing.born) => Change::Former,
-            Said::Listed(listing) => self.list(listing, now),
-            Said::Removed => {
+            ListRecord::Listed(listing) if self.is_newer(listing.born) => {
+                self.restart(listing, repeat)
+            }
+            ListRecord::Listed(listing) if repeat => self.repeat(listing),
+            ListRecord::Removed | ListRecord::Withdrawn if repeat => Change::Repeat,
+            ListRecord::Listed(listing) if self.is_former(listing.born) => Change::Former,
+            ListRecord::Listed(listing) => self.list(listing, now),
+            ListRecord::Removed => {
                 if restored {
                     self.accept_rewrite();
                 }
                 let may_reappear = contact.may_explain_expiry(rules.lapse, now) && !self.leaving;
                 self.remove(may_reappear, now)
             }
-            Said::Withdrawn => self.withdraw(now),
+            ListRecord::Withdrawn => self.withdraw(now),
         }
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sesamegap_policy::routing::belief::{
-    Belief, Change, LAPSE, ListUpdate, Listing, Rules, Said, StoreReachability, TOMBSTONE,
+    Belief, Change, LAPSE, ListRecord, ListUpdate, Listing, Rules, StoreReachability, TOMBSTONE,
 };
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use world::{Judge, Real, Step, World, play};
@@ -71,8 +71,8 @@
 impl Judge for ByBeats {
     fn hear(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         match word.said {
-            Said::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
-            Said::Listed(listing) => {
+            ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
+            ListRecord::Listed(listing) => {
                 let newer = self.known.is_none_or(|known| known.beat <= listing.beat);
                 self.known = if newer { Some(listing) } else { self.known };
             }
@@ -108,7 +108,7 @@
         if self.at.is_none_or(|at| at < word.at) {
             self.at = Some(word.at);
             self.known = match word.said {
-                Said::Listed(listing) => Some(listing),
+                ListRecord::Listed(listing) => Some(listing),
                 _ => self.known.map(|known| Listing {
                     leaving: true,
                     ..known
@@ -161,7 +161,7 @@
     fn lifeless() -> Self {
         Self::new(|word| {
             let said = match word.said {
-                Said::Listed(listing) => Said::Listed(Listing {
+                ListRecord::Listed(listing) => ListRecord::Listed(Listing {
                     born: None,
                     ..listing
                 }),
@@ -223,7 +223,7 @@
 fn listed(at: u64, beat: u64, born: Option<u64>) -> ListUpdate {
     ListUpdate {
         at: offset(at),
-        said: Said::Listed(Listing {
+        said: ListRecord::Listed(Listing {
             beat,
             born: born.map(Incarnation),
             leaving: false,
@@ -234,7 +234,7 @@
 fn removed(at: u64) -> ListUpdate {
     ListUpdate {
         at: offset(at),
-        said: Said::Removed,
+        said: ListRecord::Removed,
     }
 }
 
@@ -308,7 +308,7 @@
 fn a_worker_that_starts_again_is_another_one() {
     let mut belief = Belief::new(at(0));
     let mut leaving = listed(0, 90, Some(1));
-    leaving.said = Said::Listed(Listing {
+    leaving.said = ListRecord::Listed(Listing {
         beat: 90,
         born: Some(Incarnation(1)),
         leaving: true,
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -3,7 +3,7 @@
 use crate::support::at;
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::routing::belief::{
-    Belief, Change, ListUpdate, Listing, Rules, Said, StoreReachability,
+    Belief, Change, ListRecord, ListUpdate, Listing, Rules, StoreReachability,
 };
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use std::collections::BTreeSet;
@@ -139,7 +139,7 @@
     next_beat: u64,
     under_way: Vec<(u64, Listing)>,
     entry: Option<Entry>,
-    pub log: Vec<Said>,
+    pub log: Vec<ListRecord>,
     timeline: Timeline,
     /// All words of all timelines, which may be told at any time.
     words: Vec<ListUpdate>,
@@ -179,8 +179,8 @@
     fn newest(&self) -> Option<ListUpdate> {
         let last = self.log.len().checked_sub(1)?;
         let said = match &self.entry {
-            Some(entry) => Said::Listed(entry.listing),
-            None => Said::Removed,
+            Some(entry) => ListRecord::Listed(entry.listing),
+            None => ListRecord::Removed,
         };
         Some(ListUpdate {
             said,
@@ -188,7 +188,7 @@
         })
     }
 
-    fn add(&mut self, said: Said) {
+    fn add(&mut self, said: ListRecord) {
         self.log.push(said);
         self.words.push(self.word(self.log.len() - 1));
     }
@@ -199,7 +199,7 @@
         let kept = self.log.len().saturating_sub(lost).max(1);
         self.log.truncate(kept);
         self.entry = match self.log.last() {
-            Some(Said::Listed(listing)) => Some(Entry {
+            Some(ListRecord::Listed(listing)) => Some(Entry {
                 listing: *listing,
                 until: self.now + SILENT,
             }),
@@ -274,7 +274,7 @@
             entry.listing.born == listing.born && entry.listing.leaving == listing.leaving
         };
         if !self.entry.as_ref().is_some_and(same) {
-            self.add(Said::Listed(listing));
+            self.add(ListRecord::Listed(listing));
         }
         self.entry = Some(Entry {
             listing,
@@ -284,7 +284,7 @@
 
     fn drop_entry(&mut self) {
         if self.entry.take().is_some() {
-            self.add(Said::Removed);
+            self.add(ListRecord::Removed);
         }
     }
 }
