--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -180,7 +180,7 @@
         });
         let change = known
             .belief
-            .hear(word, &self.rules.belief, &self.contact, now);
+            .apply(word, &self.rules.belief, &self.contact, now);
         match change {
             Change::Restarted => {
                 known.restart(entry);
@@ -216,7 +216,7 @@
                 .or_insert_with(|| Belief::new(now)),
         };
         let word = ListUpdate { at, said };
-        belief.hear(word, &self.rules.belief, &self.contact, now)
+        belief.apply(word, &self.rules.belief, &self.contact, now)
     }
 
     /// Takes in which life an upstream, or a VM that asked it, says that it is.
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -207,7 +207,7 @@
     }
 
     /// Applies an update of the list.
-    pub fn hear(
+    pub fn apply(
         &mut self,
         word: ListUpdate,
         rules: &Rules,
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -47,7 +47,7 @@
         let mut judge = Real::new();
         let contact = StoreReachability::default();
         for word in words {
-            judge.hear(word, &contact, world.now);
+            judge.apply(word, &contact, world.now);
         }
         judge.expire(&contact, world.now + 100);
         let usable = judge.is_known() && !judge.is_leaving();
@@ -69,7 +69,7 @@
 }
 
 impl Judge for ByBeats {
-    fn hear(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+    fn apply(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         match word.said {
             ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
             ListRecord::Listed(listing) => {
@@ -104,7 +104,7 @@
 }
 
 impl Judge for ByPositions {
-    fn hear(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+    fn apply(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         if self.at.is_none_or(|at| at < word.at) {
             self.at = Some(word.at);
             self.known = match word.said {
@@ -181,8 +181,8 @@
 }
 
 impl Judge for Altered {
-    fn hear(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.real.hear((self.heard)(word), contact, now)
+    fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
+        self.real.apply((self.heard)(word), contact, now)
     }
 
     fn expire(&mut self, contact: &StoreReachability, now: u64) {
@@ -239,7 +239,7 @@
 }
 
 fn hear(belief: &mut Belief, word: ListUpdate, ms: u64) -> Change {
-    belief.hear(
+    belief.apply(
         word,
         &Rules::default(),
         &StoreReachability::default(),
@@ -337,7 +337,7 @@
     let mut belief = Belief::new(at(0));
     hear(&mut belief, listed(0, 5, Some(1)), 0);
     contact.store(false, at(1_000));
-    let lapsed = belief.hear(removed(1), &rules, &contact, at(1_500));
+    let lapsed = belief.apply(removed(1), &rules, &contact, at(1_500));
     assert_eq!(lapsed, Change::Lapsed);
     contact.store(true, at(9_000));
     assert!(belief.is_known());
@@ -360,16 +360,16 @@
     let rules = Rules::default();
     let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
-    belief.hear(listed(40, 7, Some(1)), &rules, &contact, at(100));
+    belief.apply(listed(40, 7, Some(1)), &rules, &contact, at(100));
     contact.restored(at(1_000));
     let on_copy = |no: u64, word: ListUpdate| ListUpdate {
         at: LogPosition::new(Timeline(1), Offset(no)),
         ..word
     };
-    let missing = belief.hear(on_copy(30, removed(0)), &rules, &contact, at(1_000));
+    let missing = belief.apply(on_copy(30, removed(0)), &rules, &contact, at(1_000));
     assert_eq!(missing, Change::Lapsed);
     assert!(belief.is_known());
-    let again = belief.hear(
+    let again = belief.apply(
         on_copy(31, listed(0, 7, Some(1))),
         &rules,
         &contact,
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -78,7 +78,7 @@
 
 /// What decides about one upstream.
 pub trait Judge {
-    fn hear(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
+    fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
     fn expire(&mut self, contact: &StoreReachability, now: u64);
     fn is_known(&self) -> bool;
     fn is_leaving(&self) -> bool;
@@ -96,8 +96,8 @@
 }
 
 impl Judge for Real {
-    fn hear(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.0.hear(word, &self.1, contact, at(now * 100))
+    fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
+        self.0.apply(word, &self.1, contact, at(now * 100))
     }
 
     fn expire(&mut self, contact: &StoreReachability, now: u64) {
@@ -319,12 +319,12 @@
             self.timeline = world.timeline;
             self.contact.restored(at(now * 100));
             if let Some(word) = world.newest() {
-                self.judge.hear(word, &self.contact, now);
+                self.judge.apply(word, &self.contact, now);
             }
             self.read = world.log.len();
         }
         for no in self.read..world.log.len() {
-            self.judge.hear(world.word(no), &self.contact, now);
+            self.judge.apply(world.word(no), &self.contact, now);
         }
         self.read = world.log.len();
     }
@@ -360,7 +360,7 @@
         match step {
             Step::Tell(no) if !world.words.is_empty() => {
                 let told = world.words[usize::from(*no) % world.words.len()];
-                vm.judge.hear(told, &vm.contact, world.now);
+                vm.judge.apply(told, &vm.contact, world.now);
                 vm.check(world.now)?;
             }
             Step::Away => vm.away = true,
