--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -224,7 +224,7 @@
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return Change::Same;
         };
-        let change = upstream.belief.meet(born);
+        let change = upstream.belief.observe_incarnation(born);
         if change == Change::Restarted {
             let entry = upstream.entry.clone();
             upstream.restart(Entry { born, ..entry });
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// Applies the incarnation that the upstream itself, or a peer that asked it, reports.
-    pub fn meet(&mut self, born: Option<Incarnation>) -> Change {
+    pub fn observe_incarnation(&mut self, born: Option<Incarnation>) -> Change {
         if self.is_newer(born) {
             self.reset_to(born);
             Change::Restarted
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -323,8 +323,14 @@
     leaving.at = offset(3);
     assert_eq!(hear(&mut belief, leaving, 3_500), Change::Former);
     assert!(belief.is_known() && !belief.is_leaving());
-    assert_eq!(belief.meet(Some(Incarnation(1))), Change::Former);
-    assert_eq!(belief.meet(Some(Incarnation(70))), Change::Restarted);
+    assert_eq!(
+        belief.observe_incarnation(Some(Incarnation(1))),
+        Change::Former
+    );
+    assert_eq!(
+        belief.observe_incarnation(Some(Incarnation(70))),
+        Change::Restarted
+    );
     assert_eq!(belief.born(), Some(Incarnation(70)));
 }
 
