--- a/crates/sesamegap-policy/src/routing/budget.rs
+++ b/crates/sesamegap-policy/src/routing/budget.rs
@@ -1,27 +1,27 @@
-//! A bound on repeats that holds over the whole fleet without messages.
+//! Fleet-wide retry budget that needs no messages between entry VMs.
 //!
-//! Load: upstreams fail for many callers at once, and all entry VMs repeat together. Harm
-//! prevented: repeats that take the place of first attempts. Each VM spends its part of the
-//! fixed allowance and a share of its own requests, so that the sum over any number of VMs stays
-//! under the fleet's bound even if none hears another.
+//! When upstreams fail for many callers at once, all entry VMs retry together, and the retries would displace
+//! first attempts. Each VM may therefore spend its part of a fixed allowance plus a share of its own
+//! requests, so that the sum over any number of VMs stays below the fleet's bound even if the VMs cannot
+//! reach each other.
 
 use sesamegap_wire::Moment;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Buckets in one window; the bound is off by at most one bucket's repeats.
+/// Buckets per window; the bound is off by at most one bucket's retries.
 const BUCKETS: u32 = 20;
 
-/// Part of the allowance that is spent, the rest is kept for VMs that are counted late: a VM that
-/// has just started knows of fewer peers than there are and takes too large a part.
-const USED: f64 = 0.8;
+/// Usable part of the budget. The rest is a reserve for peers that are discovered late: a VM that has just
+/// started knows fewer peers than there are, and takes too large a part.
+const USABLE: f64 = 0.8;
 
-/// The fleet's bound on repeats to one service.
+/// The fleet's bound on retries to one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed beside that in one window, for the whole fleet.
+    /// Additional retries allowed per window, for the whole fleet.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
@@ -31,10 +31,10 @@
 struct Bucket {
     start: Moment,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Repeats of one VM to one service.
+/// Retry budget of one VM for one service.
 #[derive(Debug)]
 pub struct Budget {
     bound: Bound,
@@ -42,7 +42,7 @@
 }
 
 impl Budget {
-    /// Starts with nothing counted.
+    /// Creates a budget with empty counts.
     pub fn new(bound: Bound) -> Self {
         Self {
             bound,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes a bound that changed; what was counted stays.
+    /// Replaces the bound and keeps the counts.
     pub fn set(&mut self, bound: Bound) {
         self.bound = bound;
     }
@@ -60,19 +60,19 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Counts a repeat if the bound allows it; `vms` is how many entry VMs there are.
+    /// Counts a retry and returns true if the bound allows it; `vms` is the number of entry VMs.
     #[must_use]
     pub fn repeat(&mut self, now: Moment, vms: usize) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
-        let part = self.bound.slack / vms.max(1) as f64;
-        let allowed = USED * (self.bound.ratio * f64::from(requests) + part);
-        let free = f64::from(repeats) + 1.0 <= allowed;
-        if free {
-            self.bucket(now).repeats += 1;
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let slack_share = self.bound.slack / vms.max(1) as f64;
+        let allowed = USABLE * (self.bound.ratio * f64::from(requests) + slack_share);
+        let within_budget = f64::from(retries) + 1.0 <= allowed;
+        if within_budget {
+            self.bucket(now).retries += 1;
         }
-        free
+        within_budget
     }
 
     fn bucket(&mut self, now: Moment) -> &mut Bucket {
@@ -80,15 +80,15 @@
         self.buckets
             .retain(|bucket| now.since(bucket.start) < window);
         let width = window / BUCKETS;
-        let fresh = self
+        let needs_bucket = self
             .buckets
             .back()
             .is_none_or(|bucket| now.since(bucket.start) >= width);
-        if fresh {
+        if needs_bucket {
             self.buckets.push_back(Bucket {
                 start: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         self.buckets.back_mut().expect("a bucket was just added")
--- a/crates/sesamegap-policy/src/routing/patience.rs
+++ b/crates/sesamegap-policy/src/routing/patience.rs
@@ -1,31 +1,31 @@
-//! How long to wait for an upstream before a request that may be repeated goes elsewhere.
+//! How long to wait for an upstream before a retryable request is sent elsewhere.
 //!
-//! Load: an upstream goes dark with requests on it, or is only slow because it is full. Harm
-//! prevented: callers that wait out their deadline on a dead upstream, and work thrown away on a
-//! living one. Silence counts from the last byte that came from the upstream on any connection of
-//! this VM, so that one long prompt does not make a busy engine look dead.
+//! An upstream with requests in flight may stop responding, or may only be slow because it is full. Waiting too
+//! long makes callers spend their deadline on a dead upstream; giving up too early wastes work on a live one.
+//! Silence is measured from the last byte received from the upstream on any connection of this VM, so that
+//! one long prompt does not make a busy engine look dead.
 
 use std::time::Duration;
 
-/// Longest silence before a first event while nothing else comes from the engine: on a calm day 99
-/// of 100 first tokens of long prompts come within 0.9 to 1.2 s.
+/// Longest silence before the first event while the engine sends nothing on other connections either. Under
+/// light load, 99 of 100 first tokens of long prompts arrive within 0.9 to 1.2 s.
 pub const FIRST_EVENT: Duration = Duration::from_millis(1_100);
 
-/// Longest silence before a first event while the engine is heard on other connections.
+/// Longest silence before the first event while the engine sends on other connections.
 pub const FIRST_EVENT_BUSY: Duration = Duration::from_millis(2_500);
 
-/// Longest silence between events; engines pause for tens of milliseconds, preempted ones longer.
+/// Longest silence between events. Engines pause for tens of milliseconds, and longer when preempted.
 pub const NEXT_EVENT: Duration = Duration::from_millis(900);
 
-/// Longest silence between events while the engine is heard on other connections.
+/// Longest silence between events while the engine sends on other connections.
 pub const NEXT_EVENT_BUSY: Duration = Duration::from_secs(2);
 
-/// How many times its objective a plain request waits before it is repeated elsewhere.
-const PLAIN_OBJECTIVES: f64 = 2.5;
+/// Multiple of its latency objective that a plain request waits before it is retried elsewhere.
+const PLAIN_OBJECTIVE_FACTOR: f64 = 2.5;
 
-/// Silence that is borne on a stream.
-pub fn stream(started: bool, heard: bool) -> Duration {
-    match (started, heard) {
+/// Silence tolerated on a stream.
+pub fn stream(started: bool, active_elsewhere: bool) -> Duration {
+    match (started, active_elsewhere) {
         (false, false) => FIRST_EVENT,
         (false, true) => FIRST_EVENT_BUSY,
         (true, false) => NEXT_EVENT,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Time that a plain request which may be repeated is given at one worker.
+/// Time that a retryable plain request may take at one worker.
 pub fn plain(objective: Duration) -> Duration {
-    objective.mul_f64(PLAIN_OBJECTIVES)
+    objective.mul_f64(PLAIN_OBJECTIVE_FACTOR)
 }
--- a/crates/sesamegap-policy/src/routing/telling.rs
+++ b/crates/sesamegap-policy/src/routing/telling.rs
@@ -1,47 +1,47 @@
-//! Whom an entry VM tells in a tick what it has at upstreams.
+//! Which peers an entry VM sends its load at upstreams to in each tick.
 //!
-//! Load: 84 VMs send prompts to 140 engines, and each VM sees one in eighty of them. Harm prevented:
-//! VMs that take busy engines for idle; a prompt that is read beside another's answer stalls that
-//! answer for half a second. With a few peers told at each change, as suffices for nine VMs, one in five
-//! prompts of the others was known, and a third of the long answers came late for that alone.
+//! With 84 VMs sending prompts to 140 engines, each VM sees one in eighty of them and may take busy engines for
+//! idle. A prompt that is prefilled while another answer is decoded stalls that answer for half a second. When
+//! each change was sent to only a few peers, as suffices for nine VMs, a VM knew one in five prompts of the
+//! others, and a third of the long answers were late for that reason alone.
 //!
-//! So the begin of a prompt is told to all at once, and everything else to some peers by turns. What
-//! is sent in a second is bounded however many VMs there are; beyond the bound all is told by turns.
+//! So the start of a prompt is sent to all peers at once, and everything else to some peers in rotation. The
+//! send rate is bounded regardless of the number of VMs; beyond the bound, all updates go out in rotation.
 
-/// Peers told in one tick when turns are taken.
+/// Peers notified per tick in rotation.
 pub const FANOUT: usize = 8;
 
-/// Ticks after which an unchanged load is told again, so that a lost datagram does no lasting harm.
+/// Ticks after which an unchanged load is sent again, so that a lost datagram does no lasting harm.
 const REPEAT: u32 = 8;
 
-/// Datagrams for begun prompts that each tick adds to the allowance: 400 a second, three long prompts
-/// and two short ones told to 83 peers.
-const GRANT: usize = 20;
+/// Broadcast datagrams that each tick adds to the allowance: 400 a second, enough to announce three long
+/// prompts and two short ones to 83 peers.
+const REFILL: usize = 20;
 
-/// Allowance that is kept for later at most: a second's worth.
-const SAVED: usize = 400;
+/// Maximum accumulated allowance: one second's worth.
+const MAX_ALLOWANCE: usize = 400;
 
-/// What a VM has at all upstreams together.
+/// Total load of a VM at all upstreams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sum {
-    /// Requests.
+    /// Requests in flight.
     pub running: u32,
-    /// Prompt tokens that are not read yet.
+    /// Prompt tokens that are not prefilled yet.
     pub unread: u64,
 }
 
-/// Who is told.
+/// Recipients of a load update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
-    /// Nobody.
+    /// No peer.
     Nobody,
-    /// Those whose turn it is.
+    /// The next peers in rotation.
     Turn,
     /// All peers.
     All,
 }
 
-/// What was told so far.
+/// State that decides which peers are notified.
 #[derive(Debug, Default)]
 pub struct Telling {
     last: Sum,
@@ -50,9 +50,9 @@
 }
 
 impl Telling {
-    /// Decides for one tick; `changed` tells whether anything did since the last one.
+    /// Picks the recipients for one tick; `changed` says whether the load changed since the last tick.
     pub fn tick(&mut self, now: Sum, changed: bool, peers: usize) -> Audience {
-        self.allowance = (self.allowance + GRANT).min(SAVED);
+        self.allowance = (self.allowance + REFILL).min(MAX_ALLOWANCE);
         let begun = now.unread > self.last.unread;
         self.last = now;
         self.unchanged = if changed { 0 } else { self.unchanged + 1 };
--- a/crates/sesamegap-policy/src/routing/transfers.rs
+++ b/crates/sesamegap-policy/src/routing/transfers.rs
@@ -1,75 +1,74 @@
-//! Where an engine fetches shared parts from, and whether it has them kept.
+//! Where an engine fetches cached shared prefixes from, and whether it saves them to the kept-KV store.
 //!
-//! Load: prompts of one dossier come seconds apart, and an engine's memory turns over sooner. Harm
-//! prevented: what was computed for the last one is computed again. What the engine lacks comes
-//! from the store of kept cache that the prompt's home uses, and what that lacks is saved to it; engines
-//! beside another store fetch from the home. The store is not asked what it holds: asking in vain costs a
-//! millisecond.
+//! Prompts that share a dossier arrive seconds apart, and an engine evicts its cache sooner. To avoid computing the
+//! same KV again, the engine fetches what it lacks from the kept-KV store that the prompt's home engine uses,
+//! and saves to the store what the store lacks; engines that use another store fetch from the home engine.
+//! The store is not queried for its content first, since a fetch that finds nothing costs a millisecond.
 //!
-//! Load: caches are cold after a fault, and all prompts fetch through the one link of the store. Harm prevented:
-//! a queue there that outlasts the fault by far, since each prompt that waits in it comes late, however idle
-//! the engines are. So only as much is asked of a store at once as it delivers within the callers' objective;
-//! other prompts are read by their engines meanwhile.
+//! When caches are cold after a fault, all prompts fetch through the store's single link. The queue there would
+//! far outlast the fault, as each prompt that waits in it is late however idle the engines are. So a store
+//! is asked for no more at once than it delivers within the callers' objective; engines prefill the other
+//! prompts themselves.
 
 use std::num::NonZeroU64;
 use std::time::Duration;
 
-/// Shared tokens from which a transfer is worth its setting up; reading them takes 26 ms.
-const LEAST: u64 = 1_000;
+/// Shared tokens from which a transfer is worth its setup cost; prefilling them takes 26 ms.
+const MIN_SHARED_TOKENS: u64 = 1_000;
 
-/// Longest own part of a prompt that is sent to be kept along with the shared ones: nobody asks
-/// for it again, and it takes the store's link and room from what is shared.
-const OWN_KEPT: u64 = 3_000;
+/// Longest unshared part of a prompt that may be saved along with the shared ones. It is never requested again,
+/// and takes link and storage capacity from shared parts.
+const MAX_SAVED_OWN_TOKENS: u64 = 3_000;
 
-/// How long an engine surely still holds what it has just served; its memory turns over in several
-/// seconds at full load.
-const STILL_HELD: Duration = Duration::from_secs(2);
+/// How long an engine is certain to hold what it has just served; at full load its cache turns over in several
+/// seconds.
+const CACHE_RETENTION: Duration = Duration::from_secs(2);
 
-/// Part of a store's link for each engine from which engines in other failure domains use it too, where each token
-/// takes it twice as long: an engine at full load loses some 10,000 tokens a second.
-const FAR_MBPS: u64 = 6_000;
+/// Bandwidth of a store's link per engine from which engines in other failure domains use the store too. Each token
+/// occupies the link twice as long for them, and an engine at full load loses some 10,000 tokens a second.
+const REMOTE_MIN_MBPS: u64 = 6_000;
 
-/// How many times longer a token is on a link to another failure domain.
-const FAR_TIMES: u64 = 2;
+/// Factor by which a token occupies the link longer when it goes to another failure domain.
+const REMOTE_FACTOR: u64 = 2;
 
-/// Bits that a link of one Mbit/s carries in a millisecond.
+/// Bits that a link of 1 Mbit/s carries per millisecond.
 const BITS_PER_MS: u64 = 1_000;
 
-/// Tokens that a store's link carries in a millisecond; none if the size of a token is not known.
+/// Tokens that a store's link carries per millisecond, or `None` if the size of a token is unknown.
 pub fn per_ms(mbps: u64, token_bytes: u64) -> Option<NonZeroU64> {
     let carried = (mbps * BITS_PER_MS).checked_div(token_bytes * 8)?;
     Some(NonZeroU64::new(carried).unwrap_or(NonZeroU64::MIN))
 }
 
-/// A fetch from a store, behind all that was asked of it before.
+/// A fetch from a store, queued behind all earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fetch {
-    /// Tokens, those to another failure domain counted as often as they take longer.
+    /// Tokens, weighted by [`Fetch::load`] when they go to another failure domain.
     pub tokens: u64,
-    /// The same of all fetches that are on their way, by all VMs.
+    /// Weighted tokens of all fetches in flight, by all VMs.
     pub ahead: u64,
-    /// Tokens that the store's link carries in a millisecond.
+    /// Tokens that the store's link carries per millisecond.
     pub per_ms: NonZeroU64,
 }
 
 impl Fetch {
-    /// Tokens of a transfer as they load the store's link.
+    /// Load that a transfer puts on the store's link, in tokens.
     pub fn load(tokens: u64, near: bool) -> u64 {
-        if near { tokens } else { tokens * FAR_TIMES }
+        if near { tokens } else { tokens * REMOTE_FACTOR }
     }
 
-    /// Whether it arrives within the time that callers can wait.
+    /// Whether the fetch completes within the time that callers can wait.
     pub fn arrives(&self, within: Duration) -> bool {
         Duration::from_millis((self.ahead + self.tokens) / self.per_ms) <= within
     }
 }
 
-/// The link of the store that is nearest to an engine.
+/// Link of the store nearest to an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Link {
     /// Whether both are in one failure domain.
     pub near: bool,
-    /// What it carries, Mbit/s.
+    /// Bandwidth in Mbit/s.
     pub mbps: u64,
     /// Engines that share it.
     pub engines: usize,
@@ -80,42 +79,42 @@
 pub struct Wish {
     /// Tokens of its shared parts.
     pub shared: u64,
-    /// Tokens of its own part.
+    /// Tokens of its unshared part.
     pub own: u64,
-    /// How long ago the engine served its shared parts, if this VM saw it.
+    /// How long ago the engine served its shared parts, if this VM observed it.
     pub served: Option<Duration>,
-    /// Whether the store is the one that its home uses.
+    /// Whether the store is the one that its home engine uses.
     pub at_store: bool,
-    /// The store, if there is one that answers.
+    /// Link of the store, if one answers.
     pub link: Option<Link>,
 }
 
-/// The transfers that it is worth.
+/// Transfers that are worthwhile for a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transfers {
     /// From the store.
     pub from_store: bool,
-    /// From the engine that was found as source, unless from the store.
+    /// From the engine found as source, unless the store is used.
     pub from_engine: bool,
     /// To the store.
     pub save: bool,
 }
 
-/// Decides which transfers a prompt is worth.
+/// Decides which transfers are worthwhile for a prompt.
 pub fn wish(wish: &Wish) -> Transfers {
-    let held = wish.served.is_some_and(|ago| ago < STILL_HELD);
-    let long = wish.shared >= LEAST;
-    let carries = wish.link.is_some_and(Link::carries);
-    let kept = long && wish.at_store && carries;
+    let held = wish.served.is_some_and(|ago| ago < CACHE_RETENTION);
+    let long = wish.shared >= MIN_SHARED_TOKENS;
+    let has_capacity = wish.link.is_some_and(Link::has_capacity);
+    let use_store = long && wish.at_store && has_capacity;
     Transfers {
-        from_store: kept && !held,
+        from_store: use_store && !held,
         from_engine: !held,
-        save: kept && wish.own <= OWN_KEPT,
+        save: use_store && wish.own <= MAX_SAVED_OWN_TOKENS,
     }
 }
 
 impl Link {
-    fn carries(self) -> bool {
-        self.near || self.mbps >= FAR_MBPS * self.engines as u64
+    fn has_capacity(self) -> bool {
+        self.near || self.mbps >= REMOTE_MIN_MBPS * self.engines as u64
     }
 }
