--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -1,137 +1,133 @@
 //! Which engine runs a prompt given as named parts, and where it fetches cached parts from.
 //!
-//! All entry VMs rank the engines of a prefix alike, by rendezvous hashing over its parts, so the
-//! same prefix meets the same engine with no message between VMs and no memory to warm up.
+//! All entry VMs rank the engines for a prefix in the same way, by rendezvous hashing over its parts. The same
+//! prefix therefore reaches the same engine without messages between VMs and without state to warm up. The
+//! highest-ranked engine is called the home of the prefix.
 //!
-//! Load: weights change under full traffic, and every cache is empty at once; a few outer prefixes
-//! are shared by most prompts. Harm prevented: each engine computing the same outer prefix for
-//! itself. So a VM sends the first prompt of an outer prefix to that prefix's own home, and once it
-//! has seen it served there, spreads the inner prefixes over their homes, which fetch the outer
-//! one. Measured over 34 s with five namings, shared tokens computed again fall from 156,000 to
-//! 138,000 on nine engines and from 242,000 to 193,000 on twelve (means of two runs each).
+//! When weights change under full traffic, every cache is empty at once, and a few outer prefixes are shared by
+//! most prompts. To keep each engine from computing the same outer prefix, a VM sends the first prompt of an
+//! outer prefix to that prefix's own home. Once it has observed that the home served it, the VM spreads the inner
+//! prefixes over their homes, which fetch the outer one. Measured over 34 s with five weight changes, this reduces
+//! shared tokens that are computed again from 156,000 to 138,000 on nine engines and from 242,000 to 193,000 on
+//! twelve (means of two runs each).
 //!
-//! Load: long prompts and short ones with long answers share the engines. Harm prevented: a long
-//! prompt is read in pieces between the tokens of all streams of its engine, each piece a tenth of
-//! a second; streams slow down, hold their memory for longer, and leave none for cached prefixes.
-//! So each kind has engines of its own, and crosses over only from a queue.
+//! Long prompts share the engines with short prompts that have long answers. A long prompt is prefilled in chunks
+//! of a tenth of a second between the tokens of all streams of its engine. This slows the streams down, so they
+//! hold their memory for longer and leave none for cached prefixes. So each kind of prompt has its own engines,
+//! and uses the others only to avoid a queue.
 //!
-//! Load: a few prefixes are hot, bursts come, and engines leave. Harm prevented: a hot prefix that
-//! queues behind one engine. An engine further down the ranking is taken when its wait is shorter
-//! by more than fetching the prefix costs.
+//! Some prefixes are hot, load comes in bursts, and engines leave. So that a hot prefix does not queue behind one
+//! engine, a lower-ranked engine is chosen when its wait is shorter by more than the cost of fetching the prefix.
 
 use super::Openness;
 use super::recall::Recall;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Prompt tokens that an engine reads in a millisecond, for estimates of waits; measured engines
-/// read 32 to 38.
+/// Prompt tokens that an engine prefills per millisecond, for wait estimates; measured engines prefill 32 to 38.
 pub const READ_PER_MS: u64 = 30;
 
-/// Weight of a queue against other costs: a prompt that is read stalls the answers that run there
-/// too. On 140 engines, 1.0, 2.0 and 3.0 left 825, 791 and 735 of 4,536 long answers late.
-const QUEUE: f64 = 3.0;
+/// Weight of the prefill queue relative to other costs, as a prefill also stalls the answers that run on the
+/// engine. On 140 engines, weights of 1.0, 2.0 and 3.0 made 825, 791 and 735 of 4,536 long answers late.
+const QUEUE_WEIGHT: f64 = 3.0;
 
-/// Time that one more running request adds to a first token: one decode step shared by all.
+/// Delay that each running request adds to a first token: one decode step shared by all.
 const RUNNING_MS: f64 = 2.0;
 
-/// Time that a request waiting at the engine adds: it must first be read in.
+/// Delay that each request waiting at the engine adds, since it must be prefilled first.
 const WAITING_MS: f64 = 60.0;
 
-/// Time until an engine with all slots taken has one free, for each request that waits for one:
-/// answers of 1.5 s on twelve slots.
-const OVER_MS: f64 = 120.0;
+/// Time until a full engine frees a slot, per request waiting for one: answers of 1.5 s on twelve slots.
+const SLOT_WAIT_MS: f64 = 120.0;
 
-/// Cost of fetching a shared prefix instead of having it, besides its size: setting up and waiting
-/// behind other transfers.
+/// Fixed cost of fetching a shared prefix that the engine lacks: setup, and waiting for other transfers.
 const FETCH_MS: f64 = 20.0;
 
-/// Prompt tokens fetched in a millisecond over a busy link, half of what the slower links carry.
+/// Prompt tokens fetched per millisecond over a busy link: half the capacity of the slower links.
 const FETCH_PER_MS: f64 = 500.0;
 
-/// Cost of going to another failure domain: twice the one-way delay and the bytes' price.
-const FAR_MS: f64 = 4.0;
+/// Cost of crossing to another failure domain: the round-trip delay and the price of the traffic.
+const CROSS_DOMAIN_MS: f64 = 4.0;
 
-/// Cost of weights that are no longer the newest: an answer on them is worth less to callers.
-const OLD_MS: f64 = 250.0;
+/// Cost of outdated weights: an answer computed with them is worth less to callers.
+const OLD_WEIGHTS_MS: f64 = 250.0;
 
-/// Cost of an engine that did not answer lately: worse than any queue, better than refusing.
+/// Cost of an engine that recently failed to answer: worse than any queue, better than refusing the request.
 const SUSPECT_MS: f64 = 20_000.0;
 
-/// Prompts from this many tokens on are long; the shared preambles of long ones alone are more.
-const LONG: u64 = 3_000;
+/// Minimum tokens of a long prompt; the shared preambles of long prompts alone exceed this.
+const LONG_PROMPT_TOKENS: u64 = 3_000;
 
-/// Percentage of the engines that long prompts have: with nine to twelve engines all parts from 55
-/// to 78 serve alike; on 140 engines with twelve slots, 55 left two of three long answers late and 75
-/// two of five.
-const LONG_PART: usize = 70;
+/// Percentage of the engines reserved for long prompts. With nine to twelve engines, all values from 55 to 78 perform
+/// alike; on 140 engines with twelve slots, 55 made two of three long answers late, and 75 two of five.
+const LONG_PERCENT: usize = 70;
 
-/// Key under which engines are ranked for the long prompts.
+/// Hash key for ranking engines for long prompts.
 const LONG_KEY: u64 = 0x6c6f_6e67;
 
-/// Cost of crossing over to engines of the other kind: one piece of a long prompt.
-const CROSS_MS: f64 = 250.0;
+/// Cost of using an engine reserved for the other kind of prompt: one prefill chunk of a long prompt.
+const OTHER_KIND_MS: f64 = 250.0;
 
-/// One engine as this VM sees it.
+/// An engine as this VM sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
-    /// The same number in all VMs.
+    /// Hash seed, identical on all VMs.
     pub seed: u64,
-    /// Number of its present life, the same in all VMs: what a former one has read is gone.
+    /// Seed of its current incarnation, identical on all VMs. A restart loses the cache of the previous one.
     pub life: u64,
     /// Whether it is in the VM's own failure domain.
     pub near: bool,
-    /// Requests running there, as far as is known.
+    /// Known running requests.
     pub running: u32,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Requests waiting there, as far as is known.
+    /// Known waiting requests.
     pub waiting: u32,
-    /// Prompt tokens sent there by all VMs whose first token is still out, as far as is known.
+    /// Known prompt tokens, sent by all VMs, of requests whose first token has not arrived.
     pub unread: u64,
     /// Version of its weights.
     pub version: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: Openness,
-    /// Whether long prompts have it.
+    /// Whether it is reserved for long prompts.
     pub long: bool,
-    /// Number of the store of kept cache that it uses; zero if there is none.
+    /// Seed of the kept-KV store that it uses, or zero if there is none.
     pub store: u64,
 }
 
-/// A shared prefix: all parts up to one of them.
+/// A shared prefix: all parts up to and including one of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefix {
     /// Hash of its parts.
     pub hash: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
 /// The prompt to place.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its shared prefixes, the outermost first.
+    /// Shared prefixes, outermost first.
     pub prefixes: Vec<Prefix>,
-    /// All its tokens.
+    /// Total number of tokens.
     pub tokens: u64,
 }
 
-/// An engine for the division between long and short prompts.
+/// An engine to assign to long or short prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Divided {
-    /// The same number in all VMs.
+    /// Hash seed, identical on all VMs.
     pub seed: u64,
-    /// Whether it is in the failure domain of the store of kept cache.
+    /// Whether it is in the failure domain of the kept-KV store.
     pub by_store: bool,
 }
 
-/// Which of these engines long prompts have.
+/// Picks the engines reserved for long prompts.
 ///
-/// Those beside the store of kept cache come first: transfers between failure domains take twice as
-/// long, and nearly all tokens that are transferred are those of long prompts.
+/// Engines in the kept-KV store's failure domain come first: transfers between failure domains take twice as
+/// long, and nearly all transferred tokens belong to long prompts.
 pub fn for_long(engines: &[Divided]) -> Vec<bool> {
-    let count = (engines.len() * LONG_PART + 50) / 100;
+    let count = (engines.len() * LONG_PERCENT + 50) / 100;
     let mut order: Vec<usize> = (0..engines.len()).collect();
     order.sort_by_key(|no| {
         let engine = &engines[*no];
@@ -146,7 +142,7 @@
 
 impl Prompt {
     fn is_long(&self) -> bool {
-        self.tokens >= LONG
+        self.tokens >= LONG_PROMPT_TOKENS
     }
 
     fn outer(&self) -> Prefix {
@@ -161,40 +157,40 @@
     }
 }
 
-/// Where a prompt goes.
+/// Placement of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
     /// Index of the engine that runs it.
     pub at: usize,
     /// Index of the engine to fetch shared parts from.
     pub source: Option<usize>,
-    /// Whether the store that it uses is the one of the prompt's home, which most likely has its parts.
+    /// Whether the engine uses the same store as the prompt's home, which most likely holds the shared parts.
     pub at_store: bool,
 }
 
-/// A number for a name, the same in all VMs.
+/// Hash of a name, identical on all VMs.
 pub fn seed(name: &str) -> u64 {
-    // FNV-1a; what it lacks in mixing, ranking adds.
+    // FNV-1a. It mixes poorly, which `rank` makes up for.
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
-/// Time that an engine needs to read this many tokens.
+/// Time that an engine needs to prefill this many tokens.
 pub fn reading(tokens: u64) -> Duration {
     Duration::from_millis(tokens / READ_PER_MS)
 }
 
 /// Rank of an engine for a prefix; the highest is its home.
 pub fn rank(prefix: u64, seed: u64) -> u64 {
-    // The finalizer of splitmix64, whose every input bit moves every output bit.
+    // Finalizer of splitmix64, in which every input bit affects every output bit.
     let mut x = prefix ^ seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Picks the engine with the least time to a first token, `newest` being the weights wanted.
+/// Picks the engine with the lowest expected time to first token; `newest` is the desired version of the weights.
 pub fn choose(prompt: &Prompt, engines: &[Engine], newest: u32, recall: &Recall) -> Option<Choice> {
     let fresh = |no: &usize| engines[*no].version >= newest;
     let open = || (0..engines.len()).filter(|no| engines[*no].state != Openness::Paused);
@@ -218,14 +214,14 @@
     })
 }
 
-/// How an engine comes by what a prompt's home has.
+/// How an engine can obtain what a prompt's home holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reach {
-    /// It is the home.
+    /// It is the home itself.
     Home,
-    /// From the store that both use.
+    /// From the kept-KV store that both use.
     Store,
-    /// From the home alone.
+    /// Only from the home.
     Far,
 }
 
@@ -246,17 +242,17 @@
     group: &(impl Iterator<Item = usize> + Clone),
     recall: &Recall,
 ) -> Option<usize> {
-    let sound = || {
+    let open = || {
         group
             .clone()
             .filter(|no| engines[*no].state == Openness::Open)
     };
-    let own = || sound().filter(|no| engines[*no].long == prompt.is_long());
+    let same_kind = || open().filter(|no| engines[*no].long == prompt.is_long());
     let best = |prefix: u64| {
         let by_rank = |no: &usize| rank(prefix, engines[*no].seed);
-        own()
+        same_kind()
             .max_by_key(by_rank)
-            .or_else(|| sound().max_by_key(by_rank))
+            .or_else(|| open().max_by_key(by_rank))
     };
     let first = best(prompt.outer().hash)?;
     if recall.served(prompt.outer().hash, &engines[first]) {
@@ -266,15 +262,16 @@
     }
 }
 
-/// The home of a prompt's innermost shared prefix, among engines given by number and whether long prompts have them.
+/// The home of a prompt's innermost shared prefix, among engines given as pairs of seed and whether the engine is
+/// reserved for long prompts.
 pub fn inner_home(prompt: &Prompt, engines: impl Iterator<Item = (u64, bool)>) -> Option<u64> {
     let inner = prompt.inner().hash;
     let best = engines.max_by_key(|(seed, long)| (*long == prompt.is_long(), rank(inner, *seed)));
     best.map(|(seed, _)| seed)
 }
 
-/// The engine to fetch from: one that this VM saw serve the longest shared prefix, else the prompt's
-/// home, and at home that of the outermost prefix, which most likely holds that.
+/// The engine to fetch from: one that this VM observed serving the longest shared prefix, otherwise the prompt's
+/// home. At the home itself, the home of the outermost prefix, which most likely holds that prefix.
 fn source(
     prompt: &Prompt,
     engines: &[Engine],
@@ -289,13 +286,13 @@
     let others = || (0..engines.len()).filter(usable);
     let seen = prompt.prefixes.iter().rev().find_map(|prefix| {
         if recall.served(prefix.hash, &engines[at]) {
-            // It has the prefix itself, and nobody is known to have more.
+            // The engine has the prefix itself, and no engine is known to have more.
             return Some(None);
         }
         let served = |no: &usize| recall.last(prefix.hash, engines[*no].life, engines[*no].version);
         let mut holders = others().filter(|no| served(no).is_some());
         let holder = if recall.is_whole() {
-            // What was served longest ago was most likely dropped since.
+            // A prefix that was served long ago has most likely been evicted, so prefer the latest.
             holders.max_by_key(served)
         } else {
             holders.next()
@@ -312,29 +309,29 @@
 }
 
 fn cost(prompt: &Prompt, engine: &Engine, reach: Reach, fresh: bool) -> f64 {
-    let queue = QUEUE * engine.unread as f64 / READ_PER_MS as f64;
-    let over = (engine.running + 1).saturating_sub(engine.slots);
+    let queue = QUEUE_WEIGHT * engine.unread as f64 / READ_PER_MS as f64;
+    let excess = (engine.running + 1).saturating_sub(engine.slots);
     let load = RUNNING_MS * f64::from(engine.running)
         + WAITING_MS * f64::from(engine.waiting)
-        + OVER_MS * f64::from(over);
-    let moves = FETCH_MS + prompt.inner().tokens as f64 / FETCH_PER_MS;
+        + SLOT_WAIT_MS * f64::from(excess);
+    let transfer = FETCH_MS + prompt.inner().tokens as f64 / FETCH_PER_MS;
     let fetch = match reach {
         Reach::Home => 0.0,
-        Reach::Store => moves,
-        // What the home has lost is read again, which is work like that of any queue.
-        Reach::Far => moves + QUEUE * prompt.inner().tokens as f64 / READ_PER_MS as f64,
+        Reach::Store => transfer,
+        // What the home has lost is prefilled again, which costs as much as the same work in a queue.
+        Reach::Far => transfer + QUEUE_WEIGHT * prompt.inner().tokens as f64 / READ_PER_MS as f64,
     };
-    let cross = if engine.long == prompt.is_long() {
+    let other_kind = if engine.long == prompt.is_long() {
         0.0
     } else {
-        CROSS_MS
+        OTHER_KIND_MS
     };
-    let far = if engine.near { 0.0 } else { FAR_MS };
-    let old = if fresh { 0.0 } else { OLD_MS };
+    let far = if engine.near { 0.0 } else { CROSS_DOMAIN_MS };
+    let old = if fresh { 0.0 } else { OLD_WEIGHTS_MS };
     let suspect = if engine.state == Openness::Suspect {
         SUSPECT_MS
     } else {
         0.0
     };
-    queue + load + fetch + cross + far + old + suspect
+    queue + load + fetch + other_kind + far + old + suspect
 }
--- a/crates/sesamegap-policy/src/routing/mod.rs
+++ b/crates/sesamegap-policy/src/routing/mod.rs
@@ -1,13 +1,19 @@
-//! Decisions of an entry VM that knows only its own traffic and what answers tell it.
+//! Routing decisions of an entry VM, from its own traffic, its peers' reports and the fleet list.
 //!
-//! [`engines`] picks the engine of a prompt given as named parts, [`transfers`] says where cached
-//! parts come from, [`plain`] picks the worker of a plain service, [`budget`] bounds repeats over all
-//! entry VMs without a message between them, [`patience`] tells a silent upstream from a slow one,
-//! [`silence`] what others say of it, [`belief`] whether an upstream is there and in which life,
-//! [`reading`] when a VM reads the store itself, [`telling`] whom a VM tells of its load, [`weights`]
-//! until when a request may begin on older ones, and [`rolls`] picks the engines that take new weights
-//! next. In a large fleet [`shards`] says which VM places the prompts of which engines, and [`placed`]
-//! counts what it has placed for others.
+//! - [`engines`] picks the engine for a prompt given as named parts.
+//! - [`recall`] records which engines served which prefixes.
+//! - [`transfers`] decides where cached parts are fetched from.
+//! - [`plain`] picks the worker of a plain service.
+//! - [`budget`] bounds retries over all entry VMs without messages between them.
+//! - [`patience`] sets the timeouts that tell an unresponsive upstream from a slow one.
+//! - [`silence`] combines the VMs' reports on unresponsive upstreams.
+//! - [`belief`] tracks whether an upstream is present, and its incarnation.
+//! - [`reading`] decides when a VM reads the store itself.
+//! - [`telling`] picks the peers that receive a VM's load.
+//! - [`weights`] bounds the time until which a request may start on older weights.
+//! - [`rolls`] picks the engines that load new weights next.
+//! - [`shards`] assigns engines to the VMs that place their prompts in a large fleet.
+//! - [`placed`] counts the prompts that a VM has placed for its peers.
 
 pub mod belief;
 pub mod budget;
@@ -24,13 +30,13 @@
 pub mod transfers;
 pub mod weights;
 
-/// Whether an upstream takes work.
+/// Whether an upstream accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Openness {
-    /// It does, as far as is known.
+    /// It accepts work as far as is known.
     Open,
-    /// It lately failed to answer.
+    /// It recently failed to answer.
     Suspect,
-    /// Nothing new may go there: it leaves, or takes new weights.
+    /// It must not get new requests: it is leaving, or loading new weights.
     Paused,
 }
--- a/crates/sesamegap-policy/src/routing/placed.rs
+++ b/crates/sesamegap-policy/src/routing/placed.rs
@@ -1,29 +1,29 @@
-//! What a VM has placed for others, until they say that it was read or has ended.
+//! Prompts that a VM has placed for its peers, tracked until the peer reports them prefilled or ended.
 //!
-//! Words may be lost, and a VM that asked may die: a prompt counts as unread for some times as long as its engine
-//! should take to read it, and as running until its caller has given up.
+//! Reports may be lost, and the VM that asked may crash. So a prompt counts as unread for at most a multiple of the
+//! time that its engine should take to prefill it, and as running until its caller has given up.
 
 use super::engines::{Prefix, reading};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::Moment;
 use std::time::Duration;
 
-/// How many times the expected time of reading a prompt, and all that was ahead of it, it counts as unread.
-const PATIENCE: u32 = 3;
+/// Multiple of the expected prefill time, queue included, for which a prompt counts as unread.
+const PREFILL_FACTOR: u32 = 3;
 
-/// Time added to that: an engine may stand still for a step, and the word that it was read is on its way.
-const SLACK: Duration = Duration::from_millis(500);
+/// Time added to that: an engine may stall for a step, and the report of the prefill takes time to arrive.
+const PREFILL_SLACK: Duration = Duration::from_millis(500);
 
-/// A prompt at an engine.
+/// A prompt placed at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
-    /// Number of the engine's life.
+    /// Seed of the engine's incarnation.
     pub life: u64,
     /// Tokens of the prompt.
     pub tokens: u64,
-    /// Tokens that the engine had to read before it.
+    /// Tokens that the engine had to prefill before it.
     pub ahead: u64,
-    /// Time that its caller waits.
+    /// Remaining time that its caller waits.
     pub left: Duration,
     /// Its shared prefixes.
     pub prefixes: Vec<Prefix>,
@@ -31,10 +31,10 @@
     pub version: u32,
 }
 
-/// A prompt that an engine has read.
+/// A prompt that an engine has prefilled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Read {
-    /// Number of the engine's life.
+    /// Seed of the engine's incarnation.
     pub life: u64,
     /// Version of its weights.
     pub version: u32,
@@ -52,16 +52,16 @@
     ends: Moment,
 }
 
-/// What was placed at one engine.
+/// Total of the prompts placed at one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sum {
-    /// Requests.
+    /// Requests that have not ended.
     pub running: u32,
-    /// Prompt tokens that are not read.
+    /// Prompt tokens that are not prefilled.
     pub unread: u64,
 }
 
-/// All that was placed for others, by who asked.
+/// All prompts placed for peers, by a key that identifies the peer's request.
 #[derive(Debug)]
 pub struct Placed<K> {
     entries: FxHashMap<K, Entry>,
@@ -78,7 +78,7 @@
 }
 
 impl<K: Copy + Eq + std::hash::Hash> Placed<K> {
-    /// Counts a prompt.
+    /// Starts to count a prompt.
     pub fn begin(&mut self, key: K, placement: Placement, now: Moment) {
         self.end(&key);
         let expected = reading(placement.ahead + placement.tokens);
@@ -90,15 +90,15 @@
             version: placement.version,
             prefixes: placement.prefixes,
             unread: placement.tokens,
-            unread_until: now + expected * PATIENCE + SLACK,
+            unread_until: now + expected * PREFILL_FACTOR + PREFILL_SLACK,
             ends: now + placement.left,
         };
         self.entries.insert(key, entry);
     }
 
-    /// Notes that a prompt was read; what its engine holds now, unless that was noted before.
+    /// Records that a prompt was prefilled. Returns what its engine holds now, unless that was returned before.
     pub fn read(&mut self, key: &K) -> Option<Read> {
-        self.give_up(key);
+        self.clear_unread(key);
         let entry = self.entries.get_mut(key)?;
         let prefixes = std::mem::take(&mut entry.prefixes);
         (!prefixes.is_empty()).then_some(Read {
@@ -108,8 +108,8 @@
         })
     }
 
-    /// No longer counts a prompt as unread of which nobody said that it was read.
-    fn give_up(&mut self, key: &K) {
+    /// Stops counting a prompt as unread.
+    fn clear_unread(&mut self, key: &K) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Notes that a request has ended, or never came.
+    /// Records that a request has ended, or was never sent.
     pub fn end(&mut self, key: &K) {
         let Some(entry) = self.entries.remove(key) else {
             return;
@@ -133,26 +133,26 @@
         }
     }
 
-    /// What was placed at an engine.
+    /// Total of the prompts placed at an engine.
     pub fn at(&self, life: u64) -> Sum {
         self.sums.get(&life).copied().unwrap_or_default()
     }
 
-    /// Forgets what nobody spoke of in time.
+    /// Drops counts for which no report arrived in time.
     pub fn expire(&mut self, now: Moment) {
-        let is_read = |entry: &Entry| entry.unread > 0 && entry.unread_until <= now;
-        let read = self.keys(is_read);
-        for key in &read {
-            self.give_up(key);
+        let unread_expired = |entry: &Entry| entry.unread > 0 && entry.unread_until <= now;
+        let expired = self.keys(unread_expired);
+        for key in &expired {
+            self.clear_unread(key);
         }
-        let over = self.keys(|entry| entry.ends <= now);
-        for key in &over {
+        let ended = self.keys(|entry| entry.ends <= now);
+        for key in &ended {
             self.end(key);
         }
     }
 
-    fn keys(&self, wanted: impl Fn(&Entry) -> bool) -> Vec<K> {
-        let found = self.entries.iter().filter(|(_, entry)| wanted(entry));
+    fn keys(&self, matches: impl Fn(&Entry) -> bool) -> Vec<K> {
+        let found = self.entries.iter().filter(|(_, entry)| matches(entry));
         found.map(|(key, _)| *key).collect()
     }
 }
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -1,95 +1,95 @@
-//! When an entry VM reads a table of the store itself, and when another VM's word will do.
+//! When an entry VM reads a table from the store itself, and when a peer's relayed update suffices.
 //!
-//! Load: 84 VMs follow the fleet list and the settings; each call costs, and every heartbeat of 143
-//! upstreams is read 84 times. Harm prevented: calls that grow with the number of VMs and bytes with
-//! its product with that of upstreams. So a few VMs read for all and tell what changed. A bound counts
-//! from the store's word for every VM, whether its peers reach it or not: one that misses a word,
-//! or hears none in time, reads for itself from where it stands, so that nothing is ever passed over.
+//! With 84 VMs following the fleet list and the settings, every call has a cost, and each heartbeat of 143
+//! upstreams would be read 84 times: calls would grow with the number of VMs, and bytes with the product of VMs
+//! and upstreams. So a few VMs act as readers and relay changes to all others. Every VM still has a bound on the
+//! age of its data, whether its peers reach it or not: a VM that misses an update, or receives none in time, reads
+//! from its own position itself, so no record is ever skipped.
 
 use sesamegap_wire::{LogPosition, Moment};
 use std::time::Duration;
 
-/// VMs that read a table for all: with eight, one of them has read it within an eighth of the pace, and
-/// smaller fleets all read.
+/// Number of VMs that read a table for all others. With eight, one of them has read it within an eighth of the
+/// polling interval; in smaller fleets every VM reads.
 pub const READERS: usize = 8;
 
-/// Time after which a VM reads a whole table again: what was lost on the way to it and concerns an
-/// upstream that it sends nothing to would otherwise stay wrong.
-const RENEWAL: Duration = Duration::from_secs(30);
+/// Time after which a VM reads the whole table again. Otherwise, a lost update about an upstream to which this VM
+/// sends nothing would never be corrected.
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The part of a table's log that was read at once.
+/// Range of a table's log that one read covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
-    /// Where it begins.
+    /// Start of the range.
     pub from: LogPosition,
-    /// Where to read on.
+    /// Position after the range, from which the next read continues.
     pub next: LogPosition,
 }
 
-/// What a reader's word is worth.
+/// Result of applying a reader's update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// All up to its end is known with it.
+    /// The update is contiguous: everything up to its end is known.
     Joined,
-    /// It ends before what is known: a reader that was held up.
+    /// It ends before the known position, because the reader was delayed.
     Old,
-    /// Something before it was missed, or it does not say all.
+    /// There is a gap before it, or it is incomplete.
     Missed,
 }
 
-/// How far a table is known.
+/// Position up to which a table is known.
 #[derive(Debug, Default)]
 pub struct Position {
     next: Option<LogPosition>,
-    /// Where words that were missed end.
+    /// End of the updates that were missed.
     missed: LogPosition,
-    fresh: Moment,
+    last_update: Moment,
     /// When the whole table was last read.
-    whole: Moment,
-    /// When this VM's own last call began that was answered.
+    last_full_read: Moment,
+    /// When this VM's last successful call began.
     asked: Option<Moment>,
 }
 
 impl Position {
-    /// Where to read on; none if the whole table must be read.
+    /// Position to read from, or `None` if the whole table must be read.
     pub fn next(&self) -> Option<LogPosition> {
         self.next
     }
 
-    /// Notes how far this VM has read.
+    /// Records the position up to which this VM has read.
     pub fn read(&mut self, next: LogPosition, now: Moment) {
         if self.next.is_none() {
-            self.whole = now;
+            self.last_full_read = now;
         }
         self.next = Some(next);
-        self.fresh = now;
+        self.last_update = now;
     }
 
-    /// Notes when the call began whose answer this VM has just read.
+    /// Records the start of the call whose answer this VM has just read.
     pub fn asked(&mut self, at: Moment) {
         self.asked = Some(at);
     }
 
-    /// A moment up to which this VM surely knew all of the table; none if it never read it.
+    /// Time up to which this VM is certain to know the whole table, or `None` if it never read it.
     ///
-    /// Another VM's word does not count: it may have been held up on its way.
+    /// Updates from peers do not count, since they may have been delayed on the way.
     pub fn complete(&self) -> Option<Moment> {
         self.asked
     }
 
-    /// Notes that the whole table must be read.
+    /// Requires the next read to cover the whole table.
     pub fn begin(&mut self) {
         self.next = None;
     }
 
-    /// Has the whole table read if that was long ago.
+    /// Requires a read of the whole table if the last one is older than [`FULL_READ_INTERVAL`].
     pub fn renew(&mut self, now: Moment) {
-        if now.since(self.whole) >= RENEWAL {
+        if now.since(self.last_full_read) >= FULL_READ_INTERVAL {
             self.begin();
         }
     }
 
-    /// Takes in a reader's word; `whole` tells whether it names all that changed.
+    /// Applies a reader's update; `whole` says whether it names every change in the range.
     pub fn hear(&mut self, span: Span, whole: bool, now: Moment) -> Heard {
         let Some(next) = self.next else {
             return Heard::Missed;
@@ -97,21 +97,21 @@
         if span.next < next {
             return Heard::Old;
         }
-        let joins = span.from <= next && (whole || span.next == next);
-        if !joins {
+        let contiguous = span.from <= next && (whole || span.next == next);
+        if !contiguous {
             self.missed = self.missed.max(span.next);
             return Heard::Missed;
         }
         self.next = Some(span.next);
-        self.fresh = now;
+        self.last_update = now;
         Heard::Joined
     }
 
-    /// Time until this VM must read for itself if it hears nothing.
+    /// Time until this VM must read the table itself if it receives no update.
     pub fn left(&self, pace: Duration, now: Moment) -> Duration {
         if self.next.is_none_or(|next| next < self.missed) {
             return Duration::ZERO;
         }
-        pace.saturating_sub(now.since(self.fresh))
+        pace.saturating_sub(now.since(self.last_update))
     }
 }
--- a/crates/sesamegap-policy/src/routing/recall.rs
+++ b/crates/sesamegap-policy/src/routing/recall.rs
@@ -1,22 +1,22 @@
-//! Which engines this VM saw serve which prefixes.
+//! Which engines this VM has observed serving which prefixes.
 //!
-//! A VM sees only its own requests, a fraction of all, so what it does not recall may well be
-//! cached; it only decides where to fetch from. Bounded: the oldest half goes when it is full.
+//! A VM sees only its own requests, a fraction of all, so a prefix without an entry may well be cached; entries
+//! only decide where to fetch from. The size is bounded: when it is full, the oldest half is evicted.
 
 use super::engines::Engine;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::Moment;
 
-/// Prefixes recalled at most; some 32 bytes each.
-const MOST: usize = 16_384;
+/// Maximum number of prefixes; each takes about 32 bytes.
+const MAX_PREFIXES: usize = 16_384;
 
-/// Engines recalled for one prefix by a VM that sees a part of its prompts: its home and the one that stood in
-/// while that was out.
-const FEW: usize = 3;
+/// Engines stored per prefix on a VM that sees a part of its prompts: the home engine, and the one that replaced
+/// it while it was out of service.
+const MAX_ENGINES_PARTIAL: usize = 3;
 
-/// The same by a VM that sees all of them: an outer prefix is served by all engines of a shard, and whether its home
-/// is among them decides where prompts go.
-const ALL: usize = 32;
+/// Engines stored per prefix on a VM that sees all of its prompts: an outer prefix is served by all engines of a
+/// shard, and whether its home engine is among them decides where prompts go.
+const MAX_ENGINES_COMPLETE: usize = 32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Served {
@@ -27,36 +27,37 @@
 
 #[derive(Debug)]
 struct Prefix {
-    noted: u64,
-    by: Vec<Served>,
+    last_note: u64,
+    engines: Vec<Served>,
 }
 
-/// What this VM recalls.
+/// Observed pairs of prefix and engine.
 #[derive(Debug, Default)]
 pub struct Recall {
     prefixes: FxHashMap<u64, Prefix>,
     notes: u64,
-    /// Whether all prompts for its engines are noted.
-    whole: bool,
+    /// Whether this VM places all prompts for the engines it records.
+    complete: bool,
 }
 
 impl Recall {
-    /// Notes that this VM places all prompts for some engines from now on.
+    /// Records that this VM places all prompts for some engines from now on.
     pub fn see_all(&mut self) {
-        self.whole = true;
+        self.complete = true;
     }
 
-    /// Whether this VM sees all prompts of what it recalls.
+    /// Whether this VM sees all prompts for the engines it records.
     pub fn is_whole(&self) -> bool {
-        self.whole
+        self.complete
     }
 
-    /// Notes that an engine has read a prefix.
+    /// Records that an engine has prefilled a prefix.
     pub fn note(&mut self, prefix: u64, seed: u64, version: u32, now: Moment) {
         self.notes += 1;
-        if self.prefixes.len() >= MOST {
-            let half = self.notes.saturating_sub(MOST as u64 / 2);
-            self.prefixes.retain(|_, prefix| prefix.noted >= half);
+        if self.prefixes.len() >= MAX_PREFIXES {
+            let oldest_kept = self.notes.saturating_sub(MAX_PREFIXES as u64 / 2);
+            self.prefixes
+                .retain(|_, prefix| prefix.last_note >= oldest_kept);
         }
         let served = Served {
             seed,
@@ -64,25 +65,29 @@
             at: now,
         };
         let entry = self.prefixes.entry(prefix).or_insert(Prefix {
-            noted: self.notes,
-            by: Vec::with_capacity(1),
+            last_note: self.notes,
+            engines: Vec::with_capacity(1),
         });
-        entry.noted = self.notes;
+        entry.last_note = self.notes;
         entry
-            .by
+            .engines
             .retain(|known| known.seed != seed && known.version >= version);
-        entry.by.insert(0, served);
-        entry.by.truncate(if self.whole { ALL } else { FEW });
+        entry.engines.insert(0, served);
+        entry.engines.truncate(if self.complete {
+            MAX_ENGINES_COMPLETE
+        } else {
+            MAX_ENGINES_PARTIAL
+        });
     }
 
-    /// When an engine last served a prefix under these weights.
+    /// When an engine last served a prefix with these weights.
     pub fn last(&self, prefix: u64, seed: u64, version: u32) -> Option<Moment> {
         let known = self.prefixes.get(&prefix)?;
-        let same = |by: &&Served| by.seed == seed && by.version == version;
-        known.by.iter().find(same).map(|by| by.at)
+        let same = |served: &&Served| served.seed == seed && served.version == version;
+        known.engines.iter().find(same).map(|served| served.at)
     }
 
-    /// Whether an engine has served a prefix under the weights that it holds now.
+    /// Whether an engine has served a prefix with its current weights.
     pub fn served(&self, prefix: u64, engine: &Engine) -> bool {
         self.last(prefix, engine.life, engine.version).is_some()
     }
--- a/crates/sesamegap-policy/src/routing/rolls.rs
+++ b/crates/sesamegap-policy/src/routing/rolls.rs
@@ -1,119 +1,119 @@
-//! Which engines take new weights next, and how long each drains first.
+//! Rolling update of weights: which engines load new weights next, and how long each drains first.
 //!
-//! Load: weights are named under full traffic, at times faster than they load, and streams last
-//! for seconds. Harm prevented: callers that get answers from old weights long after new ones were
-//! named, and callers that wait because too many engines are out.
+//! Weights are named under full traffic, at times faster than they load, and streams last for seconds. The order
+//! and drain times must avoid answers computed with old weights long after new ones were named, and waits because
+//! too many engines are out of service.
 //!
-//! Just over half of the engines are out in the first round, and they drain briefly, so that soon
-//! after a naming there are enough new engines for all that begins. The others then get nothing
-//! new, and drain for as long as their streams last. An engine loads weights only after it has
-//! drained, and which version it loads is settled then: one that was overtaken is never loaded.
+//! Just over half of the engines go out in the first round and drain briefly, so that soon after a naming enough
+//! engines with new weights exist for all new requests. The others then receive no new requests, and drain for
+//! as long as their streams last. An engine loads weights only after it has drained, and the version is chosen at
+//! that time, so a superseded version is never loaded.
 
 use std::time::Duration;
 
-/// Percentage of a model's engines that may be out at once: the rest carries the load, of which each
-/// engine has half to spare at its busiest.
-const AT_ONCE: usize = 56;
+/// Percentage of a model's engines that may be out at once. The rest carries the load; each engine has half of its
+/// capacity to spare at peak load.
+const MAX_OUT_PERCENT: usize = 56;
 
-/// How long engines of the first round drain: answers on old weights lose value from 1.5 s after
-/// a naming, and a load takes half a second.
+/// Drain time of the first round: answers from old weights lose value from 1.5 s after a naming, and a load takes
+/// half a second.
 const FIRST_DRAIN: Duration = Duration::from_secs(1);
 
-/// How long engines drain once enough others are new: eight of ten streams last under three seconds.
+/// Drain time once enough engines have new weights: eight of ten streams last less than three seconds.
 const LATER_DRAIN: Duration = Duration::from_secs(3);
 
-/// Percentage of the engines that is enough for all that begins.
-const ENOUGH: usize = 40;
+/// Percentage of engines with new weights that can serve all new requests.
+const ENOUGH_PERCENT: usize = 40;
 
-/// Percentage of the engines below which callers find too few: a third carries the load for a while.
-const LEAST_OPEN: usize = 30;
+/// Minimum percentage of engines that must accept work: a third can carry the load for a while.
+const MIN_OPEN_PERCENT: usize = 30;
 
-/// Time before the end of the bound on old weights from which no drain is waited out any more: what waits at
-/// the engine is refused once the order comes, and must begin elsewhere, and a load and its
-/// confirmation take one second.
-const SPARE: Duration = Duration::from_secs(2);
+/// Time reserved before the bound on old weights ends, within which no engine drains. Requests that wait at the engine
+/// are refused once the load is ordered and must start elsewhere, and a load with its confirmation takes one second.
+const RESERVE: Duration = Duration::from_secs(2);
 
-/// Percentage of the engines that load at full speed side by side; beyond it each load takes longer.
-const LOADING: usize = 20;
+/// Percentage of the engines that can load concurrently at full speed; beyond it each load takes longer.
+const FULL_SPEED_PERCENT: usize = 20;
 
-/// Engines loading side by side below which nothing is spread: a step would take less than one.
-const FEW: usize = 10;
+/// Number of concurrent loads below which loads are not spread over steps, since a step would contain less than one
+/// engine.
+const MIN_SPREAD: usize = 10;
 
-/// Time of one load at full speed, until one was seen.
-const LOAD: Duration = Duration::from_millis(400);
+/// Assumed time of a load at full speed, until one has been observed.
+const DEFAULT_LOAD_TIME: Duration = Duration::from_millis(400);
 
-/// Engines that load at full speed side by side, however few there are.
-const LEAST_LOADING: usize = 2;
+/// Minimum number of engines that can load concurrently at full speed.
+const MIN_FULL_SPEED: usize = 2;
 
-/// Share of the known time of a load by which a slower one raises it: weights may have grown, but most
-/// slow loads only ran beside others.
-const RAISED: f64 = 1.1;
+/// Maximum factor by which a slower load raises the known load time: weights may have grown, but most slow
+/// loads merely ran beside others.
+const MAX_INCREASE: f64 = 1.1;
 
-/// How many times as many engines may load as do so at full speed: orders that were given are carried out even if
-/// their VM dies, and those that were not wait for seconds until another may order.
-const AHEAD: usize = 2;
+/// Multiple of the full-speed number that may load concurrently. Orders already given are carried out even if the VM
+/// that gave them crashes, while the others wait for seconds until another VM may give orders.
+const OVERCOMMIT: usize = 2;
 
-/// Engines that load at full speed side by side.
+/// Number of engines that can load concurrently at full speed.
 fn at_full_speed(all: usize) -> usize {
-    (all * LOADING / 100).max(LEAST_LOADING)
+    (all * FULL_SPEED_PERCENT / 100).max(MIN_FULL_SPEED)
 }
 
-/// Engines that may load side by side.
+/// Number of engines that may load concurrently.
 ///
-/// Load: weights are named twice within a bound while engines crash, so that nine of twelve must load at once.
-/// Harm prevented: loads share what the weight store gives, and nine that begin together all end after
-/// six seconds, in which the rest of the fleet is buried; by turns the first are back after half of that.
+/// If weights are named twice within a bound while engines crash, nine of twelve engines may have to load at once.
+/// Loads share the weight store's bandwidth: nine that start together all end after six seconds, during which the
+/// rest of the fleet is overloaded. When they take turns, the first return after half of that.
 pub fn side_by_side(all: usize) -> usize {
-    at_full_speed(all) * AHEAD
+    at_full_speed(all) * OVERCOMMIT
 }
 
-/// How long a load takes at full speed, as far as was seen.
+/// Observed time of a load at full speed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Pace {
     load: Option<Duration>,
 }
 
 impl Pace {
-    /// Notes how long a load took.
+    /// Records how long a load took.
     pub fn loaded(&mut self, took: Duration) {
         let known = self.load.unwrap_or(took);
-        self.load = Some(took.min(known.mul_f64(RAISED)));
+        self.load = Some(took.min(known.mul_f64(MAX_INCREASE)));
     }
 
-    /// The time of a load.
+    /// The expected time of a load.
     pub fn load(&self) -> Duration {
-        self.load.unwrap_or(LOAD)
+        self.load.unwrap_or(DEFAULT_LOAD_TIME)
     }
 
-    /// Engines to take out next, at the pace at which they can load.
+    /// Engines to take out next, limited to the rate at which they can load.
     ///
-    /// Load: a load takes as long as several drains, and engines that have drained wait for their turn. Harm
-    /// prevented: engines that neither serve nor load, while callers crowd at the others.
+    /// A load may take as long as several drains, and drained engines wait for their turn. The limit avoids engines
+    /// that neither serve nor load while callers overload the others.
     pub fn next(&self, engines: &[Engine]) -> Vec<usize> {
         let all = engines.len();
         let load = self.load().as_secs_f64();
-        let turns = (FIRST_DRAIN.as_secs_f64() + load) / load;
-        let busy = (at_full_speed(all) as f64 * turns).ceil();
+        let loads_per_cycle = (FIRST_DRAIN.as_secs_f64() + load) / load;
+        let busy = (at_full_speed(all) as f64 * loads_per_cycle).ceil();
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a small number of engines"
         )]
         let busy = busy as usize;
-        next_within(engines, at_once(all).min(busy))
+        next_within(engines, max_out(all).min(busy))
     }
 }
 
-/// Engines that may be taken out in a step of a roll: as many as can load in its time.
+/// Engines that may be taken out in one step of a roll: as many as can load within the step.
 ///
-/// Load: all engines of a round drain for the same second and would then load together. Harm prevented:
-/// engines that are out for longer than their own drain and load. Small fleets gain nothing.
+/// All engines of a round drain for the same second and would then load together, so that each would be out for
+/// longer than its own drain and load. Small fleets gain nothing from spreading.
 pub fn at_a_step(all: usize, step: Duration) -> usize {
-    let loading = all * LOADING / 100;
-    if loading < FEW {
+    let loading = all * FULL_SPEED_PERCENT / 100;
+    if loading < MIN_SPREAD {
         return all;
     }
-    let part = loading as f64 * step.as_secs_f64() / LOAD.as_secs_f64();
+    let part = loading as f64 * step.as_secs_f64() / DEFAULT_LOAD_TIME.as_secs_f64();
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -123,10 +123,10 @@
     count.max(1)
 }
 
-/// How far an engine is in a roll.
+/// Progress of an engine in a roll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It has older weights, and takes work.
+    /// It has older weights and accepts work.
     Old,
     /// It drains or loads.
     Out,
@@ -137,39 +137,39 @@
 /// An engine as the roll sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Engine {
-    /// How far it is.
+    /// Progress in the roll.
     pub stage: Stage,
     /// Version of its weights.
     pub version: u32,
-    /// Whether long prompts have it.
+    /// Whether it is reserved for long prompts.
     pub long: bool,
-    /// Requests running there, as far as is known.
+    /// Known running requests.
     pub running: u32,
-    /// Whether it lately failed to answer.
+    /// Whether it recently failed to answer.
     pub suspect: bool,
     /// Whether its weights are so old that no request may be sent there.
     pub shut: bool,
 }
 
-/// Engines to take out next: the oldest first, since requests may soon not begin there any more,
-/// and of these the emptiest, since they drain soonest.
+/// Engines to take out next: those with the oldest weights first, since requests may soon no longer start there, and
+/// among these the least loaded, since they drain fastest.
 ///
-/// What is shut serves nobody, so taking it out takes nothing from callers either, and waiting for its turn would
-/// leave it shut for longer.
+/// A shut engine serves no requests, so taking it out costs callers nothing, and making it wait for its turn would
+/// only leave it shut for longer.
 pub fn next(engines: &[Engine]) -> Vec<usize> {
-    next_within(engines, at_once(engines.len()))
+    next_within(engines, max_out(engines.len()))
 }
 
-/// Engines that may be out at once.
-fn at_once(all: usize) -> usize {
-    (all * AT_ONCE / 100).max(1)
+/// Number of engines that may be out at once.
+fn max_out(all: usize) -> usize {
+    (all * MAX_OUT_PERCENT / 100).max(1)
 }
 
-/// Engines to take out next, with this many out at most besides those that serve nobody.
+/// Engines to take out next, with at most `most` out, not counting those that already serve no requests.
 fn next_within(engines: &[Engine], most: usize) -> Vec<usize> {
     let idle = |engine: &Engine| engine.suspect || engine.shut;
-    let lost = |engine: &&Engine| engine.stage == Stage::Out || idle(engine);
-    let out = engines.iter().filter(lost).count();
+    let unavailable = |engine: &&Engine| engine.stage == Stage::Out || idle(engine);
+    let out = engines.iter().filter(unavailable).count();
     let mut due: Vec<usize> = (0..engines.len())
         .filter(|no| engines[*no].stage == Stage::Old)
         .collect();
@@ -193,7 +193,7 @@
     chosen
 }
 
-/// Takes engines of both kinds in turn, so that neither kind of prompt is left with none.
+/// Alternates engines for long and short prompts, so that neither kind of prompt is left without one.
 fn alternate(due: &[usize], engines: &[Engine]) -> Vec<usize> {
     let (long, short): (Vec<usize>, Vec<usize>) = due.iter().partition(|no| engines[**no].long);
     let mut mixed = Vec::with_capacity(due.len());
@@ -204,20 +204,20 @@
     mixed
 }
 
-/// Whether an engine that drains must take work again, with this many engines open to callers.
+/// Whether a draining engine must accept work again, given the number of engines that accept work.
 ///
-/// Load: engines crash while others drain. Harm prevented: all callers at the one or two that are left.
+/// Engines may crash while others drain; without this, all callers would use the one or two that are left.
 pub fn must_return(open: usize, all: usize, left: Duration) -> bool {
-    open * 100 < LEAST_OPEN * all && left > SPARE
+    open * 100 < MIN_OPEN_PERCENT * all && left > RESERVE
 }
 
-/// How long an engine may drain, with this time left at the start of its drain until no request may begin on
-/// its weights.
+/// How long an engine may drain. `left` is the time, at the start of its drain, until no request may start on its
+/// weights.
 ///
-/// The time counts from the first naming that the engine is behind, not from the newest: weights may be
-/// named faster than they load, and each naming would give the oldest engine a drain of its own.
+/// That time counts from the first naming that the engine has not loaded, not from the newest: weights may be
+/// named faster than they load, and each naming would grant the oldest engine a new drain.
 pub fn drain(done: usize, all: usize, left: Duration) -> Duration {
-    let enough = done * 100 >= ENOUGH * all;
+    let enough = done * 100 >= ENOUGH_PERCENT * all;
     let longest = if enough { LATER_DRAIN } else { FIRST_DRAIN };
-    longest.min(left.saturating_sub(SPARE))
+    longest.min(left.saturating_sub(RESERVE))
 }
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -1,69 +1,69 @@
-//! Which weights were named when, and until when a request may still begin on older ones.
+//! When versions of weights were named, and until when a request may still start on older ones.
 //!
-//! Load: weights are named under full traffic, and the VM that rolls them may die on the way, so that
-//! most prompts go to engines that are behind, with seconds of work before each. Harm prevented: a
-//! caller that gets an answer of weights which were overtaken too long ago. The bound holds for the
-//! moment at which a request begins at its engine, not for that at which it is sent, and what lies
-//! between is a queue that grows with the load: 2.3 s were seen where 1.5 s had been taken for the
-//! longest. So a request is sent only while the wait that is expected there fits into what is left
-//! of the bound, and is taken back if it has not begun shortly before the bound.
+//! Weights are named under full traffic, and the VM that rolls them out may crash midway, so most prompts may go to
+//! outdated engines with seconds of queued work. A caller must not get an answer from weights that were superseded
+//! too long ago. The bound applies to the time at which a
+//! request starts at its engine, not to that at which it is sent. The queue in between grows with the load: waits of
+//! 2.3 s were observed where 1.5 s had been assumed as the maximum. So a request is sent only while the expected
+//! wait fits into the rest of the bound, and is withdrawn if it has not started shortly before the bound ends.
 
 use sesamegap_wire::{Moment, WeightsVersion};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time that is kept for the wait at an engine however idle it looks: what other VMs sent there in the
-/// last moments is not known yet.
-const LEAST_WAIT: Duration = Duration::from_millis(1_500);
+/// Minimum time reserved for the wait at an engine, however idle it looks: requests that other VMs have just sent
+/// there are not known yet.
+const MIN_WAIT: Duration = Duration::from_millis(1_500);
 
-/// How many times the expected wait is kept: first tokens behind 36,725 and 38,073 unread tokens took
-/// 1.5 times as long as reading those and their own prompts would.
-const WAITS: u32 = 2;
+/// Multiple of the expected wait that is reserved: first tokens behind 36,725 and 38,073 unread tokens took 1.5 times
+/// as long as prefilling those and their own prompts would.
+const WAIT_FACTOR: u32 = 2;
 
-/// Time before the bound at which a request that has not begun is taken back: a close needs a few
-/// milliseconds to the engine, and a VM under full load runs a tenth of a second late.
-const WITHDRAWAL: Duration = Duration::from_millis(400);
+/// Time before the bound at which a request that has not started is withdrawn: closing the connection takes a few
+/// milliseconds to reach the engine, and a VM under full load runs a tenth of a second late.
+const WITHDRAWAL_MARGIN: Duration = Duration::from_millis(400);
 
-/// What is left of the bound for weights of which only the name is known, as after a start: long enough
-/// to hear from a peer when they were named, and what is sent then is taken back before a VM that just
-/// started is held to the bound, 3 s after its start.
+/// Rest of the bound that is assumed for weights whose naming time is unknown, as after a start. It is long enough to
+/// learn the time from a peer, and requests sent meanwhile are withdrawn before the bound applies to a VM that has
+/// just started, 3 s after its start.
 const GUESSED_LEFT: Duration = Duration::from_millis(3_400);
 
-/// Time after a naming for which old weights are as good as new ones to callers, less the time that
-/// a request may wait before it begins.
+/// Time after a naming for which old weights are as good as new ones to callers, less the time that a request may
+/// wait before it starts.
 const SETTLING: Duration = Duration::from_secs(1);
 
-/// When weights were named, as far as is known.
+/// Time at which weights were named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Named {
-    /// It was seen to happen then, by this VM or a peer.
+    /// Observed by this VM or a peer.
     At(Moment),
-    /// It was found named already, and may have been then.
+    /// Estimated: the weights were found to be named already.
     Guessed(Moment),
 }
 
-/// One naming.
+/// A version of weights and when it was named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Naming {
     /// The version.
     pub version: WeightsVersion,
     /// When it was named.
     pub at: Moment,
-    /// Whether the time is a guess.
+    /// Whether the time is an estimate.
     pub guessed: bool,
 }
 
-/// What was named of all models.
+/// Namings of all models.
 #[derive(Debug)]
 pub struct Namings {
     bound: Duration,
-    /// By model, the versions in rising order.
+    /// Namings by model, in ascending order of versions.
     models: BTreeMap<SmolStr, Vec<Naming>>,
 }
 
 impl Namings {
-    /// Nothing named yet; no request may begin on older weights this long after a naming.
+    /// Creates an empty history. No request may start on superseded weights `bound` after the naming that superseded
+    /// them.
     pub fn new(bound: Duration) -> Self {
         Self {
             bound,
@@ -71,18 +71,17 @@
         }
     }
 
-    /// The time to take for weights that are found at this moment and were named before.
+    /// Estimated naming time for weights that are discovered now and were named before.
     pub fn guess(&self, now: Moment) -> Named {
         let age = self.bound.saturating_sub(GUESSED_LEFT);
         Named::Guessed(now.less(age))
     }
 
-    /// The time to take for weights that are found at this moment, by a VM that knew all that was named up
-    /// to a moment before.
+    /// Estimated naming time for weights that are discovered now, by a VM that knew all namings up to `known`.
     ///
-    /// Load: the store drops its history right after a naming, and all VMs find it again at once. Taken for
-    /// as old as it may be after a start, it would shut all engines within seconds, long before any of
-    /// them could load, and callers would be refused by all VMs.
+    /// When the store drops its history right after a naming, all VMs discover the version at once. An estimate as
+    /// old as after a start would shut all engines within seconds, long before any of them could load, and all
+    /// VMs would refuse callers.
     pub fn guess_after(&self, known: Moment, now: Moment) -> Named {
         match self.guess(now) {
             Named::Guessed(at) => Named::Guessed(at.max(known)),
@@ -90,9 +89,9 @@
         }
     }
 
-    /// Takes in a naming; whether it is newer than all known ones of its model.
+    /// Adds a naming; returns whether its version is newer than all known ones of its model.
     ///
-    /// An older one counts too: an engine may be behind it, and its time says for how long.
+    /// Older versions are recorded too: an engine may not have loaded one, and its time says for how long.
     pub fn learn(&mut self, model: &SmolStr, version: WeightsVersion, named: Named) -> bool {
         let (at, guessed) = match named {
             Named::At(at) => (at, false),
@@ -112,8 +111,8 @@
         newer
     }
 
-    /// Forgets namings that decide nothing any more: of those older than the bound, the newest of a model
-    /// shuts out all that is behind it.
+    /// Drops namings without effect: among a model's namings older than the bound, the newest one excludes all
+    /// engines that have not loaded it.
     pub fn forget(&mut self, now: Moment) {
         let bound = self.bound;
         for known in self.models.values_mut() {
@@ -123,7 +122,7 @@
         }
     }
 
-    /// All namings, to tell a peer.
+    /// All namings, to send to a peer.
     pub fn all(&self) -> impl Iterator<Item = (&SmolStr, Naming)> {
         let each = self.models.iter();
         each.flat_map(|(model, known)| known.iter().map(move |naming| (model, *naming)))
@@ -140,19 +139,18 @@
         self.models.get(model)?.last().copied()
     }
 
-    /// The version that requests for a model should go to, if engines have had time to load it.
+    /// The version that requests for a model should use, if engines have had time to load it.
     ///
-    /// Right after a naming all engines are old, and an answer from them is worth as much.
+    /// Right after a naming all engines are outdated, and their answers are worth as much.
     pub fn wanted(&self, model: &str, now: Moment) -> WeightsVersion {
         let newest = self.newest_of(model);
         let loaded = newest.filter(|naming| now.since(naming.at) >= SETTLING);
         loaded.map_or_else(WeightsVersion::default, |naming| naming.version)
     }
 
-    /// When newer weights than these were first named; none if these are the newest.
+    /// When these weights were first superseded, or `None` if they are the newest.
     ///
-    /// An engine that comes back after a crash has the weights that it had before, however many
-    /// were named since.
+    /// An engine that returns after a crash has the weights that it had before, however many were named since.
     pub fn overtaken(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
         let known = self.models.get(model)?;
         let newer = known.iter().filter(|naming| naming.version > version);
@@ -170,20 +168,20 @@
         let Some(overtaken) = self.overtaken(model, version) else {
             return true;
         };
-        let kept = LEAST_WAIT.max(wait * WAITS);
-        now.since(overtaken) + kept < self.bound
+        let reserved = MIN_WAIT.max(wait * WAIT_FACTOR);
+        now.since(overtaken) + reserved < self.bound
     }
 
-    /// Until when a request must have begun on these weights, or is taken back; none if they are the newest.
+    /// Until when a request must have started on these weights to not be withdrawn, or `None` if they are the newest.
     pub fn begin_by(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
-        let left = self.bound.saturating_sub(WITHDRAWAL);
+        let left = self.bound.saturating_sub(WITHDRAWAL_MARGIN);
         self.overtaken(model, version).map(|at| at + left)
     }
 }
 
 impl Naming {
-    /// Takes in another word on the same naming: a time that was seen goes before a guess, and the
-    /// earliest one before those who heard of it late.
+    /// Merges another report of the same naming: an observed time takes precedence over an estimate, and an earlier
+    /// time over a later one, which comes from a VM that learned of the naming late.
     fn refine(&mut self, other: Self) {
         if self.guessed == other.guessed {
             self.at = self.at.min(other.at);
