--- a/crates/sesamegap-policy/src/routing/patience.rs
+++ b/crates/sesamegap-policy/src/routing/patience.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-/// Longest silence before the first event while the engine sends nothing on other connections either. Under
-/// light load, 99 of 100 first tokens of long prompts arrive within 0.9 to 1.2 s.
+/// Longest silence before the first event while the engine sends nothing on other connections either. On an
+/// uneventful day, 99 of 100 first tokens of long prompts arrive within 0.9 to 1.2 s.
 pub const FIRST_EVENT: Duration = Duration::from_millis(1_100);
 
 /// Longest silence before the first event while the engine sends on other connections.
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -1,4 +1,4 @@
-//! What is believed of an upstream, against the truth that a small world plays.
+//! Compares the view of an upstream with the truth in a small simulation.
 
 mod world;
 
@@ -18,27 +18,26 @@
     Vec::arbitrary(&mut gen_)
 }
 
-/// The first seed at which a judge and the truth part.
-fn first_fault(seeds: u64, judge: impl Fn() -> Box<dyn Judge>) -> Option<(u64, String)> {
+/// The first seed at which a judge contradicts the truth.
+fn first_failing_seed(seeds: u64, judge: impl Fn() -> Box<dyn Judge>) -> Option<(u64, String)> {
     (0..seeds).find_map(|seed| {
         let fault = play(&steps(seed), &mut *judge()).err()?;
         Some((seed, fault))
     })
 }
 
-/// Writes are late or lost, an upstream starts again, leaves or ends, the store is away, and words are
-/// told twice and out of order. When it is over, an upstream that lives must get requests, one that is gone
-/// none, and one that said that it leaves must not have come back.
+/// Writes are delayed or lost, upstreams restart, leave or crash, the store becomes unreachable, and updates are
+/// duplicated and reordered. Afterwards a live upstream must get requests and a gone one none, and one that announced
+/// that it leaves must not have been restored.
 #[test]
-fn belief_ends_up_with_the_truth() {
-    let fault = first_fault(cases(2_000), || Box::new(Real::new()));
+fn the_view_converges_to_the_truth() {
+    let fault = first_failing_seed(cases(2_000), || Box::new(Real::new()));
     assert_eq!(fault, None);
 }
 
-/// The same words in any order and as often as one likes: entry VMs hear from several readers, and must
-/// come to believe the same.
+/// Entry VMs receive the same updates from several readers in any order and number, and must reach the same view.
 #[test]
-fn words_may_come_in_any_order() {
+fn updates_may_arrive_in_any_order() {
     for seed in 0..cases(500) {
         let world = play(&steps(seed), &mut Real::new()).expect("checked by the other test");
         let mut words: Vec<ListUpdate> = (0..world.log.len()).map(|no| world.word(no)).collect();
@@ -60,15 +59,14 @@
     }
 }
 
-/// Goes by heartbeats alone, with a tombstone for a minute: it has no positions, so a removal counts as
-/// often as it is told.
+/// Uses only heartbeats and a one-minute tombstone. Without positions, a removal counts as often as it is received.
 #[derive(Debug, Default)]
-struct ByBeats {
+struct HeartbeatsOnly {
     known: Option<Listing>,
     tomb: Option<u64>,
 }
 
-impl Judge for ByBeats {
+impl Judge for HeartbeatsOnly {
     fn apply(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         match word.said {
             ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
@@ -96,14 +94,14 @@
     }
 }
 
-/// Goes by positions alone: a record that was done late is the truth.
+/// Uses only positions, and so takes a delayed record as the truth.
 #[derive(Debug, Default)]
-struct ByPositions {
+struct PositionsOnly {
     at: Option<LogPosition>,
     known: Option<Listing>,
 }
 
-impl Judge for ByPositions {
+impl Judge for PositionsOnly {
     fn apply(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         if self.at.is_none_or(|at| at < word.at) {
             self.at = Some(word.at);
@@ -133,32 +131,32 @@
     }
 }
 
-/// The real one, which hears other words than were said, or for which no time passes.
+/// The real implementation with altered updates, or without expiry.
 #[derive(Debug)]
 struct Altered {
     real: Real,
-    heard: fn(ListUpdate) -> ListUpdate,
+    alter: fn(ListUpdate) -> ListUpdate,
     expires: bool,
 }
 
 impl Altered {
-    fn new(heard: fn(ListUpdate) -> ListUpdate) -> Self {
+    fn new(alter: fn(ListUpdate) -> ListUpdate) -> Self {
         Self {
             real: Real::new(),
-            heard,
+            alter,
             expires: true,
         }
     }
 
-    /// What it doubts stays in doubt.
-    fn doubting() -> Self {
+    /// Doubt never ends.
+    fn without_expiry() -> Self {
         Self {
             expires: false,
             ..Self::new(|word| word)
         }
     }
 
-    fn lifeless() -> Self {
+    fn without_incarnations() -> Self {
         Self::new(|word| {
             let said = match word.said {
                 ListRecord::Listed(listing) => ListRecord::Listed(Listing {
@@ -171,8 +169,8 @@
         })
     }
 
-    /// Offsets of a restored store are compared with those of before.
-    fn timeless() -> Self {
+    /// Offsets of a restored store are compared with those from before the restore.
+    fn without_timelines() -> Self {
         Self::new(|word| ListUpdate {
             at: offset(word.at.offset.0),
             ..word
@@ -182,7 +180,7 @@
 
 impl Judge for Altered {
     fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.real.apply((self.heard)(word), contact, now)
+        self.real.apply((self.alter)(word), contact, now)
     }
 
     fn expire(&mut self, contact: &StoreReachability, now: u64) {
@@ -204,19 +202,24 @@
     }
 }
 
-/// A test that cannot fail shows nothing.
+/// Verifies that the simulation detects broken implementations.
 #[test]
-fn orders_of_words_that_do_not_hold_are_caught() {
+fn broken_orderings_are_detected() {
     type Made = fn() -> Box<dyn Judge>;
     let broken: [(&str, Made); 5] = [
-        ("heartbeats alone", || Box::new(ByBeats::default())),
-        ("positions alone", || Box::new(ByPositions::default())),
-        ("endless doubt", || Box::new(Altered::doubting())),
-        ("no lives", || Box::new(Altered::lifeless())),
-        ("no timelines", || Box::new(Altered::timeless())),
+        ("heartbeats alone", || Box::new(HeartbeatsOnly::default())),
+        ("positions alone", || Box::new(PositionsOnly::default())),
+        ("endless doubt", || Box::new(Altered::without_expiry())),
+        ("no incarnations", || {
+            Box::new(Altered::without_incarnations())
+        }),
+        ("no timelines", || Box::new(Altered::without_timelines())),
     ];
     for (name, judge) in broken {
-        assert!(first_fault(2_000, judge).is_some(), "{name} goes unnoticed");
+        assert!(
+            first_failing_seed(2_000, judge).is_some(),
+            "{name} is not detected"
+        );
     }
 }
 
@@ -238,7 +241,7 @@
     }
 }
 
-fn hear(belief: &mut Belief, word: ListUpdate, ms: u64) -> Change {
+fn apply(belief: &mut Belief, word: ListUpdate, ms: u64) -> Change {
     belief.apply(
         word,
         &Rules::default(),
@@ -247,17 +250,17 @@
     )
 }
 
-/// A worker's heartbeats were held up until the store dropped its entry; the first of them to be done lists
-/// it again. It is older than what the VM knows, and no other record follows, since only the heartbeat
-/// changes from then on. The worker would stay out for good.
+/// A worker's heartbeats are delayed until the store drops its entry, and the first to complete lists it again. That
+/// record is older than the known one, and no other follows, since only the heartbeat changes from then on. The
+/// worker would stay excluded forever.
 #[test]
-fn a_late_record_that_stands_brings_a_worker_back() {
+fn a_delayed_record_that_remains_restores_a_worker() {
     let rules = Rules::default();
     let mut belief = Belief::new(at(0));
-    assert_eq!(hear(&mut belief, listed(0, 5, Some(1)), 0), Change::New);
-    assert_eq!(hear(&mut belief, removed(1), 4_000), Change::Gone);
+    assert_eq!(apply(&mut belief, listed(0, 5, Some(1)), 0), Change::New);
+    assert_eq!(apply(&mut belief, removed(1), 4_000), Change::Gone);
     assert_eq!(
-        hear(&mut belief, listed(2, 4, Some(1)), 5_000),
+        apply(&mut belief, listed(2, 4, Some(1)), 5_000),
         Change::Doubted
     );
     assert!(!belief.is_known());
@@ -268,16 +271,16 @@
     assert!(belief.is_known());
 }
 
-/// The same with a worker that is gone: the store drops the entry that a late heartbeat made, and no
-/// request must have been sent there meanwhile.
+/// The same with a worker that is gone: the store drops the entry that the delayed heartbeat created, and no request may
+/// be sent there in between.
 #[test]
-fn a_late_record_that_does_not_stand_brings_nobody_back() {
+fn a_delayed_record_that_is_dropped_restores_no_worker() {
     let mut belief = Belief::new(at(0));
-    hear(&mut belief, listed(0, 5, Some(1)), 0);
-    hear(&mut belief, removed(1), 4_000);
-    hear(&mut belief, listed(2, 5, Some(1)), 5_000);
+    apply(&mut belief, listed(0, 5, Some(1)), 0);
+    apply(&mut belief, removed(1), 4_000);
+    apply(&mut belief, listed(2, 5, Some(1)), 5_000);
     assert!(!belief.is_known());
-    assert_eq!(hear(&mut belief, removed(3), 8_600), Change::Gone);
+    assert_eq!(apply(&mut belief, removed(3), 8_600), Change::Gone);
     let end = belief.expire(&Rules::default(), &StoreReachability::default(), at(20_000));
     assert_eq!(end, Change::Same);
     assert!(!belief.is_known() && !belief.is_forgotten(at(20_000)));
@@ -285,14 +288,14 @@
     assert!(belief.is_forgotten(forgotten));
 }
 
-/// While the store cannot be read nobody sees it drop an entry, so that one stands says nothing then.
+/// While the store is unreachable no VM sees it drop an entry, so an entry that remains proves nothing.
 #[test]
-fn a_doubt_does_not_end_while_the_store_is_away() {
+fn doubt_does_not_end_while_the_store_is_unreachable() {
     let rules = Rules::default();
     let mut belief = Belief::new(at(0));
-    hear(&mut belief, listed(0, 5, None), 0);
-    hear(&mut belief, removed(1), 4_000);
-    hear(&mut belief, listed(2, 5, None), 5_000);
+    apply(&mut belief, listed(0, 5, None), 0);
+    apply(&mut belief, removed(1), 4_000);
+    apply(&mut belief, listed(2, 5, None), 5_000);
     let mut contact = StoreReachability::default();
     contact.store(false, at(5_500));
     assert_eq!(belief.expire(&rules, &contact, at(30_000)), Change::Same);
@@ -302,10 +305,10 @@
     assert_eq!(belief.expire(&rules, &contact, stood), Change::New);
 }
 
-/// A worker said that it leaves and is gone; then it starts again under its id. It must get requests at
-/// once, and what its former life still writes must not take it out.
+/// A worker announces that it leaves, ends, and restarts under the same id. It must get requests at once, and delayed
+/// writes of its previous incarnation must not remove it.
 #[test]
-fn a_worker_that_starts_again_is_another_one() {
+fn a_restarted_worker_is_a_new_incarnation() {
     let mut belief = Belief::new(at(0));
     let mut leaving = listed(0, 90, Some(1));
     leaving.said = ListRecord::Listed(Listing {
@@ -313,15 +316,15 @@
         born: Some(Incarnation(1)),
         leaving: true,
     });
-    hear(&mut belief, leaving, 0);
-    assert_eq!(hear(&mut belief, removed(1), 2_000), Change::Gone);
+    apply(&mut belief, leaving, 0);
+    assert_eq!(apply(&mut belief, removed(1), 2_000), Change::Gone);
     assert_eq!(
-        hear(&mut belief, listed(2, 1, Some(50)), 3_000),
+        apply(&mut belief, listed(2, 1, Some(50)), 3_000),
         Change::Restarted
     );
     assert!(belief.is_known() && !belief.is_leaving());
     leaving.at = offset(3);
-    assert_eq!(hear(&mut belief, leaving, 3_500), Change::Former);
+    assert_eq!(apply(&mut belief, leaving, 3_500), Change::Former);
     assert!(belief.is_known() && !belief.is_leaving());
     assert_eq!(
         belief.observe_incarnation(Some(Incarnation(1))),
@@ -334,14 +337,14 @@
     assert_eq!(belief.born(), Some(Incarnation(70)));
 }
 
-/// Entries lapse with the store away. Who lives writes within two seconds of its return, however long it
-/// was away; giving anybody longer sends requests to workers that are gone.
+/// Entries lapse while the store is unreachable. A live worker writes within two seconds of the store's return, however
+/// long it was away; a longer limit would send requests to workers that are gone.
 #[test]
 fn a_lapse_ends_two_seconds_after_the_stores_return() {
     let rules = Rules::default();
     let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
-    hear(&mut belief, listed(0, 5, Some(1)), 0);
+    apply(&mut belief, listed(0, 5, Some(1)), 0);
     contact.store(false, at(1_000));
     let lapsed = belief.apply(removed(1), &rules, &contact, at(1_500));
     assert_eq!(lapsed, Change::Lapsed);
@@ -353,14 +356,14 @@
     assert_eq!(belief.expire(&rules, &contact, due), Change::Gone);
 }
 
-/// Words of one upstream in a world without trouble: the log is short, and so is what is heard.
+/// Without faults, an upstream writes a single record to the log.
 #[test]
-fn a_quiet_world_says_little() {
+fn a_run_without_faults_writes_one_record() {
     let world: World = play(&[Step::Pass(250)], &mut Real::new()).expect("nothing happens");
     assert_eq!(world.log.len(), 1, "heartbeats are not written to the log");
 }
 
-/// Guards against a worker that is shut out because a restored store lists it with the heartbeat known before.
+/// Guards against excluding a worker because a restored store lists it with a heartbeat that was known before.
 #[test]
 fn a_worker_missing_from_a_restored_list_comes_back_with_the_same_heartbeat() {
     let rules = Rules::default();
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -1,4 +1,4 @@
-//! An upstream, the store that lists it, and a VM that hears of it, in steps of a tenth of a second.
+//! Simulates an upstream, the store that lists it and a VM that follows the list, in steps of a tenth of a second.
 
 use crate::support::at;
 use quickcheck::{Arbitrary, Gen};
@@ -9,50 +9,50 @@
 use std::collections::BTreeSet;
 
 /// Steps between heartbeats.
-const BEAT: u64 = 12;
+const HEARTBEAT: u64 = 12;
 
-/// Steps of silence after which the store drops an entry.
-const SILENT: u64 = 3 * BEAT;
+/// Steps without a heartbeat after which the store drops an entry.
+const EXPIRY: u64 = 3 * HEARTBEAT;
 
-/// Steps between two readings of the list.
-const PACE: u64 = 13;
+/// Steps between reads of the list.
+const READ_INTERVAL: u64 = 13;
 
-/// Steps for which an upstream that leaves is still listed.
-const DRAINS: u64 = 20;
+/// Steps for which a leaving upstream is still listed.
+const DRAIN: u64 = 20;
 
-/// Steps after which all must be known: what is held up has come, what it listed was dropped, doubts and
-/// lapses are over.
-pub const QUIET: u64 = 60 + SILENT + 20 + 56 + 2 * PACE + AGAIN;
+/// Steps after which the view must match the truth: delayed writes have arrived and their entries have been dropped,
+/// and doubts and lapses have ended.
+pub const SETTLE: u64 = 60 + EXPIRY + 20 + 56 + 2 * READ_INTERVAL + REWRITE;
 
-/// Steps after which an upstream writes its entry again to a store that was restored.
-const AGAIN: u64 = 15;
+/// Steps after which an upstream rewrites its entry to a restored store.
+const REWRITE: u64 = 15;
 
-/// What may happen.
+/// Event of the simulation.
 #[derive(Debug, Clone)]
 pub enum Step {
     /// Time passes.
     Pass(u8),
-    /// Writes reach the store after so many steps.
+    /// From now on, writes reach the store after this many steps.
     Late(u8),
-    /// Writes reach the store at once.
+    /// From now on, writes reach the store at once.
     Prompt,
-    /// Writes are lost.
+    /// From now on, writes are lost.
     Lost,
-    /// The upstream starts again; what it has under way may still come.
+    /// The upstream restarts; its writes in flight may still arrive.
     Restart,
-    /// It says that it leaves.
+    /// The upstream announces that it leaves.
     Leave,
-    /// It leaves, and takes out its entry without a word.
+    /// The upstream removes its entry and leaves without announcing it.
     Vanish,
-    /// It ends.
+    /// The upstream crashes.
     Crash,
-    /// The VM is told of a record again, whether it has read it or not.
+    /// The VM receives an update again, whether it has read it or not.
     Tell(u8),
-    /// The store comes back from a copy without so many of its newest records.
+    /// The store is restored from a copy that lacks this many of the newest records.
     Restore(u8),
-    /// The VM does not reach the store.
+    /// The VM cannot reach the store.
     Away,
-    /// It does.
+    /// The VM can reach the store again.
     Back,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// What decides about one upstream.
+/// Implementation that decides whether an upstream is present.
 pub trait Judge {
     fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
     fn expire(&mut self, contact: &StoreReachability, now: u64);
@@ -85,7 +85,7 @@
     fn born(&self) -> Option<Incarnation>;
 }
 
-/// The real one.
+/// The real implementation.
 #[derive(Debug)]
 pub struct Real(pub Belief, pub Rules);
 
@@ -118,7 +118,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum Delivery {
     At(u64),
     Lost,
 }
@@ -133,15 +133,15 @@
 #[derive(Debug)]
 pub struct World {
     pub now: u64,
-    way: Way,
+    delivery: Delivery,
     alive: Option<Listing>,
     ends: Option<u64>,
     next_beat: u64,
-    under_way: Vec<(u64, Listing)>,
+    in_flight: Vec<(u64, Listing)>,
     entry: Option<Entry>,
     pub log: Vec<ListRecord>,
     timeline: Timeline,
-    /// All words of all timelines, which may be told at any time.
+    /// All updates of all timelines, which may be received at any time.
     words: Vec<ListUpdate>,
 }
 
@@ -149,11 +149,11 @@
     pub fn new() -> Self {
         let mut world = Self {
             now: 0,
-            way: Way::At(0),
+            delivery: Delivery::At(0),
             alive: None,
             ends: None,
             next_beat: 0,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             entry: None,
             log: Vec::new(),
             timeline: Timeline(0),
@@ -163,7 +163,7 @@
         world
     }
 
-    /// The upstream, if it is there to stay.
+    /// The upstream, if it runs and is not leaving.
     pub fn alive(&self) -> Option<Listing> {
         self.alive.filter(|listing| !listing.leaving)
     }
@@ -175,7 +175,7 @@
         }
     }
 
-    /// What the list's newest record says, as a VM reads it that reads the whole list.
+    /// The list's newest state, as seen by a VM that reads the whole list.
     fn newest(&self) -> Option<ListUpdate> {
         let last = self.log.len().checked_sub(1)?;
         let said = match &self.entry {
@@ -195,18 +195,18 @@
 
     fn restore(&mut self, lost: usize) {
         self.timeline = Timeline(self.timeline.0 + 1);
-        // The first record is always in the copy, or the list would have no position to speak of.
+        // The copy always contains the first record, since the list would have no position otherwise.
         let kept = self.log.len().saturating_sub(lost).max(1);
         self.log.truncate(kept);
         self.entry = match self.log.last() {
             Some(ListRecord::Listed(listing)) => Some(Entry {
                 listing: *listing,
-                until: self.now + SILENT,
+                until: self.now + EXPIRY,
             }),
             _ => None,
         };
         if self.alive.is_some() {
-            self.next_beat = self.next_beat.min(self.now + AGAIN);
+            self.next_beat = self.next_beat.min(self.now + REWRITE);
         }
     }
 
@@ -222,14 +222,14 @@
 
     pub fn act(&mut self, step: &Step) {
         match step {
-            Step::Late(by) => self.way = Way::At(u64::from(*by)),
-            Step::Prompt => self.way = Way::At(0),
-            Step::Lost => self.way = Way::Lost,
+            Step::Late(by) => self.delivery = Delivery::At(u64::from(*by)),
+            Step::Prompt => self.delivery = Delivery::At(0),
+            Step::Lost => self.delivery = Delivery::Lost,
             Step::Restart => self.start(),
             Step::Leave => {
                 if let Some(listing) = &mut self.alive {
                     listing.leaving = true;
-                    self.ends = Some(self.now + DRAINS);
+                    self.ends = Some(self.now + DRAIN);
                     self.next_beat = self.now;
                 }
             }
@@ -252,14 +252,14 @@
         {
             listing.beat += 1;
             let listing = *listing;
-            self.next_beat = self.now + BEAT;
-            if let Way::At(by) = self.way {
-                self.under_way.push((self.now + by, listing));
+            self.next_beat = self.now + HEARTBEAT;
+            if let Delivery::At(by) = self.delivery {
+                self.in_flight.push((self.now + by, listing));
             }
         }
         let due = |(when, _): &mut (u64, Listing)| *when <= self.now;
-        let landed: Vec<_> = self.under_way.extract_if(.., due).collect();
-        for (_, listing) in landed {
+        let arrived: Vec<_> = self.in_flight.extract_if(.., due).collect();
+        for (_, listing) in arrived {
             self.write(listing);
         }
         let silent = |entry: &Entry| entry.until <= self.now;
@@ -278,7 +278,7 @@
         }
         self.entry = Some(Entry {
             listing,
-            until: self.now + SILENT,
+            until: self.now + EXPIRY,
         });
     }
 
@@ -289,7 +289,7 @@
     }
 }
 
-/// The VM, as far as it hears of the upstream.
+/// The VM's state for the upstream.
 struct Vm<'a> {
     judge: &'a mut dyn Judge,
     contact: StoreReachability,
@@ -304,7 +304,7 @@
     fn tick(&mut self, world: &World) -> Result<(), String> {
         let now = world.now;
         if now >= self.next_read {
-            self.next_read = now + PACE;
+            self.next_read = now + READ_INTERVAL;
             self.contact.store(!self.away, at(now * 100));
             if !self.away {
                 self.read(world, now);
@@ -329,7 +329,7 @@
         self.read = world.log.len();
     }
 
-    /// One that said that it leaves, and is gone, does not come back in this life.
+    /// An upstream that announced that it leaves and is gone must not come back in the same incarnation.
     fn check(&mut self, now: u64) -> Result<(), String> {
         let (known, life) = (self.judge.is_known(), self.judge.born());
         if !known && self.judge.is_leaving() {
@@ -343,7 +343,7 @@
     }
 }
 
-/// Plays what happens, then lets it be quiet; says where belief and truth part.
+/// Plays the events, lets the system settle, and reports where the view and the truth differ.
 pub fn play(steps: &[Step], judge: &mut dyn Judge) -> Result<World, String> {
     let mut world = World::new();
     let mut vm = Vm {
@@ -379,7 +379,7 @@
     }
     vm.away = false;
     world.act(&Step::Prompt);
-    for _ in 0..QUIET {
+    for _ in 0..SETTLE {
         world.tick();
         vm.tick(&world)?;
     }
@@ -388,7 +388,7 @@
     let life = world.alive().map(|listing| listing.born);
     match life {
         Some(born) if !usable || judge.born() != born => Err(format!(
-            "{born:?} lives and is not used: {:?}",
+            "{born:?} is alive but not used: {:?}",
             judge.born()
         )),
         None if usable => Err("it is used though it is gone".to_owned()),
--- a/crates/sesamegap-policy/tests/testsuite/routing/budget.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/budget.rs
@@ -13,20 +13,20 @@
     Moment(ms * 1_000)
 }
 
-/// A service fails for all callers at once, and every VM wants to repeat every request. Callers
-/// would notice that first attempts of others find no place.
+/// When a service fails for all callers at once and every VM wants to retry every request, retries must not displace
+/// first attempts.
 #[test]
 fn all_vms_together_stay_under_the_bound() {
     let vms = 7;
     let mut budgets: Vec<Budget> = (0..vms).map(|_| Budget::new(BOUND)).collect();
-    let mut repeats: Vec<u64> = Vec::new();
+    let mut retries: Vec<u64> = Vec::new();
     let mut requests: Vec<u64> = Vec::new();
     for ms in (0..30_000).step_by(10) {
         for budget in &mut budgets {
             budget.request(at(ms));
             requests.push(ms);
             if budget.repeat(at(ms), vms) {
-                repeats.push(ms);
+                retries.push(ms);
             }
         }
     }
@@ -35,21 +35,21 @@
             let inside = times.iter().filter(|ms| (end - 10_000..end).contains(*ms));
             inside.count() as f64
         };
-        let most = BOUND.ratio * within(&requests) + BOUND.slack;
+        let limit = BOUND.ratio * within(&requests) + BOUND.slack;
         assert!(
-            within(&repeats) <= most,
-            "{} repeats of {most} before {end}",
-            within(&repeats)
+            within(&retries) <= limit,
+            "{} retries of {limit} before {end}",
+            within(&retries)
         );
     }
     assert!(
-        repeats.len() > 1_000,
-        "the bound must also be used: {}",
-        repeats.len()
+        retries.len() > 1_000,
+        "the budget must also be used: {}",
+        retries.len()
     );
 }
 
-/// One VM restarts and knows of no peer yet, so it takes the whole allowance for its own.
+/// A VM that has restarted and knows no peer yet treats the whole allowance as its own.
 #[test]
 fn a_vm_that_knows_no_peer_takes_less_than_the_fleets_allowance() {
     let mut budget = Budget::new(BOUND);
@@ -62,20 +62,20 @@
         let mut budget = Budget::new(BOUND);
         let mut now = 0;
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for (pause, is_request) in steps {
             now += u64::from(pause) % 400;
             if is_request {
                 budget.request(at(now));
                 requests.push(now);
             } else if budget.repeat(at(now), 9) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
-        repeats.iter().all(|end| {
+        retries.iter().all(|end| {
             let since = end.saturating_sub(9_500);
             let count = |times: &[u64]| times.iter().filter(|ms| (since..=*end).contains(*ms)).count();
-            count(&repeats) as f64 <= BOUND.ratio * count(&requests) as f64 + BOUND.slack / 9.0 + 1.0
+            count(&retries) as f64 <= BOUND.ratio * count(&requests) as f64 + BOUND.slack / 9.0 + 1.0
         })
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -61,10 +61,9 @@
     }
 }
 
-/// Two entry VMs have served different requests and never spoke. If they placed one dossier on
-/// two engines, its prefix would be computed twice.
+/// If two entry VMs that never exchanged a message placed one dossier on two engines, its prefix would be computed twice.
 #[test]
-fn vms_agree_on_a_dossiers_engine_without_a_message() {
+fn vms_agree_on_the_engine_of_a_dossier_without_messages() {
     let fleet = engines(9);
     let (mut one, mut two) = (Recall::default(), Recall::default());
     for preamble in 0..4 {
@@ -80,8 +79,8 @@
     }
 }
 
-/// All caches are empty after new weights, and dossiers of one preamble arrive together. Each
-/// engine would compute the preamble for itself.
+/// After new weights all caches are empty. When dossiers of one preamble arrive together, each engine would compute the
+/// preamble itself.
 #[test]
 fn the_first_dossier_of_a_preamble_goes_to_its_home_and_the_next_ones_fetch_from_there() {
     let fleet = engines(9);
@@ -100,13 +99,13 @@
     }
     assert!(
         spread > 20,
-        "dossiers spread over homes of their own: {spread}"
+        "dossiers spread over their own homes: {spread}"
     );
 }
 
-/// Weights change on some engines. An entry made under other weights must never be fetched.
+/// A cache entry computed with other weights must never be fetched.
 #[test]
-fn nothing_is_fetched_from_other_weights() {
+fn nothing_is_fetched_across_weight_versions() {
     let mut fleet = engines(9);
     let recall = Recall::default();
     for (no, engine) in fleet.iter_mut().enumerate() {
@@ -120,8 +119,7 @@
     }
 }
 
-/// A quarter of the traffic asks for one dossier. Its callers would wait in one queue while other
-/// engines are idle.
+/// When a quarter of the traffic uses one dossier, its callers would wait in one queue while other engines are idle.
 #[test]
 fn a_hot_dossier_spills_over_and_fetches_from_its_home() {
     let mut fleet = engines(9);
@@ -142,10 +140,10 @@
     assert!(holds || fetches, "{spilled:?}");
 }
 
-/// Long reviews and short chats come together at full load. A chat on an engine that reads long
-/// prompts gets its tokens in jerks, and its memory is missing for cached prefixes.
+/// At full load, a chat on an engine that prefills long prompts gets its tokens in bursts, and its memory is not
+/// available for cached prefixes.
 #[test]
-fn long_and_short_prompts_have_engines_of_their_own_until_one_kind_queues() {
+fn long_and_short_prompts_use_separate_engines_until_one_kind_queues() {
     let mut fleet = engines(9);
     let recall = Recall::default();
     for thing in 0..100 {
@@ -160,12 +158,12 @@
     let review = choose(&prompt(1, 1, 3_000), &fleet, 1, &recall).expect("open");
     assert!(
         !fleet[review.at].long,
-        "two seconds of queue are worse than a stranger's engine"
+        "two seconds of queue cost more than an engine of the other kind"
     );
 }
 
 #[test]
-fn engines_beside_the_store_take_the_long_prompts() {
+fn engines_in_the_stores_failure_domain_take_the_long_prompts() {
     let divided: Vec<Divided> = (0..9)
         .map(|seed| Divided {
             seed,
@@ -177,11 +175,10 @@
     assert_eq!(long.iter().filter(|long| **long).count(), 6);
 }
 
-/// Each failure domain has a store of kept cache, and a dossier's home is busy. On an engine beside
-/// another store what the home has lost would be read again, so one beside the same store is taken,
-/// and one elsewhere fetches from the home.
+/// Each failure domain has a kept-KV store, and a dossier's home is busy. An engine that uses another store would prefill
+/// again what the home has lost, so one with the same store is preferred; an engine elsewhere fetches from the home.
 #[test]
-fn a_prompt_that_leaves_its_home_stays_beside_the_same_store() {
+fn a_prompt_that_leaves_its_home_prefers_the_same_store() {
     let mut fleet = engines(60);
     for engine in &mut fleet {
         engine.store = 1 + engine.seed % 3;
@@ -197,7 +194,7 @@
         assert_eq!(fleet[spilled.at].store, fleet[home].store);
         assert!(spilled.at_store);
         for engine in &mut fleet {
-            if engine.store == 1 + fleet_store(home) {
+            if engine.store == 1 + store_index(home) {
                 engine.unread = 90_000;
             }
         }
@@ -207,14 +204,14 @@
     }
 }
 
-fn fleet_store(home: usize) -> u64 {
+fn store_index(home: usize) -> u64 {
     home as u64 % 3
 }
 
-/// Chats hold all slots of some engines for a second or more. One more there would wait for a slot
-/// while others are free.
+/// Chats hold all slots of some engines for a second or more. Another chat there would wait for a slot while other engines
+/// have free ones.
 #[test]
-fn a_chat_goes_past_engines_whose_slots_are_taken() {
+fn a_chat_avoids_engines_without_a_free_slot() {
     let mut fleet = engines(20);
     for engine in &mut fleet {
         engine.slots = 12;
@@ -229,7 +226,7 @@
     }
 }
 
-/// An engine goes dark. Callers would wait for a connection that never opens.
+/// Callers sent to an unresponsive engine would wait for a connection that never opens.
 #[test]
 fn a_suspect_or_paused_engine_gets_nothing_while_others_are_open() {
     let mut fleet = engines(6);
@@ -260,7 +257,7 @@
     );
 }
 
-/// A VM has seen more prefixes than it may remember.
+/// A VM that observes more prefixes than it may store evicts the oldest.
 #[test]
 fn recall_is_bounded_and_keeps_the_newest() {
     let mut recall = Recall::default();
@@ -272,8 +269,8 @@
     assert!(!recall.served(1, &engine));
 }
 
-/// Guards against prompts that all go to the home of their preamble, which the VM no longer recalls since so many
-/// engines have served it.
+/// Guards against prompts that all go to the home of their preamble because the VM has evicted the home's entry after
+/// many engines served the preamble.
 #[test]
 fn a_preamble_that_all_engines_served_counts_as_served_at_its_home() {
     let fleet = engines(16);
@@ -291,7 +288,7 @@
     assert!(placed.count() < 50);
 }
 
-/// Guards against a prefix that is fetched from an engine that has most likely dropped it.
+/// Guards against fetching a prefix from an engine that has most likely evicted it.
 #[test]
 fn a_prefix_is_fetched_from_the_engine_that_served_it_last() {
     let fleet = engines(9);
--- a/crates/sesamegap-policy/tests/testsuite/routing/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions of an entry VM that knows only its own traffic.
+//! Tests of an entry VM's routing decisions.
 
 mod belief;
 mod budget;
--- a/crates/sesamegap-policy/tests/testsuite/routing/plain.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/plain.rs
@@ -12,10 +12,10 @@
     }
 }
 
-/// One worker answers eight times as slowly while its health check is good. Callers whose work
-/// goes there wait a second for what takes the others a moment.
+/// A worker answers eight times as slowly as the others while its health check passes, so callers sent there would
+/// wait a second.
 #[test]
-fn a_slow_worker_gets_work_only_when_the_others_are_full() {
+fn a_slow_worker_gets_requests_only_when_the_others_are_full() {
     let slow = Worker {
         slowness: 8.0,
         ..worker()
@@ -30,9 +30,9 @@
     assert!(sent[0] <= 2, "{sent:?}");
 }
 
-/// A worker fails nearly all it gets, at once, and so always looks idle.
+/// A worker that fails nearly all requests immediately always looks idle.
 #[test]
-fn a_worker_that_fails_fast_does_not_draw_all_work() {
+fn a_worker_that_fails_fast_does_not_attract_all_requests() {
     let failing = Worker {
         faults: 0.9,
         ..worker()
@@ -45,16 +45,16 @@
 }
 
 #[test]
-fn equals_take_turns() {
+fn ties_are_spread_over_workers() {
     let workers = [worker(), worker(), worker()];
     let chosen: Vec<_> = (0..3).filter_map(|turn| choose(&workers, turn)).collect();
     assert_eq!(chosen.len(), 3);
     assert!(chosen.iter().any(|no| *no != chosen[0]), "{chosen:?}");
 }
 
-/// All workers were unreachable a moment ago. A refusal would be certain, a try may succeed.
+/// When all workers were recently unreachable, an attempt may still succeed, whereas a refusal always fails the caller.
 #[test]
-fn a_suspect_is_better_than_none_but_one_that_leaves_is_not() {
+fn a_suspect_worker_is_chosen_as_a_last_resort_but_a_paused_one_is_not() {
     let suspect = Worker {
         state: Openness::Suspect,
         ..worker()
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -4,16 +4,16 @@
 use sesamegap_wire::{LogPosition, Moment, Offset, Timeline};
 use std::time::Duration;
 
-const PACE: Duration = Duration::from_secs(2);
+const READ_INTERVAL: Duration = Duration::from_secs(2);
 
 fn at(ms: u64) -> Moment {
     Moment(0) + Duration::from_millis(ms)
 }
 
-/// A word of another VM may have been held up on its way for seconds, and something may have been written since
-/// it was read there. Only an own call tells up to when nothing else was there.
+/// A peer's update may be delayed for seconds, and the table may have changed since the peer read it. Only this VM's
+/// own call shows up to when its data is complete.
 #[test]
-fn only_own_calls_tell_up_to_when_all_was_known() {
+fn only_own_calls_show_up_to_when_the_data_is_complete() {
     let mut position = read_up_to(10);
     assert_eq!(position.complete(), None);
     position.asked(at(100));
@@ -37,80 +37,86 @@
 }
 
 #[test]
-fn a_word_that_joins_spares_a_call() {
+fn a_contiguous_update_replaces_a_read() {
     let mut position = read_up_to(100);
     assert_eq!(position.hear(span(90, 120), true, at(1_500)), Heard::Joined);
     assert_eq!(position.next(), Some(offset(120)));
-    assert_eq!(position.left(PACE, at(2_500)), Duration::from_secs(1));
+    assert_eq!(
+        position.left(READ_INTERVAL, at(2_500)),
+        Duration::from_secs(1)
+    );
 }
 
-/// A datagram with a leaving upstream is lost. A VM that went on with the next word would send
-/// requests to an upstream that is gone.
+/// If the datagram about a leaving upstream is lost, a VM that continued with the next update would send requests to an
+/// upstream that is gone.
 #[test]
-fn a_vm_that_missed_a_word_reads_for_itself_from_where_it_stands() {
+fn a_vm_that_missed_an_update_reads_from_its_own_position() {
     let mut position = read_up_to(100);
     assert_eq!(position.hear(span(110, 120), true, at(500)), Heard::Missed);
     assert_eq!(position.next(), Some(offset(100)));
-    assert_eq!(position.left(PACE, at(500)), Duration::ZERO);
+    assert_eq!(position.left(READ_INTERVAL, at(500)), Duration::ZERO);
     position.read(offset(118), at(600));
     assert_eq!(
-        position.left(PACE, at(600)),
+        position.left(READ_INTERVAL, at(600)),
         Duration::ZERO,
         "not yet there"
     );
     position.read(offset(125), at(700));
-    assert_eq!(position.left(PACE, at(700)), PACE);
+    assert_eq!(position.left(READ_INTERVAL, at(700)), READ_INTERVAL);
 }
 
-/// A document is too long for a datagram, so the word on it says that it does not tell all. A VM that
-/// took it as whole would go on with revoked keys.
+/// A settings document that is too long for a datagram is announced by an incomplete update. A VM that took the update
+/// as complete would keep using revoked keys.
 #[test]
-fn a_word_that_does_not_tell_all_is_read_for_once() {
+fn an_incomplete_update_causes_one_read() {
     let mut position = read_up_to(100);
     assert_eq!(position.hear(span(100, 101), false, at(10)), Heard::Missed);
     position.read(offset(101), at(20));
     assert_eq!(position.hear(span(100, 101), false, at(30)), Heard::Joined);
-    assert_eq!(position.left(PACE, at(30)), PACE);
+    assert_eq!(position.left(READ_INTERVAL, at(30)), READ_INTERVAL);
 }
 
-/// A reader was suspended between reading and telling. What it says is seconds old, and must not make
-/// its hearers wait.
+/// A reader that was suspended between its read and its update sends data that is seconds old, which must not extend
+/// the receivers' time limit.
 #[test]
-fn an_old_word_gives_no_time() {
+fn an_old_update_does_not_extend_the_time_limit() {
     let mut position = read_up_to(100);
     position.hear(span(100, 150), true, at(100));
     assert_eq!(position.hear(span(90, 120), true, at(1_900)), Heard::Old);
-    assert_eq!(position.left(PACE, at(2_100)), Duration::ZERO);
+    assert_eq!(position.left(READ_INTERVAL, at(2_100)), Duration::ZERO);
 }
 
-/// All readers are cut off. The bound on leaving upstreams holds for the others all the same.
+/// When all readers are unreachable, the bound on leaving upstreams must still hold for the other VMs.
 #[test]
-fn without_a_word_in_time_a_vm_reads_for_itself() {
+fn without_an_update_in_time_a_vm_reads_the_table_itself() {
     let mut position = read_up_to(100);
-    assert_eq!(position.left(PACE, at(1_999)), Duration::from_millis(1));
-    assert_eq!(position.left(PACE, at(2_000)), Duration::ZERO);
+    assert_eq!(
+        position.left(READ_INTERVAL, at(1_999)),
+        Duration::from_millis(1)
+    );
+    assert_eq!(position.left(READ_INTERVAL, at(2_000)), Duration::ZERO);
     position.begin();
-    assert_eq!(position.left(PACE, at(0)), Duration::ZERO);
+    assert_eq!(position.left(READ_INTERVAL, at(0)), Duration::ZERO);
     assert_eq!(position.hear(span(0, 200), true, at(0)), Heard::Missed);
 }
 
-/// Words of three readers whose datagrams are lost, doubled and held up.
+/// Updates of three readers, whose datagrams are lost, duplicated and delayed.
 #[derive(Debug, Clone)]
-struct Words(Vec<(u8, u8, bool, bool)>);
+struct Updates(Vec<(u8, u8, bool, bool)>);
 
-impl Arbitrary for Words {
+impl Arbitrary for Updates {
     fn arbitrary(g: &mut Gen) -> Self {
         Self(Vec::arbitrary(g))
     }
 }
 
 quickcheck! {
-    /// Whatever is lost, a VM never counts a change as known that it was not told and did not read.
-    fn nothing_is_passed_over(words: Words) -> TestResult {
+    /// Whatever is lost, a VM never counts a change as known that it neither received nor read.
+    fn no_change_is_skipped(updates: Updates) -> TestResult {
         let mut position = read_up_to(0);
         let mut known = [false; 256];
-        let mut upto = 0_usize;
-        for (from, length, lost, whole) in words.0 {
+        let mut known_until = 0_usize;
+        for (from, length, lost, whole) in updates.0 {
             let (from, next) = (usize::from(from), usize::from(from.saturating_add(length)));
             if !lost {
                 if whole {
@@ -119,18 +125,18 @@
                 position.hear(span(from as u64, next as u64), whole, at(0));
             }
             let claimed = position.next().map_or(0, |next| usize::try_from(next.offset.0).unwrap_or(0));
-            if claimed < upto || !known[..claimed].iter().all(|known| *known) {
+            if claimed < known_until || !known[..claimed].iter().all(|known| *known) {
                 return TestResult::failed();
             }
-            upto = claimed;
+            known_until = claimed;
         }
         TestResult::passed()
     }
 }
 
-/// Guards against a word on a restored log that is taken to join what was known of the log before.
+/// Guards against an update of a restored log that is treated as contiguous with the log before the restore.
 #[test]
-fn a_word_of_a_newer_timeline_is_read_for() {
+fn an_update_of_a_newer_timeline_causes_a_read() {
     let mut position = read_up_to(100);
     let on = |timeline, no| LogPosition::new(Timeline(timeline), Offset(no));
     let restored = Span {
@@ -138,7 +144,7 @@
         next: on(1, 110),
     };
     assert_eq!(position.hear(restored, true, at(10)), Heard::Missed);
-    assert_eq!(position.left(PACE, at(10)), Duration::ZERO);
+    assert_eq!(position.left(READ_INTERVAL, at(10)), Duration::ZERO);
     position.begin();
     position.read(on(1, 110), at(20));
     assert_eq!(position.hear(span(100, 500), true, at(30)), Heard::Old);
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -9,33 +9,33 @@
 use sesamegap_policy::routing::shards::{Division, SMALL, owner};
 use std::time::Duration;
 
-/// Prompt tokens that an engine of this world reads in a millisecond.
-const READS: u64 = 38;
+/// Prompt tokens that a simulated engine prefills per millisecond.
+const PREFILL_PER_MS: u64 = 38;
 
-/// Tokens of a prompt, of which most are shared.
+/// Tokens of a prompt, most of them shared.
 const TOKENS: u64 = 9_000;
 
-/// Part of the time for which engines read, in percent.
-const BUSY: u64 = 45;
+/// Share of the time that engines spend on prefill, in percent.
+const PREFILL_PERCENT: u64 = 45;
 
-/// Milliseconds played.
-const PLAYED: u64 = 20_000;
+/// Simulated milliseconds.
+const SIMULATED_MS: u64 = 20_000;
 
-/// Milliseconds until a VM hears of what another has placed, where it does.
-const TOLD: u64 = 60;
+/// Milliseconds until a VM learns of a peer's placement, if it does.
+const PEER_DELAY_MS: u64 = 60;
 
-/// How VMs know what engines have to read.
+/// How VMs learn the prefill backlog of engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
-    /// Each goes by what it sent itself, and what every third prompt's VM told all.
-    Told,
-    /// Owners of shards place.
-    Owned,
+enum Placing {
+    /// Each VM uses its own prompts, and every third prompt of its peers.
+    ByEachVm,
+    /// The owner of the shard places the prompt.
+    ByOwner,
 }
 
 struct Fleet {
     seeds: Vec<u64>,
-    /// When each engine has read all that it got.
+    /// When each engine has prefilled all its prompts.
     free: Vec<u64>,
 }
 
@@ -66,11 +66,11 @@
             .collect()
     }
 
-    /// Sends a prompt to an engine; how many milliseconds later it is read.
+    /// Sends a prompt to an engine; returns after how many milliseconds it is prefilled.
     fn send(&mut self, seed: u64, now: u64) -> u64 {
         let no = self.seeds.iter().position(|known| *known == seed);
         let free = &mut self.free[no.expect("an engine of the fleet")];
-        *free = (*free).max(now) + TOKENS / READS;
+        *free = (*free).max(now) + TOKENS / PREFILL_PER_MS;
         *free - now
     }
 }
@@ -83,7 +83,7 @@
     }
 }
 
-/// What one VM knows to be unread: tokens, since when, and until when they count.
+/// Prompts that one VM knows to be unread, by engine: since when and until when each counts.
 #[derive(Debug, Default)]
 struct Known(FxHashMap<u64, Vec<(u64, u64)>>);
 
@@ -100,8 +100,8 @@
     }
 }
 
-/// Plays full load; the share of prompts that are read later than a second after they came.
-fn late(vms: usize, count: usize, way: Way) -> f64 {
+/// Simulates full load; returns the share of prompts whose prefill ends more than a second after their arrival.
+fn late_share(vms: usize, count: usize, placing: Placing) -> f64 {
     let mut rng = StdRng::seed_from_u64(vms as u64);
     let mut fleet = Fleet::new(count);
     let names: Vec<u64> = (0..vms).map(|no| seed(&format!("vm-{no}"))).collect();
@@ -109,11 +109,13 @@
     let mut owned: Vec<Placed<u64>> = (0..vms).map(|_| Placed::default()).collect();
     let mut reads: Vec<(u64, usize, u64)> = Vec::new();
     let division = Division::of(count);
-    let prompts = count as u64 * BUSY * READS * PLAYED / (100 * TOKENS);
-    let mut times: Vec<u64> = (0..prompts).map(|_| rng.random_range(0..PLAYED)).collect();
+    let prompts = count as u64 * PREFILL_PERCENT * PREFILL_PER_MS * SIMULATED_MS / (100 * TOKENS);
+    let mut times: Vec<u64> = (0..prompts)
+        .map(|_| rng.random_range(0..SIMULATED_MS))
+        .collect();
     times.sort_unstable();
     let (mut late, mut recall) = (0, Recall::default());
-    // Outer prefixes are read everywhere before the load comes.
+    // All engines have prefilled the outer prefixes before the load starts.
     for seed in &fleet.seeds {
         (0..4).for_each(|outer| recall.note(outer, *seed, 1, at(0)));
     }
@@ -122,7 +124,7 @@
         let vm = rng.random_range(0..vms);
         let prompt = prompt(rng.random_range(0..12 * count as u64));
         reads.retain(|(when, owner, number)| {
-            let due = *when + TOLD <= now;
+            let due = *when + PEER_DELAY_MS <= now;
             if due {
                 owned[*owner].end(number);
             }
@@ -130,19 +132,19 @@
         });
         let home = inner_home(&prompt, fleet.seeds.iter().map(|seed| (*seed, true)));
         let shard = division.shard(home.expect("engines"));
-        let desk = owner(shard, names.iter().copied()).expect("VMs");
-        let views = match way {
-            Way::Told => fleet.views(|_| true, |seed| known[vm].unread(seed, now)),
-            Way::Owned => fleet.views(
+        let placing_vm = owner(shard, names.iter().copied()).expect("VMs");
+        let views = match placing {
+            Placing::ByEachVm => fleet.views(|_| true, |seed| known[vm].unread(seed, now)),
+            Placing::ByOwner => fleet.views(
                 |seed| division.shard(seed) == shard,
-                |seed| owned[desk].at(seed).unread,
+                |seed| owned[placing_vm].at(seed).unread,
             ),
         };
         let choice = engines::choose(&prompt, &views, 1, &recall).expect("an open engine");
         let chosen = views[choice.at];
         let took = fleet.send(chosen.seed, now);
         late += u64::from(took > 1_000);
-        if way == Way::Owned {
+        if placing == Placing::ByOwner {
             let placement = Placement {
                 life: chosen.seed,
                 tokens: TOKENS,
@@ -151,32 +153,35 @@
                 prefixes: Vec::new(),
                 version: 1,
             };
-            owned[desk].begin(number, placement, at(now));
-            reads.push((now + took, desk, number));
+            owned[placing_vm].begin(number, placement, at(now));
+            reads.push((now + took, placing_vm, number));
             continue;
         }
         known[vm].note(chosen.seed, now, now + took);
         if number.is_multiple_of(3) {
             let until = now + took;
             let others = known.iter_mut().enumerate().filter(|(no, _)| *no != vm);
-            others.for_each(|(_, known)| known.note(chosen.seed, now + TOLD, until));
+            others.for_each(|(_, known)| known.note(chosen.seed, now + PEER_DELAY_MS, until));
         }
     }
     late as f64 / prompts as f64
 }
 
-/// Guards against prompts that queue at some engines beside idle ones, since no VM knows what the others sent.
+/// Guards against prompts that queue at some engines beside idle ones because no VM knows what its peers sent.
 #[test]
 fn prompts_placed_by_owners_wait_less_in_large_fleets() {
     for (vms, engines) in [(85, 90), (195, 117), (340, 400)] {
-        let told = late(vms, engines, Way::Told);
-        let owned = late(vms, engines, Way::Owned);
-        assert!(owned < 0.02, "{vms} VMs: {owned} late");
-        assert!(owned * 3.0 < told, "{vms} VMs: {owned} late, told {told}");
+        let by_each_vm = late_share(vms, engines, Placing::ByEachVm);
+        let by_owner = late_share(vms, engines, Placing::ByOwner);
+        assert!(by_owner < 0.02, "{vms} VMs: {by_owner} late");
+        assert!(
+            by_owner * 3.0 < by_each_vm,
+            "{vms} VMs: {by_owner} late with owners, {by_each_vm} without"
+        );
     }
 }
 
-/// Guards against shards without engines, and against an owner of all.
+/// Guards against shards without engines, and against one VM that owns all shards.
 #[test]
 fn shards_and_owners_are_spread() {
     for engines in [12, 90, 117, 140, 1_700] {
@@ -201,9 +206,9 @@
     assert!(owners.len() > 12 && vms.len() > SMALL, "{owners:?}");
 }
 
-/// Guards against prompts that all change owners when one engine or VM comes or goes.
+/// Guards against a change of most owners when a single engine or VM joins or leaves.
 #[test]
-fn a_division_in_two_splits_shards_and_moves_none() {
+fn doubling_the_shards_splits_each_in_two() {
     let (coarse, fine) = (Division::from_bits(3), Division::from_bits(4));
     for no in 0..500 {
         let seed = seed(&format!("engine-{no}"));
@@ -231,9 +236,9 @@
     }
 }
 
-/// Guards against engines that seem busy for good, since a VM died that had prompts there.
+/// Guards against engines that look busy forever because a VM with prompts there crashed.
 #[test]
-fn what_nobody_speaks_of_is_forgotten() {
+fn placements_without_reports_expire() {
     let mut placed = Placed::default();
     placed.begin(1, placement(9), at(0));
     placed.expire(at(700));
@@ -256,9 +261,9 @@
     assert_eq!(placed.at(9), Sum::default());
 }
 
-/// Guards against sums that drift when words come twice, late or in another order.
+/// Guards against totals that drift when reports are duplicated, late or reordered.
 #[test]
-fn words_in_any_order_leave_nothing_behind() {
+fn reports_in_any_order_leave_no_residue() {
     let mut placed = Placed::default();
     assert_eq!(placed.read(&1), None);
     placed.begin(1, placement(9), at(0));
@@ -266,7 +271,7 @@
     assert_eq!(placed.at(9), Sum::default());
     let read = placed.read(&1).expect("it was placed");
     assert_eq!((read.life, read.version, read.prefixes.len()), (8, 4, 1));
-    assert_eq!(placed.read(&1), None, "noted once");
+    assert_eq!(placed.read(&1), None, "reported once");
     placed.end(&1);
     placed.end(&1);
     assert_eq!(placed.at(8), Sum::default());
--- a/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const ENGINES: u64 = 140;
-const DARK: u64 = 35;
+const UNRESPONSIVE: u64 = 35;
 
 fn at(ms: u64) -> Moment {
     Moment(0) + Duration::from_millis(ms)
@@ -20,7 +20,7 @@
     Word { seed, avoided_ms }
 }
 
-/// A VM, and how often and until when it avoids engines.
+/// A VM with the number of failures and the end of the avoidance for each engine.
 #[derive(Debug, Default)]
 struct Vm {
     silences: Silences,
@@ -39,7 +39,7 @@
         }
     }
 
-    fn meet_dark(&mut self, seed: u64, now: Moment) {
+    fn record_failure(&mut self, seed: u64, now: Moment) {
         let (failures, until) = self.avoided.entry(seed).or_insert((0, now));
         let alone = Duration::from_millis(600 << (*failures).min(3));
         *failures += 1;
@@ -47,47 +47,50 @@
     }
 }
 
-/// Ten seconds of 500 requests a second over 84 VMs; how many meet a dark engine.
-fn meet_dark(tells: bool) -> usize {
+/// Simulates ten seconds of 500 requests a second over 84 VMs; returns how many hit an unresponsive engine.
+fn requests_to_unresponsive(share_reports: bool) -> usize {
     let mut rng = StdRng::seed_from_u64(7);
     let mut vms: Vec<Vm> = Vec::new();
     vms.resize_with(84, Vm::default);
-    let mut met = 0;
+    let mut hits = 0;
     for step in 0..5_000 {
         let now = at(2 * step);
         let no = rng.random_range(0..vms.len());
         let seed = vms[no].choose(&mut rng, now);
-        if seed >= DARK {
+        if seed >= UNRESPONSIVE {
             vms[no].silences.answered(seed, false, now);
         } else {
-            met += 1;
-            vms[no].meet_dark(seed, now);
+            hits += 1;
+            vms[no].record_failure(seed, now);
         }
-        let said = vms[no].silences.said();
-        for (other, hearer) in vms.iter_mut().enumerate().filter(|_| tells) {
+        let reports = vms[no].silences.said();
+        for (other, receiver) in vms.iter_mut().enumerate().filter(|_| share_reports) {
             if other != no {
-                for word in &said {
-                    hearer.silences.take(&vm(no), *word, now);
+                for word in &reports {
+                    receiver.silences.take(&vm(no), *word, now);
                 }
             }
         }
     }
-    met
+    hits
 }
 
-/// A quarter of the engines goes dark. If every VM finds out for itself, one caller in five waits for a
+/// When a quarter of the engines stops responding and every VM detects this itself, one caller in five waits for a
 /// connection that never opens.
 #[test]
-fn few_callers_meet_dark_engines_once_vms_tell_each_other() {
-    let (alone, told) = (meet_dark(false), meet_dark(true));
+fn sharing_reports_keeps_most_callers_from_unresponsive_engines() {
+    let (alone, shared) = (
+        requests_to_unresponsive(false),
+        requests_to_unresponsive(true),
+    );
     assert!(alone > 800, "{alone} of 5,000 alone");
-    assert!(told * 4 < alone, "{told} told, {alone} alone");
+    assert!(shared * 4 < alone, "{shared} shared, {alone} alone");
 }
 
-/// One VM loses its way to all engines, not to its peers. If its word counted, no engine would be left
-/// to anybody.
+/// A VM loses its connection to all engines, but not to its peers. If its reports counted, no VM would have an engine
+/// left.
 #[test]
-fn a_vm_that_is_cut_off_itself_persuades_nobody() {
+fn reports_of_a_vm_that_is_cut_off_have_no_effect() {
     let mut cut = Silences::default();
     let mut other = Silences::default();
     for seed in 0..5 {
@@ -106,32 +109,31 @@
     assert_eq!(late.said(), [], "nothing has answered it");
 }
 
-/// An engine comes back. It would stay idle for as long as it was last avoided.
+/// Guards against an engine that responds again but stays idle for the rest of the avoidance.
 #[test]
-fn an_engine_that_answers_one_vm_is_open_to_all_again() {
+fn an_engine_that_answers_one_vm_is_available_to_all_again() {
     let mut silences = Silences::default();
     silences.take(&vm(1), word(9, 4_800), at(0));
-    assert!(!silences.is_silent(9, at(1)), "one voice is not enough");
+    assert!(!silences.is_silent(9, at(1)), "one report is not enough");
     silences.take(&vm(2), word(9, 4_800), at(2));
     assert!(silences.is_silent(9, at(3)));
     silences.take(&vm(1), word(9, 0), at(1_000));
     assert!(!silences.is_silent(9, at(1_001)));
 }
 
-/// An engine is silent to two VMs and answers a third. The third must not leave its answers there for
-/// what the others say.
+/// An engine does not answer two VMs but answers a third, which must keep using it despite the others' reports.
 #[test]
-fn what_a_vm_sees_itself_goes_before_the_words_of_others() {
+fn own_observations_take_precedence_over_reports() {
     let mut silences = Silences::default();
     silences.take(&vm(1), word(9, 600), at(0));
     silences.take(&vm(2), word(9, 600), at(0));
     silences.answered(9, false, at(10));
     assert!(!silences.is_silent(9, at(11)));
-    assert_eq!(silences.said(), [word(9, 0)], "and it says so");
+    assert_eq!(silences.said(), [word(9, 0)], "it reports the recovery");
 }
 
 #[test]
-fn words_wear_off() {
+fn reports_expire() {
     let mut silences = Silences::default();
     silences.take(&vm(1), word(9, 600), at(0));
     silences.take(&vm(2), word(9, 600), at(0));
--- a/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
@@ -3,7 +3,7 @@
 /// Ticks in a second.
 const TICKS: usize = 20;
 
-fn told(audience: Audience, peers: usize) -> usize {
+fn recipients(audience: Audience, peers: usize) -> usize {
     match audience {
         Audience::Nobody => 0,
         Audience::Turn => FANOUT.min(peers),
@@ -11,10 +11,10 @@
     }
 }
 
-/// 84 VMs place two long prompts a second each. A VM that has not heard of the others' takes an
-/// engine that reads for idle, and its caller's answer is stalled.
+/// With 84 VMs that each place two long prompts a second, a VM that does not know the others' prompts takes an engine
+/// that is prefilling for idle, and an answer stalls.
 #[test]
-fn the_begin_of_a_prompt_is_told_to_all_at_once() {
+fn the_start_of_a_prompt_is_sent_to_all_peers_at_once() {
     let mut telling = Telling::default();
     for _ in 0..5 * TICKS {
         telling.tick(Sum::default(), false, 83);
@@ -36,10 +36,9 @@
     }
 }
 
-/// A burst of prompts at 340 VMs. If each begin were told to all, the VMs' links and processors would
-/// be taken up by it.
+/// Guards against broadcasts that exhaust links and processors when prompts arrive in a burst at 340 VMs.
 #[test]
-fn what_is_sent_in_a_second_is_bounded_however_many_prompts_begin() {
+fn the_send_rate_is_bounded_however_many_prompts_start() {
     for peers in [6, 83, 339] {
         let mut telling = Telling::default();
         let sent: usize = (0..30 * TICKS as u64)
@@ -48,29 +47,29 @@
                     running: 5,
                     unread: 1 + tick,
                 };
-                told(telling.tick(now, true, peers), peers)
+                recipients(telling.tick(now, true, peers), peers)
             })
             .sum();
-        let a_second = sent / 30;
-        assert!(a_second <= 400 + FANOUT * TICKS, "{peers}: {a_second}");
+        let per_second = sent / 30;
+        assert!(per_second <= 400 + FANOUT * TICKS, "{peers}: {per_second}");
         assert!(
-            a_second >= FANOUT.min(peers) * TICKS / 2,
-            "{peers}: {a_second}"
+            per_second >= FANOUT.min(peers) * TICKS / 2,
+            "{peers}: {per_second}"
         );
     }
 }
 
-/// The last datagram of a VM was lost and nothing changes any more. Its peers would count its load
-/// for seconds, or not at all.
+/// If a VM's last datagram is lost and its load no longer changes, its peers would count the load wrongly unless it
+/// is sent again.
 #[test]
-fn an_unchanged_load_is_told_again_and_an_empty_one_no_longer() {
+fn an_unchanged_load_is_sent_again_unless_it_is_empty() {
     let mut telling = Telling::default();
     let held = Sum {
         running: 2,
         unread: 0,
     };
-    let again = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Audience::Turn);
-    assert!(again.count() >= 6);
+    let repeated = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Audience::Turn);
+    assert!(repeated.count() >= 6);
     let mut telling = Telling::default();
     telling.tick(Sum::default(), true, 8);
     let empty =
--- a/crates/sesamegap-policy/tests/testsuite/routing/transfers.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/transfers.rs
@@ -17,15 +17,15 @@
 }
 
 #[test]
-fn a_prompt_at_its_home_fetches_from_the_store_and_has_what_it_lacks_kept() {
+fn a_prompt_at_its_home_fetches_from_the_store_and_saves_to_it() {
     let found = wish(&review());
     assert!(found.from_store && found.save, "{found:?}");
 }
 
-/// Prompts of one dossier follow each other within a second. A transfer each time would queue on the
-/// link of the store for what the engine still has.
+/// Prompts of one dossier follow each other within a second. Fetching each time would queue on the store's link for
+/// data that the engine still holds.
 #[test]
-fn what_the_engine_has_just_served_is_not_fetched() {
+fn recently_served_parts_are_not_fetched() {
     let served = Wish {
         served: Some(Duration::from_millis(800)),
         ..review()
@@ -36,13 +36,13 @@
         served: Some(Duration::from_secs(5)),
         ..review()
     };
-    assert!(wish(&long_ago).from_store, "its memory has turned over");
+    assert!(wish(&long_ago).from_store, "its cache has turned over");
 }
 
-/// One store's link is shared by 140 engines in three failure domains. Transfers of those farther off
-/// would queue for seconds and hold up the prompts.
+/// When 140 engines in three failure domains share a store's link, transfers to other failure domains would queue for
+/// seconds and delay the prompts.
 #[test]
-fn a_link_that_many_share_is_left_to_the_engines_beside_it() {
+fn a_link_shared_by_many_engines_serves_only_its_own_failure_domain() {
     let far = |engines| Wish {
         link: Some(Link {
             near: false,
@@ -59,10 +59,10 @@
     );
 }
 
-/// The prompt's home is beside another store, or no store answers. Asked in vain, a dead one holds the
-/// prompt up by a tenth of a second.
+/// The prompt's home uses another store, or no store answers. A fetch from a dead store delays the prompt by a tenth of
+/// a second.
 #[test]
-fn without_a_store_that_has_the_parts_the_home_is_asked() {
+fn without_a_usable_store_parts_are_fetched_from_the_home() {
     let elsewhere = Wish {
         at_store: false,
         ..review()
@@ -96,65 +96,66 @@
     assert!(found.from_store && !found.save, "{found:?}");
 }
 
-/// Time in which callers want the first token, in milliseconds.
-const OBJECTIVE: u64 = 600;
+/// Callers' objective for the time to first token, in milliseconds.
+const OBJECTIVE_MS: u64 = 600;
 
-/// Time in which an engine reads a prompt with all its shared parts, in milliseconds.
-const READ: u64 = 100;
+/// Time in which an engine prefills a prompt with all its shared parts, in milliseconds.
+const PREFILL_MS: u64 = 100;
 
-/// One prompt after another that fetches its shared parts through the link of one store.
+/// Simulated store whose link serves fetches of shared parts one after another.
 struct Store {
     /// When its link is free, in microseconds.
     free: u64,
-    /// When what was asked of it arrives, with its load.
-    on_way: Vec<(u64, u64)>,
+    /// Arrival time and load of each fetch in flight.
+    in_flight: Vec<(u64, u64)>,
 }
 
 impl Store {
-    /// When a prompt that comes now has its shared parts, in microseconds.
+    /// Time at which a prompt that arrives now has its shared parts, in microseconds.
     fn serve(&mut self, now: u64, near: bool, bounded: bool) -> u64 {
-        self.on_way.retain(|(at, _)| *at > now);
+        self.in_flight.retain(|(at, _)| *at > now);
         let fetch = Fetch {
             tokens: Fetch::load(6_300, near),
-            ahead: self.on_way.iter().map(|(_, load)| load).sum(),
+            ahead: self.in_flight.iter().map(|(_, load)| load).sum(),
             per_ms: per_ms(78_000, 35_136).expect("the size of a token is known"),
         };
-        if bounded && !fetch.arrives(Duration::from_millis(OBJECTIVE)) {
-            return now + READ * 1_000;
+        if bounded && !fetch.arrives(Duration::from_millis(OBJECTIVE_MS)) {
+            return now + PREFILL_MS * 1_000;
         }
         let takes = fetch.tokens * 1_000 / fetch.per_ms;
         self.free = self.free.max(now) + takes;
-        self.on_way.push((self.free, fetch.tokens));
+        self.in_flight.push((self.free, fetch.tokens));
         self.free
     }
 }
 
-/// Prompts that come late of two thousand, at 46 a second, two thirds of them at engines far from the store.
+/// Number of late prompts among two thousand, at 46 a second, two thirds of them at engines in other failure domains
+/// than the store.
 fn late(bounded: bool) -> usize {
     let mut store = Store {
         free: 0,
-        on_way: Vec::new(),
+        in_flight: Vec::new(),
     };
     let waits = (0..2_000u64).map(|no| {
         let now = no * 1_000_000 / 46;
         store.serve(now, no.is_multiple_of(3), bounded) - now
     });
-    waits.filter(|wait| *wait > OBJECTIVE * 1_000).count()
+    waits.filter(|wait| *wait > OBJECTIVE_MS * 1_000).count()
 }
 
-/// All caches are cold after a restart, and every prompt fetches through the one link of the store, which carries
-/// a little less than they want. The queue there grew to more than a second and stayed: engines that ran
-/// five requests gave their first token after 1.4 s, for as long as the day lasted.
+/// After a restart all caches are cold, and every prompt fetches through the store's link, whose capacity is slightly
+/// below the demand. The queue there grew to more than a second and persisted for the rest of the day: engines with
+/// five running requests sent their first token after 1.4 s.
 #[test]
-fn a_store_that_all_prompts_turn_to_makes_none_of_them_late() {
-    assert!(late(false) > 1_000, "the load is not the one meant");
+fn a_store_used_by_all_prompts_makes_none_of_them_late() {
+    assert!(late(false) > 1_000, "the load does not reproduce the queue");
     assert_eq!(late(true), 0);
 }
 
-/// Without the size of a token nobody can tell how long a fetch takes; the store is used as before. A link that carries
-/// less than a token in a millisecond must not seem to carry none.
+/// Without the size of a token the duration of a fetch is unknown, and the store is used without a bound. A link that
+/// carries less than a token per millisecond must not count as one that carries none.
 #[test]
-fn the_pace_of_a_store_follows_from_its_link_and_the_size_of_a_token() {
+fn the_token_rate_of_a_store_follows_from_its_link_and_the_token_size() {
     assert_eq!(per_ms(78_000, 0), None);
     assert_eq!(per_ms(78_000, 35_136).map(NonZeroU64::get), Some(277));
     assert_eq!(per_ms(1, 35_136).map(NonZeroU64::get), Some(1));
--- a/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
@@ -3,7 +3,7 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// Time from a naming after which no request may begin on older weights.
+/// Time after a naming from which no request may start on older weights.
 const BOUND: Duration = Duration::from_secs(8);
 
 fn at(ms: u64) -> Moment {
@@ -27,13 +27,13 @@
     namings.may_send("m", WeightsVersion(version), wait, at(ms))
 }
 
-/// Whatever the wait that is expected, and up to twice as long, a request that is sent begins before the
-/// bound, or is taken back before it.
+/// A request that is sent starts before the bound ends or is withdrawn before, even if its wait is up to twice the
+/// expected one.
 #[test]
-fn what_is_sent_begins_in_time_or_is_taken_back() {
+fn a_sent_request_starts_in_time_or_is_withdrawn() {
     let namings = named(&[(2, Named::At(at(0)))]);
-    let taken_back = namings.begin_by("m", WeightsVersion(1));
-    assert!(taken_back.is_some_and(|until| until < Moment(0) + BOUND));
+    let withdrawn = namings.begin_by("m", WeightsVersion(1));
+    assert!(withdrawn.is_some_and(|until| until < Moment(0) + BOUND));
     for ms in (0..9_000).step_by(50) {
         for wait in (0..9_000).step_by(50) {
             if may_send(&namings, 1, wait, ms) {
@@ -45,8 +45,8 @@
     assert_eq!(namings.begin_by("m", WeightsVersion(2)), None);
 }
 
-/// An engine has 38,000 tokens to read. A prompt that is sent there would begin 2.3 s later, after nobody may
-/// use its weights any more, though an idle engine could still take it.
+/// A prompt sent to an engine with 38,000 tokens left to prefill would start 2.3 s later, when its weights may no longer
+/// be used, though an idle engine could still take it.
 #[test]
 fn a_long_queue_shuts_an_engine_earlier() {
     let namings = named(&[(2, Named::At(at(0)))]);
@@ -55,15 +55,15 @@
     assert!(may_send(&namings, 1, 1_269, 5_000));
 }
 
-/// A VM starts after weights were named twice and hears only of the newest ones. It would count the age of
-/// an engine's weights from the second naming, and send requests there for seconds too long.
+/// A VM that starts after two namings and learns only of the newest would count the age of an engine's weights from
+/// the second one, and send requests there for seconds too long.
 #[test]
-fn a_vm_that_hears_late_learns_of_overtaken_namings_too() {
-    let teller = named(&[(2, Named::At(at(0))), (3, Named::At(at(4_000)))]);
+fn a_vm_that_starts_late_learns_of_superseded_namings_too() {
+    let peer = named(&[(2, Named::At(at(0))), (3, Named::At(at(4_000)))]);
     let mut started = Namings::new(BOUND);
     started.learn(&model(), WeightsVersion(3), Named::At(at(4_000)));
-    let told: Vec<_> = teller.all().collect();
-    for (model, naming) in told {
+    let received: Vec<_> = peer.all().collect();
+    for (model, naming) in received {
         started.learn(model, naming.version, Named::At(naming.at));
     }
     assert_eq!(started.overtaken("m", WeightsVersion(1)), Some(at(0)));
@@ -71,10 +71,10 @@
     assert!(!may_send(&started, 1, 0, 7_000));
 }
 
-/// Two models take new weights in turn. The age of one's naming must not be taken for the other's, or its
-/// engines serve old weights for as long as the other is renamed.
+/// If the naming of one model counted for another, the other's engines would serve old weights for as long as the first
+/// model gets new namings.
 #[test]
-fn each_model_has_its_own_times() {
+fn namings_are_tracked_per_model() {
     let mut namings = named(&[(2, Named::At(at(0)))]);
     namings.learn(&"n".into(), WeightsVersion(5), Named::At(at(6_000)));
     assert!(!may_send(&namings, 1, 0, 7_000));
@@ -82,11 +82,10 @@
     assert_eq!(namings.wanted("n", at(6_500)), WeightsVersion(0));
 }
 
-/// A VM starts, finds weights in the store and cannot know when they were named. Taking them for new would have it
-/// use the ones before for the whole bound; by the time it is held to the bound, three seconds after its
-/// start, it must have stopped.
+/// A VM that starts and finds weights in the store cannot know when they were named. If it took them as new, it would use
+/// the previous ones for the whole bound; it must stop before the bound applies to it, 3 s after its start.
 #[test]
-fn weights_that_are_found_are_taken_for_old() {
+fn weights_with_unknown_naming_time_count_as_old() {
     for secs in [8, 10, 15] {
         let mut namings = Namings::new(Duration::from_secs(secs));
         let guess = namings.guess(at(60_000));
@@ -99,11 +98,11 @@
     }
 }
 
-/// Weights are named while the store drops its history, and a VM that has read all up to a second before finds
-/// them again. They cannot be older than that second; taken for older, they shut all engines long before
-/// the first could load them, and every VM refuses every prompt.
+/// Weights are named while the store drops its history, and a VM that had read everything up to a second before
+/// rediscovers them. They cannot be older than that second. A higher estimate of their age would shut all engines long
+/// before the first could load them, and every VM would refuse every prompt.
 #[test]
-fn weights_found_again_are_no_older_than_what_was_read_before() {
+fn rediscovered_weights_are_no_older_than_the_last_read() {
     for secs in [8, 10, 12, 15] {
         let mut namings = Namings::new(Duration::from_secs(secs));
         let found = namings.guess_after(at(59_000), at(60_000));
@@ -114,10 +113,10 @@
     }
 }
 
-/// A VM was cut off for longer than the bound and finds weights that were named meanwhile, nobody knows when. It
-/// must take them for as old as after a start.
+/// A VM that was cut off for longer than the bound finds weights that were named meanwhile at an unknown time, and must
+/// estimate their age as after a start.
 #[test]
-fn weights_found_after_a_long_cut_are_taken_for_old() {
+fn weights_found_after_a_long_disconnection_count_as_old() {
     let mut namings = Namings::new(BOUND);
     let found = namings.guess_after(at(10_000), at(60_000));
     assert_eq!(found, namings.guess(at(60_000)));
@@ -125,9 +124,9 @@
     assert!(!may_send(&namings, 6, 0, 62_900));
 }
 
-/// What was seen goes before a guess, in whatever order they come, and of two times the earlier one.
+/// An observed time takes precedence over an estimate in any order of arrival, and an earlier time over a later one.
 #[test]
-fn a_guess_yields_to_a_time_that_was_seen() {
+fn an_observed_time_replaces_an_estimate() {
     let seen = [Named::At(at(5_000)), Named::At(at(5_200))];
     let guess = Named::Guessed(at(1_000));
     let orders = [
@@ -141,9 +140,9 @@
     }
 }
 
-/// Weights are named all day. What is remembered stays small, and engines that are far behind stay shut.
+/// Under continuous namings the history stays small, and engines with much older weights stay shut.
 #[test]
-fn old_namings_are_forgotten_but_not_what_they_shut_out() {
+fn old_namings_are_dropped_but_engines_behind_them_stay_shut() {
     let mut namings = Namings::new(BOUND);
     for version in 2..500 {
         let now = at(u64::from(version) * 3_000);
@@ -154,10 +153,10 @@
     }
 }
 
-/// A VM starts and finds weights that were named eight seconds before. It is held to the bound three seconds after
-/// its start, and a request that it sent may still wait at an engine and begin then.
+/// A VM starts and finds weights that were named eight seconds before. The bound applies to it 3 s after its start, when
+/// a request that it sent may still wait at an engine.
 #[test]
-fn what_is_sent_on_a_guess_has_begun_before_the_vm_is_held_to_the_bound() {
+fn requests_sent_on_an_estimate_start_before_the_bound_applies() {
     let mut namings = Namings::new(BOUND);
     let guess = namings.guess(at(60_000));
     namings.learn(&model(), WeightsVersion(7), guess);
