--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -20,7 +20,7 @@
 use crate::telemetry::events;
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::Change;
-use sesamegap_policy::routing::silence::Word;
+use sesamegap_policy::routing::silence::SilenceReport;
 use sesamegap_policy::routing::telling::{Audience, FANOUT, Sum, Telling};
 use sesamegap_wire::VmId;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     /// News of engines.
     Engines(Vec<EngineNews>),
     /// What a VM says of upstreams that do not answer.
-    Silent(VmId, Vec<Word>),
+    Silent(VmId, Vec<SilenceReport>),
     /// What a VM has read of the store for all.
     Reading(Reading),
     /// A store of kept cache does not answer.
@@ -158,7 +158,7 @@
 }
 
 /// Takes in what a VM says of upstreams that do not answer.
-fn take_words(core: &Core, vm: &VmId, words: &[Word]) {
+fn take_words(core: &Core, vm: &VmId, words: &[SilenceReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for word in words {
--- a/crates/sesamegap-policy/src/routing/silence.rs
+++ b/crates/sesamegap-policy/src/routing/silence.rs
@@ -34,7 +34,7 @@
 
 /// A VM's report on an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct SilenceReport {
     /// The upstream's seed, identical on all VMs.
     pub seed: u64,
     /// Milliseconds for which the VM avoids it; zero once it answers again.
@@ -48,7 +48,7 @@
     /// Last avoidance time of an upstream, and until when it is remembered.
     avoided: FxHashMap<u64, (Duration, Moment)>,
     attempts: VecDeque<(Moment, bool)>,
-    outgoing: Vec<Word>,
+    outgoing: Vec<SilenceReport>,
 }
 
 impl Silences {
@@ -63,7 +63,7 @@
         });
         let avoided = avoided.max(shared);
         if self.may_report() {
-            self.outgoing.push(Word {
+            self.outgoing.push(SilenceReport {
                 seed,
                 avoided_ms: u32::try_from(avoided.as_millis()).unwrap_or(u32::MAX),
             });
@@ -80,7 +80,7 @@
         let reported = self.reports.remove(&seed).is_some();
         self.avoided.remove(&seed);
         if avoided || reported {
-            self.outgoing.push(Word {
+            self.outgoing.push(SilenceReport {
                 seed,
                 avoided_ms: 0,
             });
@@ -88,12 +88,12 @@
     }
 
     /// Takes the reports to send to peers.
-    pub fn said(&mut self) -> Vec<Word> {
+    pub fn said(&mut self) -> Vec<SilenceReport> {
         std::mem::take(&mut self.outgoing)
     }
 
     /// Applies a VM's report, replacing its previous one on the same upstream.
-    pub fn take(&mut self, vm: &VmId, word: Word, now: Moment) {
+    pub fn take(&mut self, vm: &VmId, word: SilenceReport, now: Moment) {
         let reports = self.reports.entry(word.seed).or_default();
         reports.retain(|(other, until)| other != vm && now < *until);
         if word.avoided_ms > 0 {
--- a/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
@@ -1,6 +1,6 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sesamegap_policy::routing::silence::{Silences, Word};
+use sesamegap_policy::routing::silence::{SilenceReport, Silences};
 use sesamegap_wire::{Moment, VmId};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     format!("vm-{no}").parse().expect("a name")
 }
 
-fn word(seed: u64, avoided_ms: u32) -> Word {
-    Word { seed, avoided_ms }
+fn word(seed: u64, avoided_ms: u32) -> SilenceReport {
+    SilenceReport { seed, avoided_ms }
 }
 
 /// A VM with the number of failures and the end of the avoidance for each engine.
