--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -24,7 +24,7 @@
 };
 use sesamegap_policy::routing::placed::Placed;
 use sesamegap_policy::routing::recall::Recall;
-use sesamegap_policy::routing::silence::Silences;
+use sesamegap_policy::routing::silence::SilenceReports;
 use sesamegap_policy::routing::weights::{Named, Namings};
 use sesamegap_wire::{Incarnation, LogPosition, Moment, ServiceId, UpstreamId, WeightsVersion};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     /// What this VM has placed for others, by who asked and the number given.
     pub(crate) placed: Placed<(SocketAddr, u64)>,
     pub(crate) kept: Kept,
-    pub(crate) silences: Silences,
+    pub(crate) silences: SilenceReports,
     pub(crate) namings: Namings,
 }
 
@@ -71,7 +71,7 @@
             loads: Loads::default(),
             placed: Placed::default(),
             kept: Kept::default(),
-            silences: Silences::default(),
+            silences: SilenceReports::default(),
             namings: Namings::new(rules.weights),
         }
     }
--- a/crates/sesamegap-policy/src/routing/silence.rs
+++ b/crates/sesamegap-policy/src/routing/silence.rs
@@ -43,7 +43,7 @@
 
 /// Reports of all VMs on unresponsive upstreams.
 #[derive(Debug, Default)]
-pub struct Silences {
+pub struct SilenceReports {
     reports: FxHashMap<u64, Vec<(VmId, Moment)>>,
     /// Last avoidance time of an upstream, and until when it is remembered.
     avoided: FxHashMap<u64, (Duration, Moment)>,
@@ -51,7 +51,7 @@
     outgoing: Vec<SilenceReport>,
 }
 
-impl Silences {
+impl SilenceReports {
     /// Records that an upstream did not answer this VM, which would avoid it for `avoided`. Returns how long to
     /// avoid it.
     pub fn failed(&mut self, seed: u64, avoided: Duration, now: Moment) -> Duration {
--- a/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
@@ -1,6 +1,6 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sesamegap_policy::routing::silence::{SilenceReport, Silences};
+use sesamegap_policy::routing::silence::{SilenceReport, SilenceReports};
 use sesamegap_wire::{Moment, VmId};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 /// A VM with the number of failures and the end of the avoidance for each engine.
 #[derive(Debug, Default)]
 struct Vm {
-    silences: Silences,
+    silences: SilenceReports,
     avoided: HashMap<u64, (u32, Moment)>,
 }
 
@@ -91,8 +91,8 @@
 /// left.
 #[test]
 fn reports_of_a_vm_that_is_cut_off_have_no_effect() {
-    let mut cut = Silences::default();
-    let mut other = Silences::default();
+    let mut cut = SilenceReports::default();
+    let mut other = SilenceReports::default();
     for seed in 0..5 {
         cut.answered(seed, false, at(0));
     }
@@ -104,7 +104,7 @@
         }
     }
     assert!((0..ENGINES).all(|seed| !other.is_silent(seed, at(300))));
-    let mut late = Silences::default();
+    let mut late = SilenceReports::default();
     late.failed(3, Duration::from_millis(600), at(0));
     assert_eq!(late.said(), [], "nothing has answered it");
 }
@@ -112,7 +112,7 @@
 /// Guards against an engine that responds again but stays idle for the rest of the avoidance.
 #[test]
 fn an_engine_that_answers_one_vm_is_available_to_all_again() {
-    let mut silences = Silences::default();
+    let mut silences = SilenceReports::default();
     silences.take(&vm(1), word(9, 4_800), at(0));
     assert!(!silences.is_silent(9, at(1)), "one report is not enough");
     silences.take(&vm(2), word(9, 4_800), at(2));
@@ -124,7 +124,7 @@
 /// An engine does not answer two VMs but answers a third, which must keep using it despite the others' reports.
 #[test]
 fn own_observations_take_precedence_over_reports() {
-    let mut silences = Silences::default();
+    let mut silences = SilenceReports::default();
     silences.take(&vm(1), word(9, 600), at(0));
     silences.take(&vm(2), word(9, 600), at(0));
     silences.answered(9, false, at(10));
@@ -134,7 +134,7 @@
 
 #[test]
 fn reports_expire() {
-    let mut silences = Silences::default();
+    let mut silences = SilenceReports::default();
     silences.take(&vm(1), word(9, 600), at(0));
     silences.take(&vm(2), word(9, 600), at(0));
     assert!(silences.is_silent(9, at(899)));
