--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -139,7 +139,7 @@
 fn news(core: &Core) -> Vec<Datagram> {
     let me = &core.settings().vm;
     let outbox = &core.peers.outbox;
-    let words = core.fleet.lock().silences.said();
+    let words = core.fleet.lock().silences.take_outgoing();
     let engines = outbox.take();
     let mut all = Vec::new();
     all.extend(
--- a/crates/sesamegap-policy/src/routing/silence.rs
+++ b/crates/sesamegap-policy/src/routing/silence.rs
@@ -88,7 +88,7 @@
     }
 
     /// Takes the reports to send to peers.
-    pub fn said(&mut self) -> Vec<SilenceReport> {
+    pub fn take_outgoing(&mut self) -> Vec<SilenceReport> {
         std::mem::take(&mut self.outgoing)
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
@@ -63,7 +63,7 @@
             hits += 1;
             vms[no].record_failure(seed, now);
         }
-        let reports = vms[no].silences.said();
+        let reports = vms[no].silences.take_outgoing();
         for (other, receiver) in vms.iter_mut().enumerate().filter(|_| share_reports) {
             if other != no {
                 for word in &reports {
@@ -99,14 +99,14 @@
     for seed in 0..ENGINES {
         let now = at(100 + seed);
         cut.failed(seed, Duration::from_millis(600), now);
-        for word in cut.said() {
+        for word in cut.take_outgoing() {
             other.take(&vm(1), word, now);
         }
     }
     assert!((0..ENGINES).all(|seed| !other.is_silent(seed, at(300))));
     let mut late = SilenceReports::default();
     late.failed(3, Duration::from_millis(600), at(0));
-    assert_eq!(late.said(), [], "nothing has answered it");
+    assert_eq!(late.take_outgoing(), [], "nothing has answered it");
 }
 
 /// Guards against an engine that responds again but stays idle for the rest of the avoidance.
@@ -129,7 +129,11 @@
     silences.take(&vm(2), word(9, 600), at(0));
     silences.answered(9, false, at(10));
     assert!(!silences.is_silent(9, at(11)));
-    assert_eq!(silences.said(), [word(9, 0)], "it reports the recovery");
+    assert_eq!(
+        silences.take_outgoing(),
+        [word(9, 0)],
+        "it reports the recovery"
+    );
 }
 
 #[test]
