--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -163,7 +163,7 @@
     let mut fleet = core.fleet.lock();
     for word in words {
         let was = fleet.silences.is_silent(word.seed, now);
-        fleet.silences.take(vm, *word, now);
+        fleet.silences.apply(vm, *word, now);
         let is = fleet.silences.is_silent(word.seed, now);
         if was != is {
             let found = fleet.upstreams().find(|up| up.life == word.seed);
--- a/crates/sesamegap-policy/src/routing/silence.rs
+++ b/crates/sesamegap-policy/src/routing/silence.rs
@@ -93,7 +93,7 @@
     }
 
     /// Applies a VM's report, replacing its previous one on the same upstream.
-    pub fn take(&mut self, vm: &VmId, word: SilenceReport, now: Moment) {
+    pub fn apply(&mut self, vm: &VmId, word: SilenceReport, now: Moment) {
         let reports = self.reports.entry(word.seed).or_default();
         reports.retain(|(other, until)| other != vm && now < *until);
         if word.avoided_ms > 0 {
