--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::Change;
 use sesamegap_policy::routing::silence::SilenceReport;
-use sesamegap_policy::routing::telling::{Audience, FANOUT, Sum, Telling};
+use sesamegap_policy::routing::telling::{Audience, FANOUT, RecipientSelector, Sum};
 use sesamegap_wire::VmId;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -106,7 +106,7 @@
     core.quarantine.open(Arc::clone(&socket));
     tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
     let mut last: Vec<Held> = Vec::new();
-    let mut telling = Telling::default();
+    let mut telling = RecipientSelector::default();
     let mut turn = 0;
     let mut ticks: u32 = 0;
     while core.phase() < Phase::Ended {
--- a/crates/sesamegap-policy/src/routing/telling.rs
+++ b/crates/sesamegap-policy/src/routing/telling.rs
@@ -43,13 +43,13 @@
 
 /// State that decides which peers are notified.
 #[derive(Debug, Default)]
-pub struct Telling {
+pub struct RecipientSelector {
     last: Sum,
     unchanged: u32,
     allowance: usize,
 }
 
-impl Telling {
+impl RecipientSelector {
     /// Picks the recipients for one tick; `changed` says whether the load changed since the last tick.
     pub fn tick(&mut self, now: Sum, changed: bool, peers: usize) -> Audience {
         self.allowance = (self.allowance + REFILL).min(MAX_ALLOWANCE);
--- a/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
@@ -1,4 +1,4 @@
-use sesamegap_policy::routing::telling::{Audience, FANOUT, Sum, Telling};
+use sesamegap_policy::routing::telling::{Audience, FANOUT, RecipientSelector, Sum};
 
 /// Ticks in a second.
 const TICKS: usize = 20;
@@ -15,7 +15,7 @@
 /// that is prefilling for idle, and an answer stalls.
 #[test]
 fn the_start_of_a_prompt_is_sent_to_all_peers_at_once() {
-    let mut telling = Telling::default();
+    let mut telling = RecipientSelector::default();
     for _ in 0..5 * TICKS {
         telling.tick(Sum::default(), false, 83);
     }
@@ -40,7 +40,7 @@
 #[test]
 fn the_send_rate_is_bounded_however_many_prompts_start() {
     for peers in [6, 83, 339] {
-        let mut telling = Telling::default();
+        let mut telling = RecipientSelector::default();
         let sent: usize = (0..30 * TICKS as u64)
             .map(|tick| {
                 let now = Sum {
@@ -63,14 +63,14 @@
 /// is sent again.
 #[test]
 fn an_unchanged_load_is_sent_again_unless_it_is_empty() {
-    let mut telling = Telling::default();
+    let mut telling = RecipientSelector::default();
     let held = Sum {
         running: 2,
         unread: 0,
     };
     let repeated = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Audience::Turn);
     assert!(repeated.count() >= 6);
-    let mut telling = Telling::default();
+    let mut telling = RecipientSelector::default();
     telling.tick(Sum::default(), true, 8);
     let empty =
         (0..100 * TICKS).filter(|_| telling.tick(Sum::default(), false, 8) != Audience::Nobody);
