--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::Change;
 use sesamegap_policy::routing::silence::SilenceReport;
-use sesamegap_policy::routing::telling::{Audience, FANOUT, RecipientSelector, Sum};
+use sesamegap_policy::routing::telling::{FANOUT, RecipientSelector, Recipients, Sum};
 use sesamegap_wire::VmId;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -123,9 +123,9 @@
         let peers = core.peers.known().alive;
         let changed = held != last;
         let told = match telling.tick(sum(&held), changed, peers.len()) {
-            Audience::Nobody => Vec::new(),
-            Audience::Turn => some(&peers, &mut turn),
-            Audience::All => peers,
+            Recipients::Nobody => Vec::new(),
+            Recipients::Turn => some(&peers, &mut turn),
+            Recipients::All => peers,
         };
         if !told.is_empty() {
             let datagram = Datagram::Loads(core.settings().vm.clone(), held.clone());
--- a/crates/sesamegap-policy/src/routing/telling.rs
+++ b/crates/sesamegap-policy/src/routing/telling.rs
@@ -32,7 +32,7 @@
 
 /// Recipients of a load update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// No peer.
     Nobody,
     /// The next peers in rotation.
@@ -51,20 +51,20 @@
 
 impl RecipientSelector {
     /// Picks the recipients for one tick; `changed` says whether the load changed since the last tick.
-    pub fn tick(&mut self, now: Sum, changed: bool, peers: usize) -> Audience {
+    pub fn tick(&mut self, now: Sum, changed: bool, peers: usize) -> Recipients {
         self.allowance = (self.allowance + REFILL).min(MAX_ALLOWANCE);
         let begun = now.unread > self.last.unread;
         self.last = now;
         self.unchanged = if changed { 0 } else { self.unchanged + 1 };
         if begun && peers > FANOUT && self.allowance >= peers {
             self.allowance -= peers;
-            return Audience::All;
+            return Recipients::All;
         }
         let idle = now.running == 0 && self.unchanged > REPEAT;
         if self.unchanged.is_multiple_of(REPEAT) && !idle {
-            Audience::Turn
+            Recipients::Turn
         } else {
-            Audience::Nobody
+            Recipients::Nobody
         }
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
@@ -1,13 +1,13 @@
-use sesamegap_policy::routing::telling::{Audience, FANOUT, RecipientSelector, Sum};
+use sesamegap_policy::routing::telling::{FANOUT, RecipientSelector, Recipients, Sum};
 
 /// Ticks in a second.
 const TICKS: usize = 20;
 
-fn recipients(audience: Audience, peers: usize) -> usize {
+fn recipients(audience: Recipients, peers: usize) -> usize {
     match audience {
-        Audience::Nobody => 0,
-        Audience::Turn => FANOUT.min(peers),
-        Audience::All => peers,
+        Recipients::Nobody => 0,
+        Recipients::Turn => FANOUT.min(peers),
+        Recipients::All => peers,
     }
 }
 
@@ -24,12 +24,12 @@
             running: 1,
             unread: 9_000,
         };
-        assert_eq!(telling.tick(begun, true, 83), Audience::All);
+        assert_eq!(telling.tick(begun, true, 83), Recipients::All);
         let read = Sum {
             running: 1,
             unread: 0,
         };
-        assert_ne!(telling.tick(read, true, 83), Audience::All);
+        assert_ne!(telling.tick(read, true, 83), Recipients::All);
         for _ in 0..8 {
             telling.tick(Sum::default(), false, 83);
         }
@@ -68,11 +68,11 @@
         running: 2,
         unread: 0,
     };
-    let repeated = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Audience::Turn);
+    let repeated = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Recipients::Turn);
     assert!(repeated.count() >= 6);
     let mut telling = RecipientSelector::default();
     telling.tick(Sum::default(), true, 8);
     let empty =
-        (0..100 * TICKS).filter(|_| telling.tick(Sum::default(), false, 8) != Audience::Nobody);
+        (0..100 * TICKS).filter(|_| telling.tick(Sum::default(), false, 8) != Recipients::Nobody);
     assert!(empty.count() <= 1);
 }
