--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -124,7 +124,7 @@
         let changed = held != last;
         let told = match telling.tick(sum(&held), changed, peers.len()) {
             Recipients::Nobody => Vec::new(),
-            Recipients::Turn => some(&peers, &mut turn),
+            Recipients::Rotation => some(&peers, &mut turn),
             Recipients::All => peers,
         };
         if !told.is_empty() {
--- a/crates/sesamegap-policy/src/routing/telling.rs
+++ b/crates/sesamegap-policy/src/routing/telling.rs
@@ -36,7 +36,7 @@
     /// No peer.
     Nobody,
     /// The next peers in rotation.
-    Turn,
+    Rotation,
     /// All peers.
     All,
 }
@@ -62,7 +62,7 @@
         }
         let idle = now.running == 0 && self.unchanged > REPEAT;
         if self.unchanged.is_multiple_of(REPEAT) && !idle {
-            Recipients::Turn
+            Recipients::Rotation
         } else {
             Recipients::Nobody
         }
--- a/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
@@ -6,7 +6,7 @@
 fn recipients(audience: Recipients, peers: usize) -> usize {
     match audience {
         Recipients::Nobody => 0,
-        Recipients::Turn => FANOUT.min(peers),
+        Recipients::Rotation => FANOUT.min(peers),
         Recipients::All => peers,
     }
 }
@@ -68,7 +68,7 @@
         running: 2,
         unread: 0,
     };
-    let repeated = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Recipients::Turn);
+    let repeated = (0..3 * TICKS).filter(|_| telling.tick(held, false, 8) == Recipients::Rotation);
     assert!(repeated.count() >= 6);
     let mut telling = RecipientSelector::default();
     telling.tick(Sum::default(), true, 8);
