--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -23,7 +23,7 @@
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
 };
 use sesamegap_policy::routing::placed::Placed;
-use sesamegap_policy::routing::recall::Recall;
+use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::silence::SilenceReports;
 use sesamegap_policy::routing::weights::{Named, Namings};
 use sesamegap_wire::{Incarnation, LogPosition, Moment, ServiceId, UpstreamId, WeightsVersion};
@@ -50,7 +50,7 @@
     /// Of those that were only heard to be removed.
     unlisted: BTreeMap<UpstreamId, Belief>,
     contact: StoreReachability,
-    pub(crate) recall: Recall,
+    pub(crate) recall: CacheLocations,
     pub(crate) loads: Loads,
     /// What this VM has placed for others, by who asked and the number given.
     pub(crate) placed: Placed<(SocketAddr, u64)>,
@@ -67,7 +67,7 @@
             upstreams: BTreeMap::new(),
             unlisted: BTreeMap::new(),
             contact: StoreReachability::default(),
-            recall: Recall::default(),
+            recall: CacheLocations::default(),
             loads: Loads::default(),
             placed: Placed::default(),
             kept: Kept::default(),
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -20,7 +20,7 @@
 //! engine, a lower-ranked engine is chosen when its wait is shorter by more than the cost of fetching the prefix.
 
 use super::Openness;
-use super::recall::Recall;
+use super::recall::CacheLocations;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -191,7 +191,12 @@
 }
 
 /// Picks the engine with the lowest expected time to first token; `newest` is the desired version of the weights.
-pub fn choose(prompt: &Prompt, engines: &[Engine], newest: u32, recall: &Recall) -> Option<Choice> {
+pub fn choose(
+    prompt: &Prompt,
+    engines: &[Engine],
+    newest: u32,
+    recall: &CacheLocations,
+) -> Option<Choice> {
     let fresh = |no: &usize| engines[*no].version >= newest;
     let open = || (0..engines.len()).filter(|no| engines[*no].state != Openness::Paused);
     let new_home = home(prompt, engines, &open().filter(fresh), recall);
@@ -240,7 +245,7 @@
     prompt: &Prompt,
     engines: &[Engine],
     group: &(impl Iterator<Item = usize> + Clone),
-    recall: &Recall,
+    recall: &CacheLocations,
 ) -> Option<usize> {
     let open = || {
         group
@@ -277,7 +282,7 @@
     engines: &[Engine],
     at: usize,
     home: Option<usize>,
-    recall: &Recall,
+    recall: &CacheLocations,
 ) -> Option<usize> {
     let usable = |no: &usize| {
         let engine = &engines[*no];
--- a/crates/sesamegap-policy/src/routing/recall.rs
+++ b/crates/sesamegap-policy/src/routing/recall.rs
@@ -33,14 +33,14 @@
 
 /// Observed pairs of prefix and engine.
 #[derive(Debug, Default)]
-pub struct Recall {
+pub struct CacheLocations {
     prefixes: FxHashMap<u64, Prefix>,
     notes: u64,
     /// Whether this VM places all prompts for the engines it records.
     complete: bool,
 }
 
-impl Recall {
+impl CacheLocations {
     /// Records that this VM places all prompts for some engines from now on.
     pub fn see_all(&mut self) {
         self.complete = true;
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -1,6 +1,6 @@
 use sesamegap_policy::routing::Openness;
 use sesamegap_policy::routing::engines::{Divided, Engine, Prefix, Prompt, choose, for_long, rank};
-use sesamegap_policy::routing::recall::Recall;
+use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_wire::Moment;
 
 fn engines(count: u64) -> Vec<Engine> {
@@ -55,7 +55,7 @@
     }
 }
 
-fn serve(recall: &mut Recall, prompt: &Prompt, engine: &Engine) {
+fn serve(recall: &mut CacheLocations, prompt: &Prompt, engine: &Engine) {
     for prefix in &prompt.prefixes {
         recall.note(prefix.hash, engine.seed, engine.version, Moment(0));
     }
@@ -65,7 +65,7 @@
 #[test]
 fn vms_agree_on_the_engine_of_a_dossier_without_messages() {
     let fleet = engines(9);
-    let (mut one, mut two) = (Recall::default(), Recall::default());
+    let (mut one, mut two) = (CacheLocations::default(), CacheLocations::default());
     for preamble in 0..4 {
         for dossier in 0..30 {
             let asked = prompt(preamble, dossier, 2_000);
@@ -73,7 +73,7 @@
                 let first = choose(&asked, &fleet, 1, recall).expect("engines are open");
                 serve(recall, &asked, &fleet[first.at]);
             }
-            let placed = |recall: &Recall| choose(&asked, &fleet, 1, recall).map(|c| c.at);
+            let placed = |recall: &CacheLocations| choose(&asked, &fleet, 1, recall).map(|c| c.at);
             assert_eq!(placed(&one), placed(&two));
         }
     }
@@ -84,7 +84,7 @@
 #[test]
 fn the_first_dossier_of_a_preamble_goes_to_its_home_and_the_next_ones_fetch_from_there() {
     let fleet = engines(9);
-    let mut recall = Recall::default();
+    let mut recall = CacheLocations::default();
     let first = choose(&prompt(1, 0, 2_000), &fleet, 1, &recall).expect("engines are open");
     let again = choose(&prompt(1, 1, 2_000), &fleet, 1, &recall).expect("engines are open");
     assert_eq!(first.at, again.at, "both wait for the one computation");
@@ -107,7 +107,7 @@
 #[test]
 fn nothing_is_fetched_across_weight_versions() {
     let mut fleet = engines(9);
-    let recall = Recall::default();
+    let recall = CacheLocations::default();
     for (no, engine) in fleet.iter_mut().enumerate() {
         engine.version = if no % 2 == 0 { 1 } else { 2 };
     }
@@ -123,7 +123,7 @@
 #[test]
 fn a_hot_dossier_spills_over_and_fetches_from_its_home() {
     let mut fleet = engines(9);
-    let mut recall = Recall::default();
+    let mut recall = CacheLocations::default();
     let hot = prompt(1, 7, 2_000);
     let home = choose(&hot, &fleet, 1, &recall).expect("open").at;
     serve(&mut recall, &hot, &fleet[home]);
@@ -145,7 +145,7 @@
 #[test]
 fn long_and_short_prompts_use_separate_engines_until_one_kind_queues() {
     let mut fleet = engines(9);
-    let recall = Recall::default();
+    let recall = CacheLocations::default();
     for thing in 0..100 {
         let chat = choose(&short(thing), &fleet, 1, &recall).expect("open");
         assert!(!fleet[chat.at].long);
@@ -183,7 +183,7 @@
     for engine in &mut fleet {
         engine.store = 1 + engine.seed % 3;
     }
-    let recall = Recall::default();
+    let recall = CacheLocations::default();
     for dossier in 0..40 {
         let mut fleet = fleet.clone();
         let asked = prompt(1, dossier, 2_000);
@@ -216,7 +216,7 @@
     for engine in &mut fleet {
         engine.slots = 12;
     }
-    let recall = Recall::default();
+    let recall = CacheLocations::default();
     for thing in 0..50 {
         let mut fleet = fleet.clone();
         let home = choose(&short(thing), &fleet, 1, &recall).expect("open").at;
@@ -230,7 +230,7 @@
 #[test]
 fn a_suspect_or_paused_engine_gets_nothing_while_others_are_open() {
     let mut fleet = engines(6);
-    let recall = Recall::default();
+    let recall = CacheLocations::default();
     fleet[0].state = Openness::Suspect;
     fleet[1].state = Openness::Paused;
     for thing in 0..200 {
@@ -260,7 +260,7 @@
 /// A VM that observes more prefixes than it may store evicts the oldest.
 #[test]
 fn recall_is_bounded_and_keeps_the_newest() {
-    let mut recall = Recall::default();
+    let mut recall = CacheLocations::default();
     let engine = engines(1)[0];
     for prefix in 0..100_000 {
         recall.note(prefix, engine.seed, engine.version, Moment(prefix));
@@ -274,7 +274,7 @@
 #[test]
 fn a_preamble_that_all_engines_served_counts_as_served_at_its_home() {
     let fleet = engines(16);
-    let mut recall = Recall::default();
+    let mut recall = CacheLocations::default();
     recall.see_all();
     let first = choose(&prompt(1, 0, 2_000), &fleet, 1, &recall).expect("engines are open");
     serve(&mut recall, &prompt(1, 0, 2_000), &fleet[first.at]);
@@ -292,7 +292,7 @@
 #[test]
 fn a_prefix_is_fetched_from_the_engine_that_served_it_last() {
     let fleet = engines(9);
-    let mut recall = Recall::default();
+    let mut recall = CacheLocations::default();
     recall.see_all();
     let asked = prompt(1, 7, 2_000);
     for (second, engine) in [2, 5, 3].into_iter().zip(&fleet) {
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -5,7 +5,7 @@
 use sesamegap_policy::routing::Openness;
 use sesamegap_policy::routing::engines::{self, Engine, Prefix, Prompt, inner_home, seed};
 use sesamegap_policy::routing::placed::{Placed, Placement, Sum};
-use sesamegap_policy::routing::recall::Recall;
+use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::shards::{Division, SMALL, owner};
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
         .map(|_| rng.random_range(0..SIMULATED_MS))
         .collect();
     times.sort_unstable();
-    let (mut late, mut recall) = (0, Recall::default());
+    let (mut late, mut recall) = (0, CacheLocations::default());
     // All engines have prefilled the outer prefixes before the load starts.
     for seed in &fleet.seeds {
         (0..4).for_each(|outer| recall.note(outer, *seed, 1, at(0)));
