--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use sesamegap_policy::routing::belief::{
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
 };
-use sesamegap_policy::routing::placed::Placed;
+use sesamegap_policy::routing::placed::Placements;
 use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::silence::SilenceReports;
 use sesamegap_policy::routing::weights::{Named, Namings};
@@ -53,7 +53,7 @@
     pub(crate) recall: CacheLocations,
     pub(crate) loads: Loads,
     /// What this VM has placed for others, by who asked and the number given.
-    pub(crate) placed: Placed<(SocketAddr, u64)>,
+    pub(crate) placed: Placements<(SocketAddr, u64)>,
     pub(crate) kept: Kept,
     pub(crate) silences: SilenceReports,
     pub(crate) namings: Namings,
@@ -69,7 +69,7 @@
             contact: StoreReachability::default(),
             recall: CacheLocations::default(),
             loads: Loads::default(),
-            placed: Placed::default(),
+            placed: Placements::default(),
             kept: Kept::default(),
             silences: SilenceReports::default(),
             namings: Namings::new(rules.weights),
--- a/crates/sesamegap-policy/src/routing/placed.rs
+++ b/crates/sesamegap-policy/src/routing/placed.rs
@@ -63,12 +63,12 @@
 
 /// All prompts placed for peers, by a key that identifies the peer's request.
 #[derive(Debug)]
-pub struct Placed<K> {
+pub struct Placements<K> {
     entries: FxHashMap<K, Entry>,
     sums: FxHashMap<u64, Sum>,
 }
 
-impl<K> Default for Placed<K> {
+impl<K> Default for Placements<K> {
     fn default() -> Self {
         Self {
             entries: FxHashMap::default(),
@@ -77,7 +77,7 @@
     }
 }
 
-impl<K: Copy + Eq + std::hash::Hash> Placed<K> {
+impl<K: Copy + Eq + std::hash::Hash> Placements<K> {
     /// Starts to count a prompt.
     pub fn begin(&mut self, key: K, placement: Placement, now: Moment) {
         self.end(&key);
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 use sesamegap_policy::routing::Openness;
 use sesamegap_policy::routing::engines::{self, Engine, Prefix, Prompt, inner_home, seed};
-use sesamegap_policy::routing::placed::{Placed, Placement, Sum};
+use sesamegap_policy::routing::placed::{Placement, Placements, Sum};
 use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::shards::{Division, SMALL, owner};
 use std::time::Duration;
@@ -106,7 +106,7 @@
     let mut fleet = Fleet::new(count);
     let names: Vec<u64> = (0..vms).map(|no| seed(&format!("vm-{no}"))).collect();
     let mut known: Vec<Known> = (0..vms).map(|_| Known::default()).collect();
-    let mut owned: Vec<Placed<u64>> = (0..vms).map(|_| Placed::default()).collect();
+    let mut owned: Vec<Placements<u64>> = (0..vms).map(|_| Placements::default()).collect();
     let mut reads: Vec<(u64, usize, u64)> = Vec::new();
     let division = Division::of(count);
     let prompts = count as u64 * PREFILL_PERCENT * PREFILL_PER_MS * SIMULATED_MS / (100 * TOKENS);
@@ -239,7 +239,7 @@
 /// Guards against engines that look busy forever because a VM with prompts there crashed.
 #[test]
 fn placements_without_reports_expire() {
-    let mut placed = Placed::default();
+    let mut placed = Placements::default();
     placed.begin(1, placement(9), at(0));
     placed.expire(at(700));
     assert_eq!(
@@ -264,7 +264,7 @@
 /// Guards against totals that drift when reports are duplicated, late or reordered.
 #[test]
 fn reports_in_any_order_leave_no_residue() {
-    let mut placed = Placed::default();
+    let mut placed = Placements::default();
     assert_eq!(placed.read(&1), None);
     placed.begin(1, placement(9), at(0));
     placed.begin(1, placement(8), at(1));
