--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 use crate::kept::Kept;
 use crate::peers::Loads;
 use crate::ports::{Report, Weights};
-use sesamegap_policy::routing::Openness;
+use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::belief::{
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
 };
@@ -128,13 +128,15 @@
     }
 
     /// Whether an upstream takes work, by what this VM and others saw of it.
-    pub fn openness(&self, upstream: &Upstream, now: Moment) -> Openness {
+    pub fn openness(&self, upstream: &Upstream, now: Moment) -> Availability {
         if self.is_overdue(upstream, now) {
             // The list may be read a second later only.
-            return Openness::Paused;
+            return Availability::Paused;
         }
         match upstream.openness(now) {
-            Openness::Open if self.silences.is_silent(upstream.life, now) => Openness::Suspect,
+            Availability::Open if self.silences.is_silent(upstream.life, now) => {
+                Availability::Suspect
+            }
             openness => openness,
         }
     }
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -4,7 +4,7 @@
 use crate::ports::{Load, Weights};
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::{Belief, Change};
-use sesamegap_policy::routing::{Openness, engines};
+use sesamegap_policy::routing::{Availability, engines};
 use sesamegap_wire::{DomainId, Incarnation, Moment, ServiceId, UpstreamId, WeightsVersion};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -233,13 +233,13 @@
     }
 
     /// Whether it takes work, by what this VM saw of it.
-    pub(super) fn openness(&self, now: Moment) -> Openness {
+    pub(super) fn openness(&self, now: Moment) -> Availability {
         if self.is_paused(now) {
-            Openness::Paused
+            Availability::Paused
         } else if self.is_suspect(now) {
-            Openness::Suspect
+            Availability::Suspect
         } else {
-            Openness::Open
+            Availability::Open
         }
     }
 
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -5,7 +5,7 @@
 use crate::kept;
 use crate::placing::{Asked, Found};
 use sesamegap_policy::routing::shards::Division;
-use sesamegap_policy::routing::{Openness, engines, plain};
+use sesamegap_policy::routing::{Availability, engines, plain};
 use sesamegap_wire::{DomainId, Moment, ServiceId, UpstreamId};
 use smol_str::SmolStr;
 use std::net::SocketAddr;
@@ -99,11 +99,11 @@
         upstream: &Upstream,
         shape: Option<&PromptShape>,
         now: Moment,
-    ) -> Openness {
+    ) -> Availability {
         if shape.is_none_or(|shape| self.may_begin(upstream, shape, now)) {
             self.openness(upstream, now)
         } else {
-            Openness::Paused
+            Availability::Paused
         }
     }
 
@@ -134,7 +134,7 @@
             let mut fleet = self.lock();
             let engine = fleet.get(&found.engine)?;
             let state = fleet.openness_for(engine, selection.shape, now);
-            let is_usable = state == Openness::Open && engine.life == found.life;
+            let is_usable = state == Availability::Open && engine.life == found.life;
             if !is_usable || selection.tried.contains(&found.engine) {
                 return None;
             }
@@ -297,7 +297,7 @@
         };
         let usable = open.iter().filter_map(|upstream| {
             let state = self.openness_for(upstream, selection.shape, now);
-            (state != Openness::Paused).then_some((state, *upstream))
+            (state != Availability::Paused).then_some((state, *upstream))
         });
         let best = usable.min_by_key(|(state, upstream)| {
             let newest = std::cmp::Reverse(version(upstream));
@@ -312,7 +312,7 @@
         let shape = selection.shape?;
         let long = self.for_long(selection.service, selection.stores);
         let takes = |upstream: &&Upstream| {
-            self.openness_for(upstream, Some(shape), now) == Openness::Open
+            self.openness_for(upstream, Some(shape), now) == Availability::Open
                 && !selection.tried.contains(&upstream.id)
         };
         let open = self.of(selection.service).filter(takes);
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Flight, PromptShape, Selection, Upstream};
 use crate::intake::Refusal;
 use crate::placing;
-use sesamegap_policy::routing::Openness;
+use sesamegap_policy::routing::Availability;
 use sesamegap_wire::{ServiceId, UpstreamId};
 use std::time::Duration;
 
@@ -132,7 +132,7 @@
         let fleet = core.fleet.lock();
         let mut others = fleet.of(&self.service).filter(|up| Some(&up.id) != than);
         let shape = self.shape.as_ref();
-        let is_open = |up: &Upstream| fleet.openness_for(up, shape, now) == Openness::Open;
+        let is_open = |up: &Upstream| fleet.openness_for(up, shape, now) == Availability::Open;
         others.any(|up| is_open(up) && !self.tried.contains(&up.id))
     }
 }
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -9,7 +9,7 @@
 use crate::peers::{EngineNews, push};
 use crate::ports::{LoadOrder, OrderAnswer, Report, Running, Weights};
 use crate::telemetry::events;
-use sesamegap_policy::routing::{Openness, rolls};
+use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Fence, Moment};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -148,7 +148,7 @@
         .newest_of(&target.model)
         .map(|naming| naming.version);
     let done = engines().filter(|up| up.version(&target.model) >= newest);
-    let open = engines().filter(|up| fleet.openness(up, now) == Openness::Open);
+    let open = engines().filter(|up| fleet.openness(up, now) == Availability::Open);
     let held = engine.version(&target.model).unwrap_or_default();
     let overtaken = namings.overtaken(&target.model, held);
     let left = |at: Moment| bound.saturating_sub(overtaken.map_or(Duration::ZERO, |o| at.since(o)));
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -16,7 +16,7 @@
 use lease::Lease;
 use round::Round;
 use sesamegap_policy::routing::engines::{rank, seed};
-use sesamegap_policy::routing::{Openness, rolls};
+use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Incarnation, Moment, UpstreamId, WeightsVersion};
 use smol_str::SmolStr;
 use std::collections::BTreeSet;
@@ -169,7 +169,7 @@
                     .first()
                     .map_or(0, |held| held.version.0),
                 running: fleet.running(engine, now),
-                suspect: fleet.openness(engine, now) == Openness::Suspect,
+                suspect: fleet.openness(engine, now) == Availability::Suspect,
                 shut: is_shut(&fleet, engine, now),
             });
         }
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -1,7 +1,7 @@
 use crate::support::{entry, offset, unused};
 use sesamegap_entry::fleet::{Change, Entry, Fleet, Rules};
 use sesamegap_entry::ports::Weights;
-use sesamegap_policy::routing::{Openness, belief};
+use sesamegap_policy::routing::{Availability, belief};
 use sesamegap_wire::{Moment, UpstreamId, WeightsVersion};
 use std::time::Duration;
 
@@ -102,10 +102,10 @@
         Change::Lapsed
     );
     let open = |fleet: &Fleet, ms| fleet.openness(fleet.get(&id(0)).unwrap(), at(ms));
-    assert_eq!(open(&fleet, 7_950), Openness::Open);
+    assert_eq!(open(&fleet, 7_950), Availability::Open);
     assert_eq!(
         open(&fleet, 8_000),
-        Openness::Paused,
+        Availability::Paused,
         "before the list is read next"
     );
     assert_eq!(fleet.expire(at(8_000)), [(id(0), Change::Gone)]);
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -19,7 +19,7 @@
 //! Some prefixes are hot, load comes in bursts, and engines leave. So that a hot prefix does not queue behind one
 //! engine, a lower-ranked engine is chosen when its wait is shorter by more than the cost of fetching the prefix.
 
-use super::Openness;
+use super::Availability;
 use super::recall::CacheLocations;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -88,7 +88,7 @@
     /// Version of its weights.
     pub version: u32,
     /// Whether it accepts work.
-    pub state: Openness,
+    pub state: Availability,
     /// Whether it is reserved for long prompts.
     pub long: bool,
     /// Seed of the kept-KV store that it uses, or zero if there is none.
@@ -198,7 +198,7 @@
     recall: &CacheLocations,
 ) -> Option<Choice> {
     let fresh = |no: &usize| engines[*no].version >= newest;
-    let open = || (0..engines.len()).filter(|no| engines[*no].state != Openness::Paused);
+    let open = || (0..engines.len()).filter(|no| engines[*no].state != Availability::Paused);
     let new_home = home(prompt, engines, &open().filter(fresh), recall);
     let old_home = home(prompt, engines, &open().filter(|no| !fresh(no)), recall);
     let home_of = |no: usize| if fresh(&no) { new_home } else { old_home };
@@ -250,7 +250,7 @@
     let open = || {
         group
             .clone()
-            .filter(|no| engines[*no].state == Openness::Open)
+            .filter(|no| engines[*no].state == Availability::Open)
     };
     let same_kind = || open().filter(|no| engines[*no].long == prompt.is_long());
     let best = |prefix: u64| {
@@ -286,7 +286,7 @@
 ) -> Option<usize> {
     let usable = |no: &usize| {
         let engine = &engines[*no];
-        *no != at && engine.state == Openness::Open && engine.version == engines[at].version
+        *no != at && engine.state == Availability::Open && engine.version == engines[at].version
     };
     let others = || (0..engines.len()).filter(usable);
     let seen = prompt.prefixes.iter().rev().find_map(|prefix| {
@@ -333,7 +333,7 @@
     };
     let far = if engine.near { 0.0 } else { CROSS_DOMAIN_MS };
     let old = if fresh { 0.0 } else { OLD_WEIGHTS_MS };
-    let suspect = if engine.state == Openness::Suspect {
+    let suspect = if engine.state == Availability::Suspect {
         SUSPECT_MS
     } else {
         0.0
--- a/crates/sesamegap-policy/src/routing/mod.rs
+++ b/crates/sesamegap-policy/src/routing/mod.rs
@@ -32,7 +32,7 @@
 
 /// Whether an upstream accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Openness {
+pub enum Availability {
     /// It accepts work as far as is known.
     Open,
     /// It recently failed to answer.
--- a/crates/sesamegap-policy/src/routing/plain.rs
+++ b/crates/sesamegap-policy/src/routing/plain.rs
@@ -4,7 +4,7 @@
 //! health check still passes. Choosing by expected cost avoids a queue behind such a worker while others
 //! are free.
 
-use super::Openness;
+use super::Availability;
 
 /// Cost of crossing to another failure domain, in typical answer times: the delay is small relative to the work.
 const CROSS_DOMAIN: f64 = 0.15;
@@ -29,13 +29,13 @@
     /// Share of its recent answers that failed, from 0 to 1.
     pub faults: f64,
     /// Whether it accepts work.
-    pub state: Openness,
+    pub state: Availability,
 }
 
 /// Picks the worker with the lowest cost; `spread` breaks ties.
 pub fn choose(workers: &[Worker], spread: usize) -> Option<usize> {
     let count = workers.len();
-    let open = (0..count).filter(|no| workers[*no].state != Openness::Paused);
+    let open = (0..count).filter(|no| workers[*no].state != Availability::Paused);
     open.min_by(|a, b| {
         let turn = |no: &usize| (no + spread) % count;
         let costs = cost(&workers[*a]).total_cmp(&cost(&workers[*b]));
@@ -46,7 +46,7 @@
 fn cost(worker: &Worker) -> f64 {
     let queue = f64::from(worker.busy + 1) / f64::from(worker.slots.max(1));
     let far = if worker.near { 0.0 } else { CROSS_DOMAIN };
-    let suspect = if worker.state == Openness::Suspect {
+    let suspect = if worker.state == Availability::Suspect {
         SUSPECT
     } else {
         0.0
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -1,4 +1,4 @@
-use sesamegap_policy::routing::Openness;
+use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::engines::{Divided, Engine, Prefix, Prompt, choose, for_long, rank};
 use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_wire::Moment;
@@ -23,7 +23,7 @@
             waiting: 0,
             unread: 0,
             version: 1,
-            state: Openness::Open,
+            state: Availability::Open,
             long,
         })
         .collect()
@@ -231,15 +231,15 @@
 fn a_suspect_or_paused_engine_gets_nothing_while_others_are_open() {
     let mut fleet = engines(6);
     let recall = CacheLocations::default();
-    fleet[0].state = Openness::Suspect;
-    fleet[1].state = Openness::Paused;
+    fleet[0].state = Availability::Suspect;
+    fleet[1].state = Availability::Paused;
     for thing in 0..200 {
         let choice = choose(&short(thing), &fleet, 1, &recall).expect("open");
         assert!(choice.at > 1, "{choice:?}");
         assert!(choice.source.is_none_or(|source| source > 1), "{choice:?}");
     }
     for engine in &mut fleet {
-        engine.state = Openness::Paused;
+        engine.state = Availability::Paused;
     }
     assert_eq!(choose(&short(1), &fleet, 1, &recall), None);
 }
--- a/crates/sesamegap-policy/tests/testsuite/routing/plain.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/plain.rs
@@ -1,4 +1,4 @@
-use sesamegap_policy::routing::Openness;
+use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::plain::{Worker, choose};
 
 fn worker() -> Worker {
@@ -8,7 +8,7 @@
         slots: 6,
         slowness: 1.0,
         faults: 0.0,
-        state: Openness::Open,
+        state: Availability::Open,
     }
 }
 
@@ -56,12 +56,12 @@
 #[test]
 fn a_suspect_worker_is_chosen_as_a_last_resort_but_a_paused_one_is_not() {
     let suspect = Worker {
-        state: Openness::Suspect,
+        state: Availability::Suspect,
         ..worker()
     };
     assert_eq!(choose(&[suspect], 0), Some(0));
     let paused = Worker {
-        state: Openness::Paused,
+        state: Availability::Paused,
         ..worker()
     };
     assert_eq!(choose(&[paused], 0), None);
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -2,7 +2,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rustc_hash::FxHashMap;
-use sesamegap_policy::routing::Openness;
+use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::engines::{self, Engine, Prefix, Prompt, inner_home, seed};
 use sesamegap_policy::routing::placed::{Placement, Placements, Sum};
 use sesamegap_policy::routing::recall::CacheLocations;
@@ -59,7 +59,7 @@
                 waiting: 0,
                 unread: unread(seed),
                 version: 1,
-                state: Openness::Open,
+                state: Availability::Open,
                 long: true,
                 store: 1,
             })
