--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
-use sesamegap_policy::routing::engines::READ_PER_MS;
+use sesamegap_policy::routing::engines::PREFILL_TOKENS_PER_MS;
 use sesamegap_policy::routing::telling::FANOUT;
 use sesamegap_wire::{Moment, VmId};
 use std::time::Duration;
@@ -99,7 +99,7 @@
         Some(Held {
             life,
             running: sum.running,
-            unread: sum.left(self.now, READ_PER_MS, Duration::ZERO),
+            unread: sum.left(self.now, PREFILL_TOKENS_PER_MS, Duration::ZERO),
         })
     }
 
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// Prompt tokens that an engine prefills per millisecond, for wait estimates; measured engines prefill 32 to 38.
-pub const READ_PER_MS: u64 = 30;
+pub const PREFILL_TOKENS_PER_MS: u64 = 30;
 
 /// Weight of the prefill queue relative to other costs, as a prefill also stalls the answers that run on the
 /// engine. On 140 engines, weights of 1.0, 2.0 and 3.0 made 825, 791 and 735 of 4,536 long answers late.
@@ -178,7 +178,7 @@
 
 /// Time that an engine needs to prefill this many tokens.
 pub fn reading(tokens: u64) -> Duration {
-    Duration::from_millis(tokens / READ_PER_MS)
+    Duration::from_millis(tokens / PREFILL_TOKENS_PER_MS)
 }
 
 /// Rank of an engine for a prefix; the highest is its home.
@@ -314,7 +314,7 @@
 }
 
 fn cost(prompt: &Prompt, engine: &Engine, reach: Reach, fresh: bool) -> f64 {
-    let queue = QUEUE_WEIGHT * engine.unread as f64 / READ_PER_MS as f64;
+    let queue = QUEUE_WEIGHT * engine.unread as f64 / PREFILL_TOKENS_PER_MS as f64;
     let excess = (engine.running + 1).saturating_sub(engine.slots);
     let load = RUNNING_MS * f64::from(engine.running)
         + WAITING_MS * f64::from(engine.waiting)
@@ -324,7 +324,9 @@
         Reach::Home => 0.0,
         Reach::Store => transfer,
         // What the home has lost is prefilled again, which costs as much as the same work in a queue.
-        Reach::Far => transfer + QUEUE_WEIGHT * prompt.inner().tokens as f64 / READ_PER_MS as f64,
+        Reach::Far => {
+            transfer + QUEUE_WEIGHT * prompt.inner().tokens as f64 / PREFILL_TOKENS_PER_MS as f64
+        }
     };
     let other_kind = if engine.long == prompt.is_long() {
         0.0
