--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -109,7 +109,7 @@
 
     fn may_begin(&self, upstream: &Upstream, shape: &PromptShape, now: Moment) -> bool {
         let version = upstream.version(&shape.model).unwrap_or_default();
-        let wait = engines::reading(self.unread(upstream) + shape.prompt.tokens);
+        let wait = engines::prefill_time(self.unread(upstream) + shape.prompt.tokens);
         self.namings().may_send(&shape.model, version, wait, now)
     }
 }
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -177,7 +177,7 @@
 }
 
 /// Time that an engine needs to prefill this many tokens.
-pub fn reading(tokens: u64) -> Duration {
+pub fn prefill_time(tokens: u64) -> Duration {
     Duration::from_millis(tokens / PREFILL_TOKENS_PER_MS)
 }
 
--- a/crates/sesamegap-policy/src/routing/placed.rs
+++ b/crates/sesamegap-policy/src/routing/placed.rs
@@ -3,7 +3,7 @@
 //! Reports may be lost, and the VM that asked may crash. So a prompt counts as unread for at most a multiple of the
 //! time that its engine should take to prefill it, and as running until its caller has given up.
 
-use super::engines::{Prefix, reading};
+use super::engines::{Prefix, prefill_time};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::Moment;
 use std::time::Duration;
@@ -81,7 +81,7 @@
     /// Starts to count a prompt.
     pub fn begin(&mut self, key: K, placement: Placement, now: Moment) {
         self.end(&key);
-        let expected = reading(placement.ahead + placement.tokens);
+        let expected = prefill_time(placement.ahead + placement.tokens);
         let sum = self.sums.entry(placement.life).or_default();
         sum.running += 1;
         sum.unread += placement.tokens;
