--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -53,9 +53,9 @@
 impl Fleet {
     /// Numbers of the engines that long prompts have.
     pub fn for_long(&self, service: &ServiceId, stores: &[KvStore]) -> Vec<u64> {
-        let divided: Vec<engines::Divided> = self
+        let divided: Vec<engines::EngineLocation> = self
             .of(service)
-            .map(|engine| engines::Divided {
+            .map(|engine| engines::EngineLocation {
                 seed: engine.seed,
                 by_store: stores
                     .iter()
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -115,7 +115,7 @@
 
 /// An engine to assign to long or short prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Divided {
+pub struct EngineLocation {
     /// Hash seed, identical on all VMs.
     pub seed: u64,
     /// Whether it is in the failure domain of the kept-KV store.
@@ -126,7 +126,7 @@
 ///
 /// Engines in the kept-KV store's failure domain come first: transfers between failure domains take twice as
 /// long, and nearly all transferred tokens belong to long prompts.
-pub fn for_long(engines: &[Divided]) -> Vec<bool> {
+pub fn for_long(engines: &[EngineLocation]) -> Vec<bool> {
     let count = (engines.len() * LONG_PERCENT + 50) / 100;
     let mut order: Vec<usize> = (0..engines.len()).collect();
     order.sort_by_key(|no| {
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -1,11 +1,13 @@
 use sesamegap_policy::routing::Availability;
-use sesamegap_policy::routing::engines::{Divided, Engine, Prefix, Prompt, choose, for_long, rank};
+use sesamegap_policy::routing::engines::{
+    Engine, EngineLocation, Prefix, Prompt, choose, for_long, rank,
+};
 use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_wire::Moment;
 
 fn engines(count: u64) -> Vec<Engine> {
-    let divided: Vec<Divided> = (0..count)
-        .map(|seed| Divided {
+    let divided: Vec<EngineLocation> = (0..count)
+        .map(|seed| EngineLocation {
             seed,
             by_store: seed % 3 == 0,
         })
@@ -164,8 +166,8 @@
 
 #[test]
 fn engines_in_the_stores_failure_domain_take_the_long_prompts() {
-    let divided: Vec<Divided> = (0..9)
-        .map(|seed| Divided {
+    let divided: Vec<EngineLocation> = (0..9)
+        .map(|seed| EngineLocation {
             seed,
             by_store: seed < 3,
         })
