--- a/crates/sesamegap-entry/src/roll/round.rs
+++ b/crates/sesamegap-entry/src/roll/round.rs
@@ -1,6 +1,6 @@
 //! What the engines of a roll share: who is out, who loads, and how long a load takes.
 
-use sesamegap_policy::routing::rolls::{Pace, side_by_side};
+use sesamegap_policy::routing::rolls::{Pace, max_concurrent_loads};
 use sesamegap_wire::UpstreamId;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -53,7 +53,7 @@
     /// Takes a turn to load among this many engines, if one is free.
     pub fn turn(&self, all: usize) -> Option<Turn> {
         let mut state = self.round.lock();
-        let free = state.loading < side_by_side(all);
+        let free = state.loading < max_concurrent_loads(all);
         free.then(|| {
             state.loading += 1;
             Turn(Arc::clone(&self.round))
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -5,7 +5,7 @@
 use sesamegap_entry::ports::Weights;
 use sesamegap_entry::roll;
 use sesamegap_entry::telemetry::Logging;
-use sesamegap_policy::routing::rolls::side_by_side;
+use sesamegap_policy::routing::rolls::max_concurrent_loads;
 use sesamegap_wire::{Incarnation, WeightsVersion};
 use std::sync::Arc;
 use std::time::Duration;
@@ -249,7 +249,7 @@
         loading == 0 && engines.iter().all(|engine| engine.version == 2)
     })
     .await;
-    assert_eq!(most, side_by_side(6));
+    assert_eq!(most, max_concurrent_loads(6));
     assert!(most < 6, "all load at once");
 }
 
--- a/crates/sesamegap-policy/src/routing/rolls.rs
+++ b/crates/sesamegap-policy/src/routing/rolls.rs
@@ -63,7 +63,7 @@
 /// If weights are named twice within a bound while engines crash, nine of twelve engines may have to load at once.
 /// Loads share the weight store's bandwidth: nine that start together all end after six seconds, during which the
 /// rest of the fleet is overloaded. When they take turns, the first return after half of that.
-pub fn side_by_side(all: usize) -> usize {
+pub fn max_concurrent_loads(all: usize) -> usize {
     at_full_speed(all) * OVERCOMMIT
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
@@ -1,5 +1,5 @@
 use sesamegap_policy::routing::rolls::{
-    Engine, Pace, Stage, at_a_step, drain, must_return, next, side_by_side,
+    Engine, Pace, Stage, at_a_step, drain, max_concurrent_loads, must_return, next,
 };
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     let mut pace = Pace::default();
     pace.loaded(Duration::from_millis(1_300));
     let due = pace.next(&engines).len();
-    assert!((side_by_side(12)..=4).contains(&due), "{due}");
+    assert!((max_concurrent_loads(12)..=4).contains(&due), "{due}");
     let mut quick = Pace::default();
     quick.loaded(Duration::from_millis(390));
     assert_eq!(quick.next(&engines), next(&engines), "the drain dominates");
@@ -179,10 +179,13 @@
 fn loads_of_a_round_are_spread_over_steps() {
     let step = Duration::from_millis(40);
     assert_eq!(at_a_step(12, step), 12, "a small fleet's round is short");
-    for (all, side_by_side) in [(90, 18), (140, 28)] {
+    for (all, max_concurrent_loads) in [(90, 18), (140, 28)] {
         let steps_per_load = usize::try_from(400 / step.as_millis()).expect("ten steps");
         let loading = at_a_step(all, step) * steps_per_load;
-        assert!(loading <= side_by_side + steps_per_load, "{all}: {loading}");
+        assert!(
+            loading <= max_concurrent_loads + steps_per_load,
+            "{all}: {loading}"
+        );
         let first_round = (all * 56 / 100).div_ceil(at_a_step(all, step));
         assert!(step * u32::try_from(first_round).expect("few") < Duration::from_millis(1_300));
     }
