--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -174,7 +174,7 @@
             });
         }
         let due = round.pace().next(&views).into_iter();
-        let due = due.take(rolls::at_a_step(views.len(), STEP));
+        let due = due.take(rolls::max_per_step(views.len(), STEP));
         due.map(|no| ids[no].clone()).collect::<Vec<_>>()
     };
     for id in due {
--- a/crates/sesamegap-policy/src/routing/rolls.rs
+++ b/crates/sesamegap-policy/src/routing/rolls.rs
@@ -108,7 +108,7 @@
 ///
 /// All engines of a round drain for the same second and would then load together, so that each would be out for
 /// longer than its own drain and load. Small fleets gain nothing from spreading.
-pub fn at_a_step(all: usize, step: Duration) -> usize {
+pub fn max_per_step(all: usize, step: Duration) -> usize {
     let loading = all * FULL_SPEED_PERCENT / 100;
     if loading < MIN_SPREAD {
         return all;
--- a/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
@@ -1,5 +1,5 @@
 use sesamegap_policy::routing::rolls::{
-    Engine, Pace, Stage, at_a_step, drain, max_concurrent_loads, must_return, next,
+    Engine, Pace, Stage, drain, max_concurrent_loads, max_per_step, must_return, next,
 };
 use std::time::Duration;
 
@@ -178,15 +178,15 @@
 #[test]
 fn loads_of_a_round_are_spread_over_steps() {
     let step = Duration::from_millis(40);
-    assert_eq!(at_a_step(12, step), 12, "a small fleet's round is short");
+    assert_eq!(max_per_step(12, step), 12, "a small fleet's round is short");
     for (all, max_concurrent_loads) in [(90, 18), (140, 28)] {
         let steps_per_load = usize::try_from(400 / step.as_millis()).expect("ten steps");
-        let loading = at_a_step(all, step) * steps_per_load;
+        let loading = max_per_step(all, step) * steps_per_load;
         assert!(
             loading <= max_concurrent_loads + steps_per_load,
             "{all}: {loading}"
         );
-        let first_round = (all * 56 / 100).div_ceil(at_a_step(all, step));
+        let first_round = (all * 56 / 100).div_ceil(max_per_step(all, step));
         assert!(step * u32::try_from(first_round).expect("few") < Duration::from_millis(1_300));
     }
 }
