--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -87,7 +87,7 @@
     pub fn overtaken(&self) -> Option<Moment> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
-        fleet.namings.overtaken(self.model.as_ref()?, version)
+        fleet.namings.superseded_at(self.model.as_ref()?, version)
     }
 
     /// Time until the request is taken back unless it has begun; none if its weights are the newest.
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -150,7 +150,7 @@
     let done = engines().filter(|up| up.version(&target.model) >= newest);
     let open = engines().filter(|up| fleet.openness(up, now) == Availability::Open);
     let held = engine.version(&target.model).unwrap_or_default();
-    let overtaken = namings.overtaken(&target.model, held);
+    let overtaken = namings.superseded_at(&target.model, held);
     let left = |at: Moment| bound.saturating_sub(overtaken.map_or(Duration::ZERO, |o| at.since(o)));
     let all = engines().count();
     Some(View {
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -151,7 +151,7 @@
     /// When these weights were first superseded, or `None` if they are the newest.
     ///
     /// An engine that returns after a crash has the weights that it had before, however many were named since.
-    pub fn overtaken(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
+    pub fn superseded_at(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
         let known = self.models.get(model)?;
         let newer = known.iter().filter(|naming| naming.version > version);
         newer.map(|naming| naming.at).min()
@@ -165,7 +165,7 @@
         wait: Duration,
         now: Moment,
     ) -> bool {
-        let Some(overtaken) = self.overtaken(model, version) else {
+        let Some(overtaken) = self.superseded_at(model, version) else {
             return true;
         };
         let reserved = MIN_WAIT.max(wait * WAIT_FACTOR);
@@ -175,7 +175,7 @@
     /// Until when a request must have started on these weights to not be withdrawn, or `None` if they are the newest.
     pub fn begin_by(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
         let left = self.bound.saturating_sub(WITHDRAWAL_MARGIN);
-        self.overtaken(model, version).map(|at| at + left)
+        self.superseded_at(model, version).map(|at| at + left)
     }
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
@@ -66,8 +66,11 @@
     for (model, naming) in received {
         started.learn(model, naming.version, Named::At(naming.at));
     }
-    assert_eq!(started.overtaken("m", WeightsVersion(1)), Some(at(0)));
-    assert_eq!(started.overtaken("m", WeightsVersion(2)), Some(at(4_000)));
+    assert_eq!(started.superseded_at("m", WeightsVersion(1)), Some(at(0)));
+    assert_eq!(
+        started.superseded_at("m", WeightsVersion(2)),
+        Some(at(4_000))
+    );
     assert!(!may_send(&started, 1, 0, 7_000));
 }
 
@@ -136,7 +139,10 @@
     ];
     for order in orders {
         let namings = named(&order.map(|named| (2, named)));
-        assert_eq!(namings.overtaken("m", WeightsVersion(1)), Some(at(5_000)));
+        assert_eq!(
+            namings.superseded_at("m", WeightsVersion(1)),
+            Some(at(5_000))
+        );
     }
 }
 
