--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Entry;
 use crate::ports::{Batch, Record, Table, Weights};
 use serde::{Deserialize, Serialize};
-use sesamegap_policy::routing::reading::{Heard, Position, Span};
+use sesamegap_policy::routing::reading::{Position, Span, UpdateOutcome};
 use sesamegap_wire::{LogPosition, UpstreamId};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -110,13 +110,13 @@
     // What is told is true in any case, and its position says whether it was heard before; only a word
     // that joins says that nothing else changed.
     let heard = known.position().hear(span, reading.whole, now);
-    if heard == Heard::Old {
+    if heard == UpdateOutcome::Old {
         return;
     }
     for (at, piece) in reading.pieces {
         take_piece(core, at, piece);
     }
-    if heard == Heard::Missed {
+    if heard == UpdateOutcome::Missed {
         known.missed.notify_one();
     } else {
         core.fleet.lock().store_told(now);
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -28,7 +28,7 @@
 
 /// Result of applying a reader's update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum UpdateOutcome {
     /// The update is contiguous: everything up to its end is known.
     Joined,
     /// It ends before the known position, because the reader was delayed.
@@ -90,21 +90,21 @@
     }
 
     /// Applies a reader's update; `whole` says whether it names every change in the range.
-    pub fn hear(&mut self, span: Span, whole: bool, now: Moment) -> Heard {
+    pub fn hear(&mut self, span: Span, whole: bool, now: Moment) -> UpdateOutcome {
         let Some(next) = self.next else {
-            return Heard::Missed;
+            return UpdateOutcome::Missed;
         };
         if span.next < next {
-            return Heard::Old;
+            return UpdateOutcome::Old;
         }
         let contiguous = span.from <= next && (whole || span.next == next);
         if !contiguous {
             self.missed = self.missed.max(span.next);
-            return Heard::Missed;
+            return UpdateOutcome::Missed;
         }
         self.next = Some(span.next);
         self.last_update = now;
-        Heard::Joined
+        UpdateOutcome::Joined
     }
 
     /// Time until this VM must read the table itself if it receives no update.
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -1,6 +1,6 @@
 use crate::support::offset;
 use quickcheck::{Arbitrary, Gen, TestResult, quickcheck};
-use sesamegap_policy::routing::reading::{Heard, Position, Span};
+use sesamegap_policy::routing::reading::{Position, Span, UpdateOutcome};
 use sesamegap_wire::{LogPosition, Moment, Offset, Timeline};
 use std::time::Duration;
 
@@ -39,7 +39,10 @@
 #[test]
 fn a_contiguous_update_replaces_a_read() {
     let mut position = read_up_to(100);
-    assert_eq!(position.hear(span(90, 120), true, at(1_500)), Heard::Joined);
+    assert_eq!(
+        position.hear(span(90, 120), true, at(1_500)),
+        UpdateOutcome::Joined
+    );
     assert_eq!(position.next(), Some(offset(120)));
     assert_eq!(
         position.left(READ_INTERVAL, at(2_500)),
@@ -52,7 +55,10 @@
 #[test]
 fn a_vm_that_missed_an_update_reads_from_its_own_position() {
     let mut position = read_up_to(100);
-    assert_eq!(position.hear(span(110, 120), true, at(500)), Heard::Missed);
+    assert_eq!(
+        position.hear(span(110, 120), true, at(500)),
+        UpdateOutcome::Missed
+    );
     assert_eq!(position.next(), Some(offset(100)));
     assert_eq!(position.left(READ_INTERVAL, at(500)), Duration::ZERO);
     position.read(offset(118), at(600));
@@ -70,9 +76,15 @@
 #[test]
 fn an_incomplete_update_causes_one_read() {
     let mut position = read_up_to(100);
-    assert_eq!(position.hear(span(100, 101), false, at(10)), Heard::Missed);
+    assert_eq!(
+        position.hear(span(100, 101), false, at(10)),
+        UpdateOutcome::Missed
+    );
     position.read(offset(101), at(20));
-    assert_eq!(position.hear(span(100, 101), false, at(30)), Heard::Joined);
+    assert_eq!(
+        position.hear(span(100, 101), false, at(30)),
+        UpdateOutcome::Joined
+    );
     assert_eq!(position.left(READ_INTERVAL, at(30)), READ_INTERVAL);
 }
 
@@ -82,7 +94,10 @@
 fn an_old_update_does_not_extend_the_time_limit() {
     let mut position = read_up_to(100);
     position.hear(span(100, 150), true, at(100));
-    assert_eq!(position.hear(span(90, 120), true, at(1_900)), Heard::Old);
+    assert_eq!(
+        position.hear(span(90, 120), true, at(1_900)),
+        UpdateOutcome::Old
+    );
     assert_eq!(position.left(READ_INTERVAL, at(2_100)), Duration::ZERO);
 }
 
@@ -97,7 +112,10 @@
     assert_eq!(position.left(READ_INTERVAL, at(2_000)), Duration::ZERO);
     position.begin();
     assert_eq!(position.left(READ_INTERVAL, at(0)), Duration::ZERO);
-    assert_eq!(position.hear(span(0, 200), true, at(0)), Heard::Missed);
+    assert_eq!(
+        position.hear(span(0, 200), true, at(0)),
+        UpdateOutcome::Missed
+    );
 }
 
 /// Updates of three readers, whose datagrams are lost, duplicated and delayed.
@@ -143,10 +161,13 @@
         from: on(1, 90),
         next: on(1, 110),
     };
-    assert_eq!(position.hear(restored, true, at(10)), Heard::Missed);
+    assert_eq!(position.hear(restored, true, at(10)), UpdateOutcome::Missed);
     assert_eq!(position.left(READ_INTERVAL, at(10)), Duration::ZERO);
     position.begin();
     position.read(on(1, 110), at(20));
-    assert_eq!(position.hear(span(100, 500), true, at(30)), Heard::Old);
+    assert_eq!(
+        position.hear(span(100, 500), true, at(30)),
+        UpdateOutcome::Old
+    );
     assert_eq!(position.next(), Some(on(1, 110)));
 }
