--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateOutcome {
     /// The update is contiguous: everything up to its end is known.
-    Joined,
+    Contiguous,
     /// It ends before the known position, because the reader was delayed.
     Old,
     /// There is a gap before it, or it is incomplete.
@@ -104,7 +104,7 @@
         }
         self.next = Some(span.next);
         self.last_update = now;
-        UpdateOutcome::Joined
+        UpdateOutcome::Contiguous
     }
 
     /// Time until this VM must read the table itself if it receives no update.
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -41,7 +41,7 @@
     let mut position = read_up_to(100);
     assert_eq!(
         position.hear(span(90, 120), true, at(1_500)),
-        UpdateOutcome::Joined
+        UpdateOutcome::Contiguous
     );
     assert_eq!(position.next(), Some(offset(120)));
     assert_eq!(
@@ -83,7 +83,7 @@
     position.read(offset(101), at(20));
     assert_eq!(
         position.hear(span(100, 101), false, at(30)),
-        UpdateOutcome::Joined
+        UpdateOutcome::Contiguous
     );
     assert_eq!(position.left(READ_INTERVAL, at(30)), READ_INTERVAL);
 }
