--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -32,7 +32,7 @@
     /// The update is contiguous: everything up to its end is known.
     Contiguous,
     /// It ends before the known position, because the reader was delayed.
-    Old,
+    Outdated,
     /// There is a gap before it, or it is incomplete.
     Missed,
 }
@@ -95,7 +95,7 @@
             return UpdateOutcome::Missed;
         };
         if span.next < next {
-            return UpdateOutcome::Old;
+            return UpdateOutcome::Outdated;
         }
         let contiguous = span.from <= next && (whole || span.next == next);
         if !contiguous {
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -96,7 +96,7 @@
     position.hear(span(100, 150), true, at(100));
     assert_eq!(
         position.hear(span(90, 120), true, at(1_900)),
-        UpdateOutcome::Old
+        UpdateOutcome::Outdated
     );
     assert_eq!(position.left(READ_INTERVAL, at(2_100)), Duration::ZERO);
 }
@@ -167,7 +167,7 @@
     position.read(on(1, 110), at(20));
     assert_eq!(
         position.hear(span(100, 500), true, at(30)),
-        UpdateOutcome::Old
+        UpdateOutcome::Outdated
     );
     assert_eq!(position.next(), Some(on(1, 110)));
 }
