--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -109,7 +109,7 @@
     };
     // What is told is true in any case, and its position says whether it was heard before; only a word
     // that joins says that nothing else changed.
-    let heard = known.position().hear(span, reading.whole, now);
+    let heard = known.position().apply(span, reading.whole, now);
     if heard == UpdateOutcome::Outdated {
         return;
     }
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -90,7 +90,7 @@
     }
 
     /// Applies a reader's update; `whole` says whether it names every change in the range.
-    pub fn hear(&mut self, span: Span, whole: bool, now: Moment) -> UpdateOutcome {
+    pub fn apply(&mut self, span: Span, whole: bool, now: Moment) -> UpdateOutcome {
         let Some(next) = self.next else {
             return UpdateOutcome::Missed;
         };
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -17,7 +17,7 @@
     let mut position = read_up_to(10);
     assert_eq!(position.complete(), None);
     position.asked(at(100));
-    position.hear(span(10, 12), true, at(9_000));
+    position.apply(span(10, 12), true, at(9_000));
     assert_eq!(position.complete(), Some(at(100)));
     position.begin();
     assert_eq!(position.complete(), Some(at(100)));
@@ -40,7 +40,7 @@
 fn a_contiguous_update_replaces_a_read() {
     let mut position = read_up_to(100);
     assert_eq!(
-        position.hear(span(90, 120), true, at(1_500)),
+        position.apply(span(90, 120), true, at(1_500)),
         UpdateOutcome::Contiguous
     );
     assert_eq!(position.next(), Some(offset(120)));
@@ -56,7 +56,7 @@
 fn a_vm_that_missed_an_update_reads_from_its_own_position() {
     let mut position = read_up_to(100);
     assert_eq!(
-        position.hear(span(110, 120), true, at(500)),
+        position.apply(span(110, 120), true, at(500)),
         UpdateOutcome::Missed
     );
     assert_eq!(position.next(), Some(offset(100)));
@@ -77,12 +77,12 @@
 fn an_incomplete_update_causes_one_read() {
     let mut position = read_up_to(100);
     assert_eq!(
-        position.hear(span(100, 101), false, at(10)),
+        position.apply(span(100, 101), false, at(10)),
         UpdateOutcome::Missed
     );
     position.read(offset(101), at(20));
     assert_eq!(
-        position.hear(span(100, 101), false, at(30)),
+        position.apply(span(100, 101), false, at(30)),
         UpdateOutcome::Contiguous
     );
     assert_eq!(position.left(READ_INTERVAL, at(30)), READ_INTERVAL);
@@ -93,9 +93,9 @@
 #[test]
 fn an_old_update_does_not_extend_the_time_limit() {
     let mut position = read_up_to(100);
-    position.hear(span(100, 150), true, at(100));
+    position.apply(span(100, 150), true, at(100));
     assert_eq!(
-        position.hear(span(90, 120), true, at(1_900)),
+        position.apply(span(90, 120), true, at(1_900)),
         UpdateOutcome::Outdated
     );
     assert_eq!(position.left(READ_INTERVAL, at(2_100)), Duration::ZERO);
@@ -113,7 +113,7 @@
     position.begin();
     assert_eq!(position.left(READ_INTERVAL, at(0)), Duration::ZERO);
     assert_eq!(
-        position.hear(span(0, 200), true, at(0)),
+        position.apply(span(0, 200), true, at(0)),
         UpdateOutcome::Missed
     );
 }
@@ -140,7 +140,7 @@
                 if whole {
                     known[from..next].fill(true);
                 }
-                position.hear(span(from as u64, next as u64), whole, at(0));
+                position.apply(span(from as u64, next as u64), whole, at(0));
             }
             let claimed = position.next().map_or(0, |next| usize::try_from(next.offset.0).unwrap_or(0));
             if claimed < known_until || !known[..claimed].iter().all(|known| *known) {
@@ -161,12 +161,15 @@
         from: on(1, 90),
         next: on(1, 110),
     };
-    assert_eq!(position.hear(restored, true, at(10)), UpdateOutcome::Missed);
+    assert_eq!(
+        position.apply(restored, true, at(10)),
+        UpdateOutcome::Missed
+    );
     assert_eq!(position.left(READ_INTERVAL, at(10)), Duration::ZERO);
     position.begin();
     position.read(on(1, 110), at(20));
     assert_eq!(
-        position.hear(span(100, 500), true, at(30)),
+        position.apply(span(100, 500), true, at(30)),
         UpdateOutcome::Outdated
     );
     assert_eq!(position.next(), Some(on(1, 110)));
