--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -84,7 +84,7 @@
             Err(StoreError::Restored(_)) => {}
             Err(StoreError::Compacted(first)) => {
                 info!(event = events::COMPACTED, table = ?table, first = first.0, "records are gone; reading the newest of each key");
-                core.known(table).position().begin();
+                core.known(table).position().require_full_read();
             }
             Err(error) => {
                 if !lost {
@@ -157,7 +157,7 @@
 /// Has a table read anew from a store that was restored; what is known of it stays in use meanwhile.
 fn begin_again(core: &Core, table: Table) {
     core.fleet.lock().store_restored(clock::now());
-    core.known(table).position().begin();
+    core.known(table).position().require_full_read();
 }
 
 async fn step(core: &Core, table: Table, restored: &mut Option<Moment>) -> Result<(), StoreError> {
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -78,14 +78,14 @@
     }
 
     /// Requires the next read to cover the whole table.
-    pub fn begin(&mut self) {
+    pub fn require_full_read(&mut self) {
         self.next = None;
     }
 
     /// Requires a read of the whole table if the last one is older than [`FULL_READ_INTERVAL`].
     pub fn renew(&mut self, now: Moment) {
         if now.since(self.last_full_read) >= FULL_READ_INTERVAL {
-            self.begin();
+            self.require_full_read();
         }
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -19,7 +19,7 @@
     position.asked(at(100));
     position.apply(span(10, 12), true, at(9_000));
     assert_eq!(position.complete(), Some(at(100)));
-    position.begin();
+    position.require_full_read();
     assert_eq!(position.complete(), Some(at(100)));
 }
 
@@ -110,7 +110,7 @@
         Duration::from_millis(1)
     );
     assert_eq!(position.left(READ_INTERVAL, at(2_000)), Duration::ZERO);
-    position.begin();
+    position.require_full_read();
     assert_eq!(position.left(READ_INTERVAL, at(0)), Duration::ZERO);
     assert_eq!(
         position.apply(span(0, 200), true, at(0)),
@@ -166,7 +166,7 @@
         UpdateOutcome::Missed
     );
     assert_eq!(position.left(READ_INTERVAL, at(10)), Duration::ZERO);
-    position.begin();
+    position.require_full_read();
     position.read(on(1, 110), at(20));
     assert_eq!(
         position.apply(span(100, 500), true, at(30)),
