--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -126,7 +126,7 @@
     let left = {
         let mut position = known.position();
         position.renew(clock::now());
-        position.left(pace(core, table), clock::now())
+        position.time_left(pace(core, table), clock::now())
     };
     if left.is_zero() {
         return false;
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -45,7 +45,7 @@
     );
     assert_eq!(position.next(), Some(offset(120)));
     assert_eq!(
-        position.left(READ_INTERVAL, at(2_500)),
+        position.time_left(READ_INTERVAL, at(2_500)),
         Duration::from_secs(1)
     );
 }
@@ -60,15 +60,15 @@
         UpdateOutcome::Missed
     );
     assert_eq!(position.next(), Some(offset(100)));
-    assert_eq!(position.left(READ_INTERVAL, at(500)), Duration::ZERO);
+    assert_eq!(position.time_left(READ_INTERVAL, at(500)), Duration::ZERO);
     position.read(offset(118), at(600));
     assert_eq!(
-        position.left(READ_INTERVAL, at(600)),
+        position.time_left(READ_INTERVAL, at(600)),
         Duration::ZERO,
         "not yet there"
     );
     position.read(offset(125), at(700));
-    assert_eq!(position.left(READ_INTERVAL, at(700)), READ_INTERVAL);
+    assert_eq!(position.time_left(READ_INTERVAL, at(700)), READ_INTERVAL);
 }
 
 /// A settings document that is too long for a datagram is announced by an incomplete update. A VM that took the update
@@ -85,7 +85,7 @@
         position.apply(span(100, 101), false, at(30)),
         UpdateOutcome::Contiguous
     );
-    assert_eq!(position.left(READ_INTERVAL, at(30)), READ_INTERVAL);
+    assert_eq!(position.time_left(READ_INTERVAL, at(30)), READ_INTERVAL);
 }
 
 /// A reader that was suspended between its read and its update sends data that is seconds old, which must not extend
@@ -98,7 +98,7 @@
         position.apply(span(90, 120), true, at(1_900)),
         UpdateOutcome::Outdated
     );
-    assert_eq!(position.left(READ_INTERVAL, at(2_100)), Duration::ZERO);
+    assert_eq!(position.time_left(READ_INTERVAL, at(2_100)), Duration::ZERO);
 }
 
 /// When all readers are unreachable, the bound on leaving upstreams must still hold for the other VMs.
@@ -106,12 +106,12 @@
 fn without_an_update_in_time_a_vm_reads_the_table_itself() {
     let mut position = read_up_to(100);
     assert_eq!(
-        position.left(READ_INTERVAL, at(1_999)),
+        position.time_left(READ_INTERVAL, at(1_999)),
         Duration::from_millis(1)
     );
-    assert_eq!(position.left(READ_INTERVAL, at(2_000)), Duration::ZERO);
+    assert_eq!(position.time_left(READ_INTERVAL, at(2_000)), Duration::ZERO);
     position.require_full_read();
-    assert_eq!(position.left(READ_INTERVAL, at(0)), Duration::ZERO);
+    assert_eq!(position.time_left(READ_INTERVAL, at(0)), Duration::ZERO);
     assert_eq!(
         position.apply(span(0, 200), true, at(0)),
         UpdateOutcome::Missed
@@ -165,7 +165,7 @@
         position.apply(restored, true, at(10)),
         UpdateOutcome::Missed
     );
-    assert_eq!(position.left(READ_INTERVAL, at(10)), Duration::ZERO);
+    assert_eq!(position.time_left(READ_INTERVAL, at(10)), Duration::ZERO);
     position.require_full_read();
     position.read(on(1, 110), at(20));
     assert_eq!(
