--- a/crates/sesamegap-entry/src/roll/round.rs
+++ b/crates/sesamegap-entry/src/roll/round.rs
@@ -1,6 +1,6 @@
 //! What the engines of a roll share: who is out, who loads, and how long a load takes.
 
-use sesamegap_policy::routing::rolls::{Pace, max_concurrent_loads};
+use sesamegap_policy::routing::rolls::{LoadTime, max_concurrent_loads};
 use sesamegap_wire::UpstreamId;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 struct State {
     out: BTreeSet<UpstreamId>,
     loading: usize,
-    pace: Pace,
+    pace: LoadTime,
 }
 
 impl Round {
@@ -24,7 +24,7 @@
     }
 
     /// How fast they load.
-    pub fn pace(&self) -> Pace {
+    pub fn pace(&self) -> LoadTime {
         self.lock().pace
     }
 
--- a/crates/sesamegap-policy/src/routing/rolls.rs
+++ b/crates/sesamegap-policy/src/routing/rolls.rs
@@ -69,11 +69,11 @@
 
 /// Observed time of a load at full speed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Pace {
+pub struct LoadTime {
     load: Option<Duration>,
 }
 
-impl Pace {
+impl LoadTime {
     /// Records how long a load took.
     pub fn loaded(&mut self, took: Duration) {
         let known = self.load.unwrap_or(took);
--- a/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
@@ -1,5 +1,5 @@
 use sesamegap_policy::routing::rolls::{
-    Engine, Pace, Stage, drain, max_concurrent_loads, max_per_step, must_return, next,
+    Engine, LoadTime, Stage, drain, max_concurrent_loads, max_per_step, must_return, next,
 };
 use std::time::Duration;
 
@@ -33,11 +33,11 @@
 #[test]
 fn no_more_engines_are_out_than_drain_and_load_at_full_speed() {
     let engines: Vec<Engine> = (0..12).map(|no| engine(1, no)).collect();
-    let mut pace = Pace::default();
+    let mut pace = LoadTime::default();
     pace.loaded(Duration::from_millis(1_300));
     let due = pace.next(&engines).len();
     assert!((max_concurrent_loads(12)..=4).contains(&due), "{due}");
-    let mut quick = Pace::default();
+    let mut quick = LoadTime::default();
     quick.loaded(Duration::from_millis(390));
     assert_eq!(quick.next(&engines), next(&engines), "the drain dominates");
 }
@@ -49,7 +49,7 @@
     for engine in &mut engines[..9] {
         engine.shut = true;
     }
-    let mut pace = Pace::default();
+    let mut pace = LoadTime::default();
     pace.loaded(Duration::from_secs(2));
     assert_eq!(pace.next(&engines).len(), 9);
 }
@@ -58,7 +58,7 @@
 /// still detected after several loads.
 #[test]
 fn the_expected_load_time_follows_the_fast_loads() {
-    let mut pace = Pace::default();
+    let mut pace = LoadTime::default();
     for ms in [3_900, 1_300, 3_900, 2_600] {
         pace.loaded(Duration::from_millis(ms));
     }
