--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -274,7 +274,7 @@
                 }
             })
             .collect();
-        let newest = self.namings().wanted(&shape.model, now).0;
+        let newest = self.namings().target_version(&shape.model, now).0;
         let choice = engines::choose(&shape.prompt, &views, newest, &self.recall)?;
         Some(Chosen {
             id: open[choice.at].id.clone(),
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -142,7 +142,7 @@
     /// The version that requests for a model should use, if engines have had time to load it.
     ///
     /// Right after a naming all engines are outdated, and their answers are worth as much.
-    pub fn wanted(&self, model: &str, now: Moment) -> WeightsVersion {
+    pub fn target_version(&self, model: &str, now: Moment) -> WeightsVersion {
         let newest = self.newest_of(model);
         let loaded = newest.filter(|naming| now.since(naming.at) >= SETTLING);
         loaded.map_or_else(WeightsVersion::default, |naming| naming.version)
--- a/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
@@ -81,8 +81,8 @@
     let mut namings = named(&[(2, Named::At(at(0)))]);
     namings.learn(&"n".into(), WeightsVersion(5), Named::At(at(6_000)));
     assert!(!may_send(&namings, 1, 0, 7_000));
-    assert_eq!(namings.wanted("m", at(6_500)), WeightsVersion(2));
-    assert_eq!(namings.wanted("n", at(6_500)), WeightsVersion(0));
+    assert_eq!(namings.target_version("m", at(6_500)), WeightsVersion(2));
+    assert_eq!(namings.target_version("n", at(6_500)), WeightsVersion(0));
 }
 
 /// A VM that starts and finds weights in the store cannot know when they were named. If it took them as new, it would use
