--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -94,7 +94,9 @@
     pub fn left_to_begin(&self, now: Moment) -> Option<Duration> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
-        let until = fleet.namings.begin_by(self.model.as_ref()?, version)?;
+        let until = fleet
+            .namings
+            .start_deadline(self.model.as_ref()?, version)?;
         Some(until.since(now))
     }
 
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -173,7 +173,7 @@
     }
 
     /// Until when a request must have started on these weights to not be withdrawn, or `None` if they are the newest.
-    pub fn begin_by(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
+    pub fn start_deadline(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
         let left = self.bound.saturating_sub(WITHDRAWAL_MARGIN);
         self.superseded_at(model, version).map(|at| at + left)
     }
--- a/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_sent_request_starts_in_time_or_is_withdrawn() {
     let namings = named(&[(2, Named::At(at(0)))]);
-    let withdrawn = namings.begin_by("m", WeightsVersion(1));
+    let withdrawn = namings.start_deadline("m", WeightsVersion(1));
     assert!(withdrawn.is_some_and(|until| until < Moment(0) + BOUND));
     for ms in (0..9_000).step_by(50) {
         for wait in (0..9_000).step_by(50) {
@@ -42,7 +42,7 @@
         }
     }
     assert!(may_send(&namings, 2, 9_000, 99_000));
-    assert_eq!(namings.begin_by("m", WeightsVersion(2)), None);
+    assert_eq!(namings.start_deadline("m", WeightsVersion(2)), None);
 }
 
 /// A prompt sent to an engine with 38,000 tokens left to prefill would start 2.3 s later, when its weights may no longer
@@ -166,6 +166,6 @@
     let mut namings = Namings::new(BOUND);
     let guess = namings.guess(at(60_000));
     namings.learn(&model(), WeightsVersion(7), guess);
-    let until = namings.begin_by("m", WeightsVersion(6));
+    let until = namings.start_deadline("m", WeightsVersion(6));
     assert!(until <= Some(at(63_000)), "{until:?}");
 }
