--- a/crates/sesamegap-entry/src/follow/apply.rs
+++ b/crates/sesamegap-entry/src/follow/apply.rs
@@ -60,7 +60,7 @@
         Record::Weights(weights) => {
             let named = match read {
                 Read::Written => Named::At(now),
-                Read::Found(None) => core.fleet.lock().namings().guess(now),
+                Read::Found(None) => core.fleet.lock().namings().estimate(now),
                 Read::Found(Some(known)) => core.fleet.lock().namings().guess_after(known, now),
             };
             Taken::news_if(learn_weights(core, &weights, named, "store"))
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -72,7 +72,7 @@
     }
 
     /// Estimated naming time for weights that are discovered now and were named before.
-    pub fn guess(&self, now: Moment) -> Named {
+    pub fn estimate(&self, now: Moment) -> Named {
         let age = self.bound.saturating_sub(GUESSED_LEFT);
         Named::Guessed(now.less(age))
     }
@@ -83,7 +83,7 @@
     /// old as after a start would shut all engines within seconds, long before any of them could load, and all
     /// VMs would refuse callers.
     pub fn guess_after(&self, known: Moment, now: Moment) -> Named {
-        match self.guess(now) {
+        match self.estimate(now) {
             Named::Guessed(at) => Named::Guessed(at.max(known)),
             seen @ Named::At(_) => seen,
         }
--- a/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
@@ -91,7 +91,7 @@
 fn weights_with_unknown_naming_time_count_as_old() {
     for secs in [8, 10, 15] {
         let mut namings = Namings::new(Duration::from_secs(secs));
-        let guess = namings.guess(at(60_000));
+        let guess = namings.estimate(at(60_000));
         namings.learn(&model(), WeightsVersion(7), guess);
         assert!(
             may_send(&namings, 6, 0, 61_000),
@@ -122,7 +122,7 @@
 fn weights_found_after_a_long_disconnection_count_as_old() {
     let mut namings = Namings::new(BOUND);
     let found = namings.guess_after(at(10_000), at(60_000));
-    assert_eq!(found, namings.guess(at(60_000)));
+    assert_eq!(found, namings.estimate(at(60_000)));
     namings.learn(&model(), WeightsVersion(7), found);
     assert!(!may_send(&namings, 6, 0, 62_900));
 }
@@ -164,7 +164,7 @@
 #[test]
 fn requests_sent_on_an_estimate_start_before_the_bound_applies() {
     let mut namings = Namings::new(BOUND);
-    let guess = namings.guess(at(60_000));
+    let guess = namings.estimate(at(60_000));
     namings.learn(&model(), WeightsVersion(7), guess);
     let until = namings.start_deadline("m", WeightsVersion(6));
     assert!(until <= Some(at(63_000)), "{until:?}");
