--- a/crates/sesamegap-entry/src/follow/apply.rs
+++ b/crates/sesamegap-entry/src/follow/apply.rs
@@ -61,7 +61,7 @@
             let named = match read {
                 Read::Written => Named::At(now),
                 Read::Found(None) => core.fleet.lock().namings().estimate(now),
-                Read::Found(Some(known)) => core.fleet.lock().namings().guess_after(known, now),
+                Read::Found(Some(known)) => core.fleet.lock().namings().estimate_after(known, now),
             };
             Taken::news_if(learn_weights(core, &weights, named, "store"))
         }
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -82,7 +82,7 @@
     /// When the store drops its history right after a naming, all VMs discover the version at once. An estimate as
     /// old as after a start would shut all engines within seconds, long before any of them could load, and all
     /// VMs would refuse callers.
-    pub fn guess_after(&self, known: Moment, now: Moment) -> Named {
+    pub fn estimate_after(&self, known: Moment, now: Moment) -> Named {
         match self.estimate(now) {
             Named::Guessed(at) => Named::Guessed(at.max(known)),
             seen @ Named::At(_) => seen,
--- a/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/weights.rs
@@ -108,7 +108,7 @@
 fn rediscovered_weights_are_no_older_than_the_last_read() {
     for secs in [8, 10, 12, 15] {
         let mut namings = Namings::new(Duration::from_secs(secs));
-        let found = namings.guess_after(at(59_000), at(60_000));
+        let found = namings.estimate_after(at(59_000), at(60_000));
         namings.learn(&model(), WeightsVersion(7), found);
         let latest = 59_000 + secs * 1_000;
         assert!(may_send(&namings, 6, 0, latest - 2_000));
@@ -121,7 +121,7 @@
 #[test]
 fn weights_found_after_a_long_disconnection_count_as_old() {
     let mut namings = Namings::new(BOUND);
-    let found = namings.guess_after(at(10_000), at(60_000));
+    let found = namings.estimate_after(at(10_000), at(60_000));
     assert_eq!(found, namings.estimate(at(60_000)));
     namings.learn(&model(), WeightsVersion(7), found);
     assert!(!may_send(&namings, 6, 0, 62_900));
