--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -221,7 +221,7 @@
     /// Chooses an upstream.
     pub fn choose(&mut self, selection: &Selection<'_>, now: Moment) -> Option<Chosen> {
         if selection.shard.is_some() {
-            self.recall.see_all();
+            self.recall.set_complete();
         }
         self.pick(selection, now)
     }
--- a/crates/sesamegap-policy/src/routing/recall.rs
+++ b/crates/sesamegap-policy/src/routing/recall.rs
@@ -42,7 +42,7 @@
 
 impl CacheLocations {
     /// Records that this VM places all prompts for some engines from now on.
-    pub fn see_all(&mut self) {
+    pub fn set_complete(&mut self) {
         self.complete = true;
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -277,7 +277,7 @@
 fn a_preamble_that_all_engines_served_counts_as_served_at_its_home() {
     let fleet = engines(16);
     let mut recall = CacheLocations::default();
-    recall.see_all();
+    recall.set_complete();
     let first = choose(&prompt(1, 0, 2_000), &fleet, 1, &recall).expect("engines are open");
     serve(&mut recall, &prompt(1, 0, 2_000), &fleet[first.at]);
     for (dossier, engine) in (1..).zip(&fleet) {
@@ -295,7 +295,7 @@
 fn a_prefix_is_fetched_from_the_engine_that_served_it_last() {
     let fleet = engines(9);
     let mut recall = CacheLocations::default();
-    recall.see_all();
+    recall.set_complete();
     let asked = prompt(1, 7, 2_000);
     for (second, engine) in [2, 5, 3].into_iter().zip(&fleet) {
         for prefix in &asked.prefixes {
