--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -296,7 +296,7 @@
         }
         let served = |no: &usize| recall.last(prefix.hash, engines[*no].life, engines[*no].version);
         let mut holders = others().filter(|no| served(no).is_some());
-        let holder = if recall.is_whole() {
+        let holder = if recall.is_complete() {
             // A prefix that was served long ago has most likely been evicted, so prefer the latest.
             holders.max_by_key(served)
         } else {
--- a/crates/sesamegap-policy/src/routing/recall.rs
+++ b/crates/sesamegap-policy/src/routing/recall.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether this VM sees all prompts for the engines it records.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete
     }
 
