--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -186,7 +186,7 @@
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         budgets
             .get_mut(service)
-            .is_some_and(|budget| budget.repeat(clock::now(), vms))
+            .is_some_and(|budget| budget.try_retry(clock::now(), vms))
     }
 
     /// The phase.
--- a/crates/sesamegap-policy/src/routing/budget.rs
+++ b/crates/sesamegap-policy/src/routing/budget.rs
@@ -62,7 +62,7 @@
 
     /// Counts a retry and returns true if the bound allows it; `vms` is the number of entry VMs.
     #[must_use]
-    pub fn repeat(&mut self, now: Moment, vms: usize) -> bool {
+    pub fn try_retry(&mut self, now: Moment, vms: usize) -> bool {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
--- a/crates/sesamegap-policy/tests/testsuite/routing/budget.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/budget.rs
@@ -25,7 +25,7 @@
         for budget in &mut budgets {
             budget.request(at(ms));
             requests.push(ms);
-            if budget.repeat(at(ms), vms) {
+            if budget.try_retry(at(ms), vms) {
                 retries.push(ms);
             }
         }
@@ -53,7 +53,7 @@
 #[test]
 fn a_vm_that_knows_no_peer_takes_less_than_the_fleets_allowance() {
     let mut budget = Budget::new(BOUND);
-    let taken = (0..1_000).filter(|_| budget.repeat(at(0), 1)).count();
+    let taken = (0..1_000).filter(|_| budget.try_retry(at(0), 1)).count();
     assert!((1..54).contains(&taken), "{taken}");
 }
 
@@ -68,7 +68,7 @@
             if is_request {
                 budget.request(at(now));
                 requests.push(now);
-            } else if budget.repeat(at(now), 9) {
+            } else if budget.try_retry(at(now), 9) {
                 retries.push(now);
             }
         }
