--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -177,7 +177,7 @@
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| Budget::new(self.settings().repeats));
-        budget.request(clock::now());
+        budget.record_request(clock::now());
     }
 
     /// Whether one more repeat to a service fits into the fleet's bound; counts it if so.
--- a/crates/sesamegap-policy/src/routing/budget.rs
+++ b/crates/sesamegap-policy/src/routing/budget.rs
@@ -56,7 +56,7 @@
     }
 
     /// Counts a caller's request.
-    pub fn request(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Moment) {
         self.bucket(now).requests += 1;
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/budget.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/budget.rs
@@ -23,7 +23,7 @@
     let mut requests: Vec<u64> = Vec::new();
     for ms in (0..30_000).step_by(10) {
         for budget in &mut budgets {
-            budget.request(at(ms));
+            budget.record_request(at(ms));
             requests.push(ms);
             if budget.try_retry(at(ms), vms) {
                 retries.push(ms);
@@ -66,7 +66,7 @@
         for (pause, is_request) in steps {
             now += u64::from(pause) % 400;
             if is_request {
-                budget.request(at(now));
+                budget.record_request(at(now));
                 requests.push(now);
             } else if budget.try_retry(at(now), 9) {
                 retries.push(now);
