--- a/crates/sesamegap-policy/src/routing/transfers.rs
+++ b/crates/sesamegap-policy/src/routing/transfers.rs
@@ -76,7 +76,7 @@
 
 /// A placed prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Wish {
+pub struct PlacedPrompt {
     /// Tokens of its shared parts.
     pub shared: u64,
     /// Tokens of its unshared part.
@@ -101,7 +101,7 @@
 }
 
 /// Decides which transfers are worthwhile for a prompt.
-pub fn wish(wish: &Wish) -> Transfers {
+pub fn wish(wish: &PlacedPrompt) -> Transfers {
     let held = wish.served.is_some_and(|ago| ago < CACHE_RETENTION);
     let long = wish.shared >= MIN_SHARED_TOKENS;
     let has_capacity = wish.link.is_some_and(Link::has_capacity);
--- a/crates/sesamegap-policy/tests/testsuite/routing/transfers.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/transfers.rs
@@ -1,9 +1,9 @@
-use sesamegap_policy::routing::transfers::{Fetch, Link, Wish, per_ms, wish};
+use sesamegap_policy::routing::transfers::{Fetch, Link, PlacedPrompt, per_ms, wish};
 use std::num::NonZeroU64;
 use std::time::Duration;
 
-fn review() -> Wish {
-    Wish {
+fn review() -> PlacedPrompt {
+    PlacedPrompt {
         shared: 6_300,
         own: 2_000,
         served: None,
@@ -26,13 +26,13 @@
 /// data that the engine still holds.
 #[test]
 fn recently_served_parts_are_not_fetched() {
-    let served = Wish {
+    let served = PlacedPrompt {
         served: Some(Duration::from_millis(800)),
         ..review()
     };
     let found = wish(&served);
     assert!(!found.from_store && !found.from_engine, "{found:?}");
-    let long_ago = Wish {
+    let long_ago = PlacedPrompt {
         served: Some(Duration::from_secs(5)),
         ..review()
     };
@@ -43,7 +43,7 @@
 /// seconds and delay the prompts.
 #[test]
 fn a_link_shared_by_many_engines_serves_only_its_own_failure_domain() {
-    let far = |engines| Wish {
+    let far = |engines| PlacedPrompt {
         link: Some(Link {
             near: false,
             mbps: 110_000,
@@ -63,11 +63,11 @@
 /// a second.
 #[test]
 fn without_a_usable_store_parts_are_fetched_from_the_home() {
-    let elsewhere = Wish {
+    let elsewhere = PlacedPrompt {
         at_store: false,
         ..review()
     };
-    let none = Wish {
+    let none = PlacedPrompt {
         link: None,
         ..review()
     };
@@ -82,13 +82,13 @@
 
 #[test]
 fn short_prompts_and_long_own_parts_stay_out_of_the_store() {
-    let short = Wish {
+    let short = PlacedPrompt {
         shared: 200,
         ..review()
     };
     let found = wish(&short);
     assert!(!found.from_store && !found.save, "{found:?}");
-    let own = Wish {
+    let own = PlacedPrompt {
         own: 12_000,
         ..review()
     };
