--- a/crates/sesamegap-policy/src/routing/transfers.rs
+++ b/crates/sesamegap-policy/src/routing/transfers.rs
@@ -101,15 +101,15 @@
 }
 
 /// Decides which transfers are worthwhile for a prompt.
-pub fn wish(wish: &PlacedPrompt) -> Transfers {
-    let held = wish.served.is_some_and(|ago| ago < CACHE_RETENTION);
-    let long = wish.shared >= MIN_SHARED_TOKENS;
-    let has_capacity = wish.link.is_some_and(Link::has_capacity);
-    let use_store = long && wish.at_store && has_capacity;
+pub fn plan(prompt: &PlacedPrompt) -> Transfers {
+    let held = prompt.served.is_some_and(|ago| ago < CACHE_RETENTION);
+    let long = prompt.shared >= MIN_SHARED_TOKENS;
+    let has_capacity = prompt.link.is_some_and(Link::has_capacity);
+    let use_store = long && prompt.at_store && has_capacity;
     Transfers {
         from_store: use_store && !held,
         from_engine: !held,
-        save: use_store && wish.own <= MAX_SAVED_OWN_TOKENS,
+        save: use_store && prompt.own <= MAX_SAVED_OWN_TOKENS,
     }
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/transfers.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/transfers.rs
@@ -1,4 +1,4 @@
-use sesamegap_policy::routing::transfers::{Fetch, Link, PlacedPrompt, per_ms, wish};
+use sesamegap_policy::routing::transfers::{Fetch, Link, PlacedPrompt, per_ms, plan};
 use std::num::NonZeroU64;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_prompt_at_its_home_fetches_from_the_store_and_saves_to_it() {
-    let found = wish(&review());
+    let found = plan(&review());
     assert!(found.from_store && found.save, "{found:?}");
 }
 
@@ -30,13 +30,13 @@
         served: Some(Duration::from_millis(800)),
         ..review()
     };
-    let found = wish(&served);
+    let found = plan(&served);
     assert!(!found.from_store && !found.from_engine, "{found:?}");
     let long_ago = PlacedPrompt {
         served: Some(Duration::from_secs(5)),
         ..review()
     };
-    assert!(wish(&long_ago).from_store, "its cache has turned over");
+    assert!(plan(&long_ago).from_store, "its cache has turned over");
 }
 
 /// When 140 engines in three failure domains share a store's link, transfers to other failure domains would queue for
@@ -51,8 +51,8 @@
         }),
         ..review()
     };
-    assert!(wish(&far(12)).from_store);
-    let many = wish(&far(140));
+    assert!(plan(&far(12)).from_store);
+    let many = plan(&far(140));
     assert!(
         !many.from_store && !many.save && many.from_engine,
         "{many:?}"
@@ -72,7 +72,7 @@
         ..review()
     };
     for asked in [elsewhere, none] {
-        let found = wish(&asked);
+        let found = plan(&asked);
         assert!(
             !found.from_store && !found.save && found.from_engine,
             "{found:?}"
@@ -86,13 +86,13 @@
         shared: 200,
         ..review()
     };
-    let found = wish(&short);
+    let found = plan(&short);
     assert!(!found.from_store && !found.save, "{found:?}");
     let own = PlacedPrompt {
         own: 12_000,
         ..review()
     };
-    let found = wish(&own);
+    let found = plan(&own);
     assert!(found.from_store && !found.save, "{found:?}");
 }
 
