--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -18,7 +18,7 @@
 //!
 //! Time bounds: an entry that lapsed while the store was unreachable has [`Rules::lapse`] from the store's
 //! return to reappear. Doubt ends with the next newer record, or once the entry has remained for
-//! [`Rules::stands`] while the store was reachable, which no entry does without heartbeats. An upstream that
+//! [`Rules::confirmation`] while the store was reachable, which no entry does without heartbeats. An upstream that
 //! announced that it leaves and is gone stays gone for this incarnation. Whether an upstream answers requests is
 //! tracked separately ([`super::silence`]): one that leaves without announcing it answers for as long as it may
 //! be asked, so its answers do not contradict the list.
@@ -53,7 +53,7 @@
     /// How long an entry that lapsed while the store was unreachable may take to reappear.
     pub lapse: Duration,
     /// How long an entry must remain in the list to prove that its upstream is alive.
-    pub stands: Duration,
+    pub confirmation: Duration,
 }
 
 impl Rules {
@@ -61,7 +61,7 @@
     pub fn new(lapse: Duration, heartbeat: Duration, drain: Duration) -> Self {
         Self {
             lapse,
-            stands: heartbeat * MISSED_HEARTBEATS + drain,
+            confirmation: heartbeat * MISSED_HEARTBEATS + drain,
         }
     }
 }
@@ -119,7 +119,7 @@
     /// The entry was removed, but may reappear.
     Lapsed,
     /// The upstream was gone and a record of unknown age lists it; it is not used until that entry has remained
-    /// for [`Rules::stands`].
+    /// for [`Rules::confirmation`].
     Doubted,
     /// A newer record without new information.
     Same,
@@ -256,7 +256,7 @@
                 self.state = again.map_or(State::Gone(now), State::Doubted);
                 Change::Gone
             }
-            State::Doubted(since) if contact.reachable_for(since, rules.stands, now) => {
+            State::Doubted(since) if contact.reachable_for(since, rules.confirmation, now) => {
                 self.state = State::Listed;
                 Change::New
             }
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -265,7 +265,7 @@
     );
     assert!(!belief.is_known());
     let contact = StoreReachability::default();
-    let stood = 5_000 + u64::try_from(rules.stands.as_millis()).expect("a short span");
+    let stood = 5_000 + u64::try_from(rules.confirmation.as_millis()).expect("a short span");
     assert_eq!(belief.expire(&rules, &contact, at(stood - 1)), Change::Same);
     assert_eq!(belief.expire(&rules, &contact, at(stood)), Change::New);
     assert!(belief.is_known());
@@ -301,7 +301,7 @@
     assert_eq!(belief.expire(&rules, &contact, at(30_000)), Change::Same);
     contact.store(true, at(30_000));
     assert_eq!(belief.expire(&rules, &contact, at(31_000)), Change::Same);
-    let stood = at(30_000) + rules.stands;
+    let stood = at(30_000) + rules.confirmation;
     assert_eq!(belief.expire(&rules, &contact, stood), Change::New);
 }
 
