--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -8,8 +8,8 @@
 use crate::clock;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
+use sesamegap_policy::routing::dissemination::FANOUT;
 use sesamegap_policy::routing::engines::PREFILL_TOKENS_PER_MS;
-use sesamegap_policy::routing::telling::FANOUT;
 use sesamegap_wire::{Moment, VmId};
 use std::time::Duration;
 
--- a/crates/sesamegap-policy/src/routing/mod.rs
+++ b/crates/sesamegap-policy/src/routing/mod.rs
@@ -9,7 +9,7 @@
 //! - [`silence`] combines the VMs' reports on unresponsive upstreams.
 //! - [`belief`] tracks whether an upstream is present, and its incarnation.
 //! - [`reading`] decides when a VM reads the store itself.
-//! - [`telling`] picks the peers that receive a VM's load.
+//! - [`dissemination`] picks the peers that receive a VM's load.
 //! - [`weights`] bounds the time until which a request may start on older weights.
 //! - [`rolls`] picks the engines that load new weights next.
 //! - [`shards`] assigns engines to the VMs that place their prompts in a large fleet.
@@ -17,6 +17,7 @@
 
 pub mod belief;
 pub mod budget;
+pub mod dissemination;
 pub mod engines;
 pub mod patience;
 pub mod placed;
@@ -26,7 +27,6 @@
 pub mod rolls;
 pub mod shards;
 pub mod silence;
-pub mod telling;
 pub mod transfers;
 pub mod weights;
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/telling.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/dissemination.rs
@@ -1,4 +1,4 @@
-use sesamegap_policy::routing::telling::{FANOUT, RecipientSelector, Recipients, Sum};
+use sesamegap_policy::routing::dissemination::{FANOUT, RecipientSelector, Recipients, Sum};
 
 /// Ticks in a second.
 const TICKS: usize = 20;
--- a/crates/sesamegap-policy/tests/testsuite/routing/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/mod.rs
@@ -2,12 +2,12 @@
 
 mod belief;
 mod budget;
+mod dissemination;
 mod engines;
 mod plain;
 mod reading;
 mod rolls;
 mod shards;
 mod silence;
-mod telling;
 mod transfers;
 mod weights;
