--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use sesamegap_policy::routing::belief::{
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
 };
-use sesamegap_policy::routing::placed::Placements;
+use sesamegap_policy::routing::placements::Placements;
 use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::silence::SilenceReports;
 use sesamegap_policy::routing::weights::{Named, Namings};
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Selection, Shard};
-use sesamegap_policy::routing::placed::Placement;
+use sesamegap_policy::routing::placements::Placement;
 use sesamegap_policy::routing::shards::Division;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/sesamegap-policy/src/routing/mod.rs
+++ b/crates/sesamegap-policy/src/routing/mod.rs
@@ -13,14 +13,14 @@
 //! - [`weights`] bounds the time until which a request may start on older weights.
 //! - [`rolls`] picks the engines that load new weights next.
 //! - [`shards`] assigns engines to the VMs that place their prompts in a large fleet.
-//! - [`placed`] counts the prompts that a VM has placed for its peers.
+//! - [`placements`] counts the prompts that a VM has placed for its peers.
 
 pub mod belief;
 pub mod budget;
 pub mod dissemination;
 pub mod engines;
 pub mod patience;
-pub mod placed;
+pub mod placements;
 pub mod plain;
 pub mod reading;
 pub mod recall;
