--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -22,8 +22,8 @@
 use sesamegap_policy::routing::belief::{
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
 };
+use sesamegap_policy::routing::cache_locations::CacheLocations;
 use sesamegap_policy::routing::placements::Placements;
-use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::silence::SilenceReports;
 use sesamegap_policy::routing::weights::{Named, Namings};
 use sesamegap_wire::{Incarnation, LogPosition, Moment, ServiceId, UpstreamId, WeightsVersion};
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -20,7 +20,7 @@
 //! engine, a lower-ranked engine is chosen when its wait is shorter by more than the cost of fetching the prefix.
 
 use super::Availability;
-use super::recall::CacheLocations;
+use super::cache_locations::CacheLocations;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/sesamegap-policy/src/routing/mod.rs
+++ b/crates/sesamegap-policy/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Routing decisions of an entry VM, from its own traffic, its peers' reports and the fleet list.
 //!
 //! - [`engines`] picks the engine for a prompt given as named parts.
-//! - [`recall`] records which engines served which prefixes.
+//! - [`cache_locations`] records which engines served which prefixes.
 //! - [`transfers`] decides where cached parts are fetched from.
 //! - [`plain`] picks the worker of a plain service.
 //! - [`budget`] bounds retries over all entry VMs without messages between them.
@@ -17,13 +17,13 @@
 
 pub mod belief;
 pub mod budget;
+pub mod cache_locations;
 pub mod dissemination;
 pub mod engines;
 pub mod patience;
 pub mod placements;
 pub mod plain;
 pub mod reading;
-pub mod recall;
 pub mod rolls;
 pub mod shards;
 pub mod silence;
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -1,8 +1,8 @@
 use sesamegap_policy::routing::Availability;
+use sesamegap_policy::routing::cache_locations::CacheLocations;
 use sesamegap_policy::routing::engines::{
     Engine, EngineLocation, Prefix, Prompt, choose, for_long, rank,
 };
-use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_wire::Moment;
 
 fn engines(count: u64) -> Vec<Engine> {
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -3,9 +3,9 @@
 use rand::{RngExt, SeedableRng};
 use rustc_hash::FxHashMap;
 use sesamegap_policy::routing::Availability;
+use sesamegap_policy::routing::cache_locations::CacheLocations;
 use sesamegap_policy::routing::engines::{self, Engine, Prefix, Prompt, inner_home, seed};
 use sesamegap_policy::routing::placements::{Placement, Placements, Sum};
-use sesamegap_policy::routing::recall::CacheLocations;
 use sesamegap_policy::routing::shards::{Division, SMALL, owner};
 use std::time::Duration;
 
