--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -16,7 +16,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
-use sesamegap_policy::routing::patience;
+use sesamegap_policy::routing::timeouts;
 use std::sync::Arc;
 use tokio::time::timeout_at;
 
@@ -51,7 +51,7 @@
         let time = if last {
             job.left()
         } else {
-            patience::plain(job.route.objective)
+            timeouts::plain(job.route.objective)
         };
         let (id, outcome) = send(core, job, flight, time, None).await;
         let may_have_run = match outcome {
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -24,7 +24,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
-use sesamegap_policy::routing::patience;
+use sesamegap_policy::routing::timeouts;
 use sesamegap_wire::UpstreamId;
 use std::io;
 use std::sync::Arc;
@@ -190,7 +190,7 @@
     fn head_patience(&self, at: &UpstreamId) -> Duration {
         // Without another to go to, giving up the one that was chosen only loses its answer.
         if self.may_move() && self.progress.has_other(&self.core, Some(at)) {
-            patience::FIRST_EVENT_BUSY
+            timeouts::FIRST_EVENT_BUSY
         } else {
             self.job.left()
         }
@@ -330,7 +330,7 @@
             return self.job.ends;
         }
         let heard = Self::is_heard(live, since);
-        let borne = patience::stream(live.started, heard);
+        let borne = timeouts::stream(live.started, heard);
         self.job.ends.min(since + borne)
     }
 
--- a/crates/sesamegap-policy/src/routing/mod.rs
+++ b/crates/sesamegap-policy/src/routing/mod.rs
@@ -5,7 +5,7 @@
 //! - [`transfers`] decides where cached parts are fetched from.
 //! - [`plain`] picks the worker of a plain service.
 //! - [`budget`] bounds retries over all entry VMs without messages between them.
-//! - [`patience`] sets the timeouts that tell an unresponsive upstream from a slow one.
+//! - [`timeouts`] sets the timeouts that tell an unresponsive upstream from a slow one.
 //! - [`silence`] combines the VMs' reports on unresponsive upstreams.
 //! - [`belief`] tracks whether an upstream is present, and its incarnation.
 //! - [`reading`] decides when a VM reads the store itself.
@@ -20,13 +20,13 @@
 pub mod cache_locations;
 pub mod dissemination;
 pub mod engines;
-pub mod patience;
 pub mod placements;
 pub mod plain;
 pub mod reading;
 pub mod rolls;
 pub mod shards;
 pub mod silence;
+pub mod timeouts;
 pub mod transfers;
 pub mod weights;
 
