--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -209,15 +209,15 @@
     /// Applies an update of the list.
     pub fn apply(
         &mut self,
-        word: ListUpdate,
+        update: ListUpdate,
         rules: &Rules,
         contact: &StoreReachability,
         now: Moment,
     ) -> Change {
-        let repeat = self.at.is_some_and(|at| word.at <= at);
-        let restored = self.at.is_some_and(|at| word.at.timeline > at.timeline);
-        self.at = self.at.max(Some(word.at));
-        match word.said {
+        let repeat = self.at.is_some_and(|at| update.at <= at);
+        let restored = self.at.is_some_and(|at| update.at.timeline > at.timeline);
+        self.at = self.at.max(Some(update.at));
+        match update.said {
             // Later updates that were already applied may belong to the previous incarnation.
             ListRecord::Listed(listing) if self.is_newer(listing.born) => {
                 self.restart(listing, repeat)
--- a/crates/sesamegap-policy/src/routing/silence.rs
+++ b/crates/sesamegap-policy/src/routing/silence.rs
@@ -93,20 +93,20 @@
     }
 
     /// Applies a VM's report, replacing its previous one on the same upstream.
-    pub fn apply(&mut self, vm: &VmId, word: SilenceReport, now: Moment) {
-        let reports = self.reports.entry(word.seed).or_default();
+    pub fn apply(&mut self, vm: &VmId, report: SilenceReport, now: Moment) {
+        let reports = self.reports.entry(report.seed).or_default();
         reports.retain(|(other, until)| other != vm && now < *until);
-        if word.avoided_ms > 0 {
-            let avoided = Duration::from_millis(u64::from(word.avoided_ms));
+        if report.avoided_ms > 0 {
+            let avoided = Duration::from_millis(u64::from(report.avoided_ms));
             reports.push((vm.clone(), now + avoided * PEER_AVOIDANCE_PERCENT / 100));
             self.avoided.retain(|_, (_, until)| now < *until);
             self.avoided
-                .insert(word.seed, (avoided, now + AVOIDANCE_MEMORY));
+                .insert(report.seed, (avoided, now + AVOIDANCE_MEMORY));
         } else {
-            self.avoided.remove(&word.seed);
+            self.avoided.remove(&report.seed);
         }
         if reports.is_empty() {
-            self.reports.remove(&word.seed);
+            self.reports.remove(&report.seed);
         }
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -40,13 +40,14 @@
 fn updates_may_arrive_in_any_order() {
     for seed in 0..cases(500) {
         let world = play(&steps(seed), &mut Real::new()).expect("checked by the other test");
-        let mut words: Vec<ListUpdate> = (0..world.log.len()).map(|no| world.word(no)).collect();
-        words.extend(words.clone());
-        words.shuffle(&mut StdRng::seed_from_u64(seed));
+        let mut updates: Vec<ListUpdate> =
+            (0..world.log.len()).map(|no| world.update(no)).collect();
+        updates.extend(updates.clone());
+        updates.shuffle(&mut StdRng::seed_from_u64(seed));
         let mut judge = Real::new();
         let contact = StoreReachability::default();
-        for word in words {
-            judge.apply(word, &contact, world.now);
+        for update in updates {
+            judge.apply(update, &contact, world.now);
         }
         judge.expire(&contact, world.now + 100);
         let usable = judge.is_known() && !judge.is_leaving();
@@ -67,8 +68,8 @@
 }
 
 impl Judge for HeartbeatsOnly {
-    fn apply(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
-        match word.said {
+    fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+        match update.said {
             ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
             ListRecord::Listed(listing) => {
                 let newer = self.known.is_none_or(|known| known.beat <= listing.beat);
@@ -102,10 +103,10 @@
 }
 
 impl Judge for PositionsOnly {
-    fn apply(&mut self, word: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
-        if self.at.is_none_or(|at| at < word.at) {
-            self.at = Some(word.at);
-            self.known = match word.said {
+    fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+        if self.at.is_none_or(|at| at < update.at) {
+            self.at = Some(update.at);
+            self.known = match update.said {
                 ListRecord::Listed(listing) => Some(listing),
                 _ => self.known.map(|known| Listing {
                     leaving: true,
@@ -152,35 +153,35 @@
     fn without_expiry() -> Self {
         Self {
             expires: false,
-            ..Self::new(|word| word)
+            ..Self::new(|update| update)
         }
     }
 
     fn without_incarnations() -> Self {
-        Self::new(|word| {
-            let said = match word.said {
+        Self::new(|update| {
+            let said = match update.said {
                 ListRecord::Listed(listing) => ListRecord::Listed(Listing {
                     born: None,
                     ..listing
                 }),
                 said => said,
             };
-            ListUpdate { said, ..word }
+            ListUpdate { said, ..update }
         })
     }
 
     /// Offsets of a restored store are compared with those from before the restore.
     fn without_timelines() -> Self {
-        Self::new(|word| ListUpdate {
-            at: offset(word.at.offset.0),
-            ..word
+        Self::new(|update| ListUpdate {
+            at: offset(update.at.offset.0),
+            ..update
         })
     }
 }
 
 impl Judge for Altered {
-    fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.real.apply((self.alter)(word), contact, now)
+    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
+        self.real.apply((self.alter)(update), contact, now)
     }
 
     fn expire(&mut self, contact: &StoreReachability, now: u64) {
@@ -241,9 +242,9 @@
     }
 }
 
-fn apply(belief: &mut Belief, word: ListUpdate, ms: u64) -> Change {
+fn apply(belief: &mut Belief, update: ListUpdate, ms: u64) -> Change {
     belief.apply(
-        word,
+        update,
         &Rules::default(),
         &StoreReachability::default(),
         at(ms),
@@ -371,9 +372,9 @@
     let mut belief = Belief::new(at(0));
     belief.apply(listed(40, 7, Some(1)), &rules, &contact, at(100));
     contact.restored(at(1_000));
-    let on_copy = |no: u64, word: ListUpdate| ListUpdate {
+    let on_copy = |no: u64, update: ListUpdate| ListUpdate {
         at: LogPosition::new(Timeline(1), Offset(no)),
-        ..word
+        ..update
     };
     let missing = belief.apply(on_copy(30, removed(0)), &rules, &contact, at(1_000));
     assert_eq!(missing, Change::Lapsed);
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -78,7 +78,7 @@
 
 /// Implementation that decides whether an upstream is present.
 pub trait Judge {
-    fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
+    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
     fn expire(&mut self, contact: &StoreReachability, now: u64);
     fn is_known(&self) -> bool;
     fn is_leaving(&self) -> bool;
@@ -96,8 +96,8 @@
 }
 
 impl Judge for Real {
-    fn apply(&mut self, word: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.0.apply(word, &self.1, contact, at(now * 100))
+    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
+        self.0.apply(update, &self.1, contact, at(now * 100))
     }
 
     fn expire(&mut self, contact: &StoreReachability, now: u64) {
@@ -142,7 +142,7 @@
     pub log: Vec<ListRecord>,
     timeline: Timeline,
     /// All updates of all timelines, which may be received at any time.
-    words: Vec<ListUpdate>,
+    updates: Vec<ListUpdate>,
 }
 
 impl World {
@@ -157,7 +157,7 @@
             entry: None,
             log: Vec::new(),
             timeline: Timeline(0),
-            words: Vec::new(),
+            updates: Vec::new(),
         };
         world.start();
         world
@@ -168,7 +168,7 @@
         self.alive.filter(|listing| !listing.leaving)
     }
 
-    pub fn word(&self, no: usize) -> ListUpdate {
+    pub fn update(&self, no: usize) -> ListUpdate {
         ListUpdate {
             at: LogPosition::new(self.timeline, Offset(no as u64)),
             said: self.log[no],
@@ -184,13 +184,13 @@
         };
         Some(ListUpdate {
             said,
-            ..self.word(last)
+            ..self.update(last)
         })
     }
 
     fn add(&mut self, said: ListRecord) {
         self.log.push(said);
-        self.words.push(self.word(self.log.len() - 1));
+        self.updates.push(self.update(self.log.len() - 1));
     }
 
     fn restore(&mut self, lost: usize) {
@@ -318,13 +318,13 @@
         if self.timeline < world.timeline {
             self.timeline = world.timeline;
             self.contact.restored(at(now * 100));
-            if let Some(word) = world.newest() {
-                self.judge.apply(word, &self.contact, now);
+            if let Some(update) = world.newest() {
+                self.judge.apply(update, &self.contact, now);
             }
             self.read = world.log.len();
         }
         for no in self.read..world.log.len() {
-            self.judge.apply(world.word(no), &self.contact, now);
+            self.judge.apply(world.update(no), &self.contact, now);
         }
         self.read = world.log.len();
     }
@@ -358,8 +358,8 @@
     for step in steps {
         world.act(step);
         match step {
-            Step::Tell(no) if !world.words.is_empty() => {
-                let told = world.words[usize::from(*no) % world.words.len()];
+            Step::Tell(no) if !world.updates.is_empty() => {
+                let told = world.updates[usize::from(*no) % world.updates.len()];
                 vm.judge.apply(told, &vm.contact, world.now);
                 vm.check(world.now)?;
             }
--- a/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
@@ -16,7 +16,7 @@
     format!("vm-{no}").parse().expect("a name")
 }
 
-fn word(seed: u64, avoided_ms: u32) -> SilenceReport {
+fn report(seed: u64, avoided_ms: u32) -> SilenceReport {
     SilenceReport { seed, avoided_ms }
 }
 
@@ -66,8 +66,8 @@
         let reports = vms[no].silences.take_outgoing();
         for (other, receiver) in vms.iter_mut().enumerate().filter(|_| share_reports) {
             if other != no {
-                for word in &reports {
-                    receiver.silences.apply(&vm(no), *word, now);
+                for report in &reports {
+                    receiver.silences.apply(&vm(no), *report, now);
                 }
             }
         }
@@ -99,8 +99,8 @@
     for seed in 0..ENGINES {
         let now = at(100 + seed);
         cut.failed(seed, Duration::from_millis(600), now);
-        for word in cut.take_outgoing() {
-            other.apply(&vm(1), word, now);
+        for report in cut.take_outgoing() {
+            other.apply(&vm(1), report, now);
         }
     }
     assert!((0..ENGINES).all(|seed| !other.is_silent(seed, at(300))));
@@ -113,11 +113,11 @@
 #[test]
 fn an_engine_that_answers_one_vm_is_available_to_all_again() {
     let mut silences = SilenceReports::default();
-    silences.apply(&vm(1), word(9, 4_800), at(0));
+    silences.apply(&vm(1), report(9, 4_800), at(0));
     assert!(!silences.is_silent(9, at(1)), "one report is not enough");
-    silences.apply(&vm(2), word(9, 4_800), at(2));
+    silences.apply(&vm(2), report(9, 4_800), at(2));
     assert!(silences.is_silent(9, at(3)));
-    silences.apply(&vm(1), word(9, 0), at(1_000));
+    silences.apply(&vm(1), report(9, 0), at(1_000));
     assert!(!silences.is_silent(9, at(1_001)));
 }
 
@@ -125,13 +125,13 @@
 #[test]
 fn own_observations_take_precedence_over_reports() {
     let mut silences = SilenceReports::default();
-    silences.apply(&vm(1), word(9, 600), at(0));
-    silences.apply(&vm(2), word(9, 600), at(0));
+    silences.apply(&vm(1), report(9, 600), at(0));
+    silences.apply(&vm(2), report(9, 600), at(0));
     silences.answered(9, false, at(10));
     assert!(!silences.is_silent(9, at(11)));
     assert_eq!(
         silences.take_outgoing(),
-        [word(9, 0)],
+        [report(9, 0)],
         "it reports the recovery"
     );
 }
@@ -139,8 +139,8 @@
 #[test]
 fn reports_expire() {
     let mut silences = SilenceReports::default();
-    silences.apply(&vm(1), word(9, 600), at(0));
-    silences.apply(&vm(2), word(9, 600), at(0));
+    silences.apply(&vm(1), report(9, 600), at(0));
+    silences.apply(&vm(2), report(9, 600), at(0));
     assert!(silences.is_silent(9, at(899)));
     assert!(!silences.is_silent(9, at(901)));
 }
