--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -169,7 +169,7 @@
     pub fn apply(&mut self, id: &UpstreamId, entry: Entry, at: LogPosition, now: Moment) -> Change {
         let word = ListUpdate {
             at,
-            said: ListRecord::Listed(Listing {
+            record: ListRecord::Listed(Listing {
                 beat: entry.beat,
                 born: entry.born,
                 leaving: entry.leaving,
@@ -207,7 +207,7 @@
         &mut self,
         id: &UpstreamId,
         at: LogPosition,
-        said: ListRecord,
+        record: ListRecord,
         now: Moment,
     ) -> Change {
         let belief = match self.upstreams.get_mut(id) {
@@ -217,7 +217,7 @@
                 .entry(id.clone())
                 .or_insert_with(|| Belief::new(now)),
         };
-        let word = ListUpdate { at, said };
+        let word = ListUpdate { at, record };
         belief.apply(word, &self.rules.belief, &self.contact, now)
     }
 
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -100,7 +100,7 @@
     /// Position in the list's log.
     pub at: LogPosition,
     /// State that it reports.
-    pub said: ListRecord,
+    pub record: ListRecord,
 }
 
 /// Effect of an update.
@@ -217,7 +217,7 @@
         let repeat = self.at.is_some_and(|at| update.at <= at);
         let restored = self.at.is_some_and(|at| update.at.timeline > at.timeline);
         self.at = self.at.max(Some(update.at));
-        match update.said {
+        match update.record {
             // Later updates that were already applied may belong to the previous incarnation.
             ListRecord::Listed(listing) if self.is_newer(listing.born) => {
                 self.restart(listing, repeat)
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -69,7 +69,7 @@
 
 impl Judge for HeartbeatsOnly {
     fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
-        match update.said {
+        match update.record {
             ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
             ListRecord::Listed(listing) => {
                 let newer = self.known.is_none_or(|known| known.beat <= listing.beat);
@@ -106,7 +106,7 @@
     fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
         if self.at.is_none_or(|at| at < update.at) {
             self.at = Some(update.at);
-            self.known = match update.said {
+            self.known = match update.record {
                 ListRecord::Listed(listing) => Some(listing),
                 _ => self.known.map(|known| Listing {
                     leaving: true,
@@ -159,14 +159,14 @@
 
     fn without_incarnations() -> Self {
         Self::new(|update| {
-            let said = match update.said {
+            let record = match update.record {
                 ListRecord::Listed(listing) => ListRecord::Listed(Listing {
                     born: None,
                     ..listing
                 }),
-                said => said,
+                record => record,
             };
-            ListUpdate { said, ..update }
+            ListUpdate { record, ..update }
         })
     }
 
@@ -227,7 +227,7 @@
 fn listed(at: u64, beat: u64, born: Option<u64>) -> ListUpdate {
     ListUpdate {
         at: offset(at),
-        said: ListRecord::Listed(Listing {
+        record: ListRecord::Listed(Listing {
             beat,
             born: born.map(Incarnation),
             leaving: false,
@@ -238,7 +238,7 @@
 fn removed(at: u64) -> ListUpdate {
     ListUpdate {
         at: offset(at),
-        said: ListRecord::Removed,
+        record: ListRecord::Removed,
     }
 }
 
@@ -312,7 +312,7 @@
 fn a_restarted_worker_is_a_new_incarnation() {
     let mut belief = Belief::new(at(0));
     let mut leaving = listed(0, 90, Some(1));
-    leaving.said = ListRecord::Listed(Listing {
+    leaving.record = ListRecord::Listed(Listing {
         beat: 90,
         born: Some(Incarnation(1)),
         leaving: true,
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -171,25 +171,25 @@
     pub fn update(&self, no: usize) -> ListUpdate {
         ListUpdate {
             at: LogPosition::new(self.timeline, Offset(no as u64)),
-            said: self.log[no],
+            record: self.log[no],
         }
     }
 
     /// The list's newest state, as seen by a VM that reads the whole list.
     fn newest(&self) -> Option<ListUpdate> {
         let last = self.log.len().checked_sub(1)?;
-        let said = match &self.entry {
+        let record = match &self.entry {
             Some(entry) => ListRecord::Listed(entry.listing),
             None => ListRecord::Removed,
         };
         Some(ListUpdate {
-            said,
+            record,
             ..self.update(last)
         })
     }
 
-    fn add(&mut self, said: ListRecord) {
-        self.log.push(said);
+    fn add(&mut self, record: ListRecord) {
+        self.log.push(record);
         self.updates.push(self.update(self.log.len() - 1));
     }
 
