--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -162,7 +162,7 @@
 
     /// Notes that the store answers another VM.
     pub fn store_told(&mut self, now: Moment) {
-        self.contact.told(now);
+        self.contact.record_peer_report(now);
     }
 
     /// Takes in an entry that lies at a position of the list's log.
--- a/crates/sesamegap-policy/src/routing/belief/contact.rs
+++ b/crates/sesamegap-policy/src/routing/belief/contact.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records a peer's report that the store answers it.
-    pub fn told(&mut self, now: Moment) {
+    pub fn record_peer_report(&mut self, now: Moment) {
         self.peer_report = Some(now);
         self.store(true, now);
     }
