--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -152,7 +152,7 @@
 
     /// Notes whether the store answers this VM; while it is away, entries lapse of themselves.
     pub fn store(&mut self, answers: bool, now: Moment) {
-        self.contact.store(answers, now);
+        self.contact.record_response(answers, now);
     }
 
     /// Notes that the store was restored from a copy.
--- a/crates/sesamegap-policy/src/routing/belief/contact.rs
+++ b/crates/sesamegap-policy/src/routing/belief/contact.rs
@@ -19,7 +19,7 @@
 
 impl StoreReachability {
     /// Records whether the store answered this VM.
-    pub fn store(&mut self, answers: bool, now: Moment) {
+    pub fn record_response(&mut self, answers: bool, now: Moment) {
         let reachable_by_peer = self
             .peer_report
             .is_some_and(|at| now.since(at) < PEER_REPORT_VALIDITY);
@@ -39,7 +39,7 @@
     /// Records a peer's report that the store answers it.
     pub fn record_peer_report(&mut self, now: Moment) {
         self.peer_report = Some(now);
-        self.store(true, now);
+        self.record_response(true, now);
     }
 
     /// Whether the store is unreachable: it did not answer this VM, and no recent peer report says otherwise.
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -298,9 +298,9 @@
     apply(&mut belief, removed(1), 4_000);
     apply(&mut belief, listed(2, 5, None), 5_000);
     let mut contact = StoreReachability::default();
-    contact.store(false, at(5_500));
+    contact.record_response(false, at(5_500));
     assert_eq!(belief.expire(&rules, &contact, at(30_000)), Change::Same);
-    contact.store(true, at(30_000));
+    contact.record_response(true, at(30_000));
     assert_eq!(belief.expire(&rules, &contact, at(31_000)), Change::Same);
     let stood = at(30_000) + rules.confirmation;
     assert_eq!(belief.expire(&rules, &contact, stood), Change::New);
@@ -346,10 +346,10 @@
     let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
     apply(&mut belief, listed(0, 5, Some(1)), 0);
-    contact.store(false, at(1_000));
+    contact.record_response(false, at(1_000));
     let lapsed = belief.apply(removed(1), &rules, &contact, at(1_500));
     assert_eq!(lapsed, Change::Lapsed);
-    contact.store(true, at(9_000));
+    contact.record_response(true, at(9_000));
     assert!(belief.is_known());
     let due = at(9_000) + LAPSE;
     assert!(!belief.is_overdue(&rules, &contact, at(10_999)));
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -305,7 +305,7 @@
         let now = world.now;
         if now >= self.next_read {
             self.next_read = now + READ_INTERVAL;
-            self.contact.store(!self.away, at(now * 100));
+            self.contact.record_response(!self.away, at(now * 100));
             if !self.away {
                 self.read(world, now);
             }
