--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -177,7 +177,7 @@
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| Budget::new(self.settings().repeats));
-        budget.request(clock::now());
+        budget.record_request(clock::now());
     }
 
     /// Whether one more repeat to a service fits into the fleet's bound; counts it if so.
@@ -186,7 +186,7 @@
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         budgets
             .get_mut(service)
-            .is_some_and(|budget| budget.repeat(clock::now(), vms))
+            .is_some_and(|budget| budget.try_retry(clock::now(), vms))
     }
 
     /// The phase.
--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -87,14 +87,16 @@
     pub fn overtaken(&self) -> Option<Moment> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
-        fleet.namings.overtaken(self.model.as_ref()?, version)
+        fleet.namings.superseded_at(self.model.as_ref()?, version)
     }
 
     /// Time until the request is taken back unless it has begun; none if its weights are the newest.
     pub fn left_to_begin(&self, now: Moment) -> Option<Duration> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
-        let until = fleet.namings.begin_by(self.model.as_ref()?, version)?;
+        let until = fleet
+            .namings
+            .start_deadline(self.model.as_ref()?, version)?;
         Some(until.since(now))
     }
 
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -18,11 +18,13 @@
 use crate::kept::Kept;
 use crate::peers::Loads;
 use crate::ports::{Report, Weights};
-use sesamegap_policy::routing::Openness;
-use sesamegap_policy::routing::belief::{self, Belief, Contact, Listing, Said, Word};
-use sesamegap_policy::routing::placed::Placed;
-use sesamegap_policy::routing::recall::Recall;
-use sesamegap_policy::routing::silence::Silences;
+use sesamegap_policy::routing::Availability;
+use sesamegap_policy::routing::belief::{
+    self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
+};
+use sesamegap_policy::routing::cache_locations::CacheLocations;
+use sesamegap_policy::routing::placements::Placements;
+use sesamegap_policy::routing::silence::SilenceReports;
 use sesamegap_policy::routing::weights::{Named, Namings};
 use sesamegap_wire::{Incarnation, LogPosition, Moment, ServiceId, UpstreamId, WeightsVersion};
 use std::collections::BTreeMap;
@@ -47,13 +49,13 @@
     upstreams: BTreeMap<UpstreamId, Upstream>,
     /// Of those that were only heard to be removed.
     unlisted: BTreeMap<UpstreamId, Belief>,
-    contact: Contact,
-    pub(crate) recall: Recall,
+    contact: StoreReachability,
+    pub(crate) recall: CacheLocations,
     pub(crate) loads: Loads,
     /// What this VM has placed for others, by who asked and the number given.
-    pub(crate) placed: Placed<(SocketAddr, u64)>,
+    pub(crate) placed: Placements<(SocketAddr, u64)>,
     pub(crate) kept: Kept,
-    pub(crate) silences: Silences,
+    pub(crate) silences: SilenceReports,
     pub(crate) namings: Namings,
 }
 
@@ -64,12 +66,12 @@
             rules,
             upstreams: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            contact: Contact::default(),
-            recall: Recall::default(),
+            contact: StoreReachability::default(),
+            recall: CacheLocations::default(),
             loads: Loads::default(),
-            placed: Placed::default(),
+            placed: Placements::default(),
             kept: Kept::default(),
-            silences: Silences::default(),
+            silences: SilenceReports::default(),
             namings: Namings::new(rules.weights),
         }
     }
@@ -126,13 +128,15 @@
     }
 
     /// Whether an upstream takes work, by what this VM and others saw of it.
-    pub fn openness(&self, upstream: &Upstream, now: Moment) -> Openness {
+    pub fn openness(&self, upstream: &Upstream, now: Moment) -> Availability {
         if self.is_overdue(upstream, now) {
             // The list may be read a second later only.
-            return Openness::Paused;
+            return Availability::Paused;
         }
         match upstream.openness(now) {
-            Openness::Open if self.silences.is_silent(upstream.life, now) => Openness::Suspect,
+            Availability::Open if self.silences.is_silent(upstream.life, now) => {
+                Availability::Suspect
+            }
             openness => openness,
         }
     }
@@ -148,7 +152,7 @@
 
     /// Notes whether the store answers this VM; while it is away, entries lapse of themselves.
     pub fn store(&mut self, answers: bool, now: Moment) {
-        self.contact.store(answers, now);
+        self.contact.record_response(answers, now);
     }
 
     /// Notes that the store was restored from a copy.
@@ -158,14 +162,14 @@
 
     /// Notes that the store answers another VM.
     pub fn store_told(&mut self, now: Moment) {
-        self.contact.told(now);
+        self.contact.record_peer_report(now);
     }
 
     /// Takes in an entry that lies at a position of the list's log.
     pub fn apply(&mut self, id: &UpstreamId, entry: Entry, at: LogPosition, now: Moment) -> Change {
-        let word = Word {
+        let word = ListUpdate {
             at,
-            said: Said::Listed(Listing {
+            record: ListRecord::Listed(Listing {
                 beat: entry.beat,
                 born: entry.born,
                 leaving: entry.leaving,
@@ -178,7 +182,7 @@
         });
         let change = known
             .belief
-            .hear(word, &self.rules.belief, &self.contact, now);
+            .apply(word, &self.rules.belief, &self.contact, now);
         match change {
             Change::Restarted => {
                 known.restart(entry);
@@ -191,15 +195,21 @@
 
     /// Takes in that the list's log says at a position that an entry is gone.
     pub fn remove(&mut self, id: &UpstreamId, at: LogPosition, now: Moment) -> Change {
-        self.unlist(id, at, Said::Removed, now)
+        self.unlist(id, at, ListRecord::Removed, now)
     }
 
     /// Takes in that a record there names no upstream: unlike a lapsed one it gets no time.
     pub fn withdraw(&mut self, id: &UpstreamId, at: LogPosition, now: Moment) -> Change {
-        self.unlist(id, at, Said::Withdrawn, now)
+        self.unlist(id, at, ListRecord::Withdrawn, now)
     }
 
-    fn unlist(&mut self, id: &UpstreamId, at: LogPosition, said: Said, now: Moment) -> Change {
+    fn unlist(
+        &mut self,
+        id: &UpstreamId,
+        at: LogPosition,
+        record: ListRecord,
+        now: Moment,
+    ) -> Change {
         let belief = match self.upstreams.get_mut(id) {
             Some(upstream) => &mut upstream.belief,
             None => self
@@ -207,8 +217,8 @@
                 .entry(id.clone())
                 .or_insert_with(|| Belief::new(now)),
         };
-        let word = Word { at, said };
-        belief.hear(word, &self.rules.belief, &self.contact, now)
+        let word = ListUpdate { at, record };
+        belief.apply(word, &self.rules.belief, &self.contact, now)
     }
 
     /// Takes in which life an upstream, or a VM that asked it, says that it is.
@@ -216,7 +226,7 @@
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return Change::Same;
         };
-        let change = upstream.belief.meet(born);
+        let change = upstream.belief.observe_incarnation(born);
         if change == Change::Restarted {
             let entry = upstream.entry.clone();
             upstream.restart(Entry { born, ..entry });
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -20,8 +20,8 @@
 use crate::telemetry::events;
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::Change;
-use sesamegap_policy::routing::silence::Word;
-use sesamegap_policy::routing::telling::{Audience, FANOUT, Sum, Telling};
+use sesamegap_policy::routing::dissemination::{FANOUT, RecipientSelector, Recipients, Sum};
+use sesamegap_policy::routing::silence::SilenceReport;
 use sesamegap_wire::VmId;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
     /// News of engines.
     Engines(Vec<EngineNews>),
     /// What a VM says of upstreams that do not answer.
-    Silent(VmId, Vec<Word>),
+    Silent(VmId, Vec<SilenceReport>),
     /// What a VM has read of the store for all.
     Reading(Reading),
     /// A store of kept cache does not answer.
@@ -106,7 +106,7 @@
     core.quarantine.open(Arc::clone(&socket));
     tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
     let mut last: Vec<Held> = Vec::new();
-    let mut telling = Telling::default();
+    let mut telling = RecipientSelector::default();
     let mut turn = 0;
     let mut ticks: u32 = 0;
     while core.phase() < Phase::Ended {
@@ -123,9 +123,9 @@
         let peers = core.peers.known().alive;
         let changed = held != last;
         let told = match telling.tick(sum(&held), changed, peers.len()) {
-            Audience::Nobody => Vec::new(),
-            Audience::Turn => some(&peers, &mut turn),
-            Audience::All => peers,
+            Recipients::Nobody => Vec::new(),
+            Recipients::Rotation => some(&peers, &mut turn),
+            Recipients::All => peers,
         };
         if !told.is_empty() {
             let datagram = Datagram::Loads(core.settings().vm.clone(), held.clone());
@@ -139,7 +139,7 @@
 fn news(core: &Core) -> Vec<Datagram> {
     let me = &core.settings().vm;
     let outbox = &core.peers.outbox;
-    let words = core.fleet.lock().silences.said();
+    let words = core.fleet.lock().silences.take_outgoing();
     let engines = outbox.take();
     let mut all = Vec::new();
     all.extend(
@@ -158,12 +158,12 @@
 }
 
 /// Takes in what a VM says of upstreams that do not answer.
-fn take_words(core: &Core, vm: &VmId, words: &[Word]) {
+fn take_words(core: &Core, vm: &VmId, words: &[SilenceReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for word in words {
         let was = fleet.silences.is_silent(word.seed, now);
-        fleet.silences.take(vm, *word, now);
+        fleet.silences.apply(vm, *word, now);
         let is = fleet.silences.is_silent(word.seed, now);
         if was != is {
             let found = fleet.upstreams().find(|up| up.life == word.seed);
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -16,7 +16,7 @@
 use lease::Lease;
 use round::Round;
 use sesamegap_policy::routing::engines::{rank, seed};
-use sesamegap_policy::routing::{Openness, rolls};
+use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Incarnation, Moment, UpstreamId, WeightsVersion};
 use smol_str::SmolStr;
 use std::collections::BTreeSet;
@@ -169,12 +169,12 @@
                     .first()
                     .map_or(0, |held| held.version.0),
                 running: fleet.running(engine, now),
-                suspect: fleet.openness(engine, now) == Openness::Suspect,
+                suspect: fleet.openness(engine, now) == Availability::Suspect,
                 shut: is_shut(&fleet, engine, now),
             });
         }
         let due = round.pace().next(&views).into_iter();
-        let due = due.take(rolls::at_a_step(views.len(), STEP));
+        let due = due.take(rolls::max_per_step(views.len(), STEP));
         due.map(|no| ids[no].clone()).collect::<Vec<_>>()
     };
     for id in due {
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -1,4 +1,4 @@
-//! What is believed of an upstream, against the truth that a small world plays.
+//! Compares the view of an upstream with the truth in a small simulation.
 
 mod world;
 
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use sesamegap_policy::routing::belief::{
-    Belief, Change, Contact, LAPSE, Listing, Rules, Said, TOMBSTONE, Word,
+    Belief, Change, LAPSE, ListRecord, ListUpdate, Listing, Rules, StoreReachability, TOMBSTONE,
 };
 use sesamegap_wire::{Incarnation, LogPosition, Offset, Timeline};
 use world::{Judge, Real, Step, World, play};
@@ -18,36 +18,36 @@
     Vec::arbitrary(&mut gen_)
 }
 
-/// The first seed at which a judge and the truth part.
-fn first_fault(seeds: u64, judge: impl Fn() -> Box<dyn Judge>) -> Option<(u64, String)> {
+/// The first seed at which a judge contradicts the truth.
+fn first_failing_seed(seeds: u64, judge: impl Fn() -> Box<dyn Judge>) -> Option<(u64, String)> {
     (0..seeds).find_map(|seed| {
         let fault = play(&steps(seed), &mut *judge()).err()?;
         Some((seed, fault))
     })
 }
 
-/// Writes are late or lost, an upstream starts again, leaves or ends, the store is away, and words are
-/// told twice and out of order. When it is over, an upstream that lives must get requests, one that is gone
-/// none, and one that said that it leaves must not have come back.
+/// Writes are delayed or lost, upstreams restart, leave or crash, the store becomes unreachable, and updates are
+/// duplicated and reordered. Afterwards a live upstream must get requests and a gone one none, and one that announced
+/// that it leaves must not have been restored.
 #[test]
-fn belief_ends_up_with_the_truth() {
-    let fault = first_fault(cases(2_000), || Box::new(Real::new()));
+fn the_view_converges_to_the_truth() {
+    let fault = first_failing_seed(cases(2_000), || Box::new(Real::new()));
     assert_eq!(fault, None);
 }
 
-/// The same words in any order and as often as one likes: entry VMs hear from several readers, and must
-/// come to believe the same.
+/// Entry VMs receive the same updates from several readers in any order and number, and must reach the same view.
 #[test]
-fn words_may_come_in_any_order() {
+fn updates_may_arrive_in_any_order() {
     for seed in 0..cases(500) {
         let world = play(&steps(seed), &mut Real::new()).expect("checked by the other test");
-        let mut words: Vec<Word> = (0..world.log.len()).map(|no| world.word(no)).collect();
-        words.extend(words.clone());
-        words.shuffle(&mut StdRng::seed_from_u64(seed));
+        let mut updates: Vec<ListUpdate> =
+            (0..world.log.len()).map(|no| world.update(no)).collect();
+        updates.extend(updates.clone());
+        updates.shuffle(&mut StdRng::seed_from_u64(seed));
         let mut judge = Real::new();
-        let contact = Contact::default();
-        for word in words {
-            judge.hear(word, &contact, world.now);
+        let contact = StoreReachability::default();
+        for update in updates {
+            judge.apply(update, &contact, world.now);
         }
         judge.expire(&contact, world.now + 100);
         let usable = judge.is_known() && !judge.is_leaving();
@@ -60,19 +60,18 @@
     }
 }
 
-/// Goes by heartbeats alone, with a tombstone for a minute: it has no positions, so a removal counts as
-/// often as it is told.
+/// Uses only heartbeats and a one-minute tombstone. Without positions, a removal counts as often as it is received.
 #[derive(Debug, Default)]
-struct ByBeats {
+struct HeartbeatsOnly {
     known: Option<Listing>,
     tomb: Option<u64>,
 }
 
-impl Judge for ByBeats {
-    fn hear(&mut self, word: Word, _contact: &Contact, _now: u64) -> Change {
-        match word.said {
-            Said::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
-            Said::Listed(listing) => {
+impl Judge for HeartbeatsOnly {
+    fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+        match update.record {
+            ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
+            ListRecord::Listed(listing) => {
                 let newer = self.known.is_none_or(|known| known.beat <= listing.beat);
                 self.known = if newer { Some(listing) } else { self.known };
             }
@@ -81,7 +80,7 @@
         Change::Same
     }
 
-    fn expire(&mut self, _contact: &Contact, _now: u64) {}
+    fn expire(&mut self, _contact: &StoreReachability, _now: u64) {}
 
     fn is_known(&self) -> bool {
         self.known.is_some()
@@ -96,19 +95,19 @@
     }
 }
 
-/// Goes by positions alone: a record that was done late is the truth.
+/// Uses only positions, and so takes a delayed record as the truth.
 #[derive(Debug, Default)]
-struct ByPositions {
+struct PositionsOnly {
     at: Option<LogPosition>,
     known: Option<Listing>,
 }
 
-impl Judge for ByPositions {
-    fn hear(&mut self, word: Word, _contact: &Contact, _now: u64) -> Change {
-        if self.at.is_none_or(|at| at < word.at) {
-            self.at = Some(word.at);
-            self.known = match word.said {
-                Said::Listed(listing) => Some(listing),
+impl Judge for PositionsOnly {
+    fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+        if self.at.is_none_or(|at| at < update.at) {
+            self.at = Some(update.at);
+            self.known = match update.record {
+                ListRecord::Listed(listing) => Some(listing),
                 _ => self.known.map(|known| Listing {
                     leaving: true,
                     ..known
@@ -118,7 +117,7 @@
         Change::Same
     }
 
-    fn expire(&mut self, _contact: &Contact, _now: u64) {}
+    fn expire(&mut self, _contact: &StoreReachability, _now: u64) {}
 
     fn is_known(&self) -> bool {
         self.known.is_some_and(|known| !known.leaving)
@@ -133,59 +132,59 @@
     }
 }
 
-/// The real one, which hears other words than were said, or for which no time passes.
+/// The real implementation with altered updates, or without expiry.
 #[derive(Debug)]
 struct Altered {
     real: Real,
-    heard: fn(Word) -> Word,
+    alter: fn(ListUpdate) -> ListUpdate,
     expires: bool,
 }
 
 impl Altered {
-    fn new(heard: fn(Word) -> Word) -> Self {
+    fn new(alter: fn(ListUpdate) -> ListUpdate) -> Self {
         Self {
             real: Real::new(),
-            heard,
+            alter,
             expires: true,
         }
     }
 
-    /// What it doubts stays in doubt.
-    fn doubting() -> Self {
+    /// Doubt never ends.
+    fn without_expiry() -> Self {
         Self {
             expires: false,
-            ..Self::new(|word| word)
+            ..Self::new(|update| update)
         }
     }
 
-    fn lifeless() -> Self {
-        Self::new(|word| {
-            let said = match word.said {
-                Said::Listed(listing) => Said::Listed(Listing {
+    fn without_incarnations() -> Self {
+        Self::new(|update| {
+            let record = match update.record {
+                ListRecord::Listed(listing) => ListRecord::Listed(Listing {
                     born: None,
                     ..listing
                 }),
-                said => said,
+                record => record,
             };
-            Word { said, ..word }
+            ListUpdate { record, ..update }
         })
     }
 
-    /// Offsets of a restored store are compared with those of before.
-    fn timeless() -> Self {
-        Self::new(|word| Word {
-            at: offset(word.at.offset.0),
-            ..word
+    /// Offsets of a restored store are compared with those from before the restore.
+    fn without_timelines() -> Self {
+        Self::new(|update| ListUpdate {
+            at: offset(update.at.offset.0),
+            ..update
         })
     }
 }
 
 impl Judge for Altered {
-    fn hear(&mut self, word: Word, contact: &Contact, now: u64) -> Change {
-        self.real.hear((self.heard)(word), contact, now)
+    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
+        self.real.apply((self.alter)(update), contact, now)
     }
 
-    fn expire(&mut self, contact: &Contact, now: u64) {
+    fn expire(&mut self, contact: &StoreReachability, now: u64) {
         if self.expires {
             self.real.expire(contact, now);
         }
@@ -204,26 +203,31 @@
     }
 }
 
-/// A test that cannot fail shows nothing.
+/// Verifies that the simulation detects broken implementations.
 #[test]
-fn orders_of_words_that_do_not_hold_are_caught() {
+fn broken_orderings_are_detected() {
     type Made = fn() -> Box<dyn Judge>;
     let broken: [(&str, Made); 5] = [
-        ("heartbeats alone", || Box::new(ByBeats::default())),
-        ("positions alone", || Box::new(ByPositions::default())),
-        ("endless doubt", || Box::new(Altered::doubting())),
-        ("no lives", || Box::new(Altered::lifeless())),
-        ("no timelines", || Box::new(Altered::timeless())),
+        ("heartbeats alone", || Box::new(HeartbeatsOnly::default())),
+        ("positions alone", || Box::new(PositionsOnly::default())),
+        ("endless doubt", || Box::new(Altered::without_expiry())),
+        ("no incarnations", || {
+            Box::new(Altered::without_incarnations())
+        }),
+        ("no timelines", || Box::new(Altered::without_timelines())),
     ];
     for (name, judge) in broken {
-        assert!(first_fault(2_000, judge).is_some(), "{name} goes unnoticed");
+        assert!(
+            first_failing_seed(2_000, judge).is_some(),
+            "{name} is not detected"
+        );
     }
 }
 
-fn listed(at: u64, beat: u64, born: Option<u64>) -> Word {
-    Word {
+fn listed(at: u64, beat: u64, born: Option<u64>) -> ListUpdate {
+    ListUpdate {
         at: offset(at),
-        said: Said::Listed(Listing {
+        record: ListRecord::Listed(Listing {
             beat,
             born: born.map(Incarnation),
             leaving: false,
@@ -231,110 +235,121 @@
     }
 }
 
-fn removed(at: u64) -> Word {
-    Word {
+fn removed(at: u64) -> ListUpdate {
+    ListUpdate {
         at: offset(at),
-        said: Said::Removed,
+        record: ListRecord::Removed,
     }
 }
 
-fn hear(belief: &mut Belief, word: Word, ms: u64) -> Change {
-    belief.hear(word, &Rules::default(), &Contact::default(), at(ms))
+fn apply(belief: &mut Belief, update: ListUpdate, ms: u64) -> Change {
+    belief.apply(
+        update,
+        &Rules::default(),
+        &StoreReachability::default(),
+        at(ms),
+    )
 }
 
-/// A worker's heartbeats were held up until the store dropped its entry; the first of them to be done lists
-/// it again. It is older than what the VM knows, and no other record follows, since only the heartbeat
-/// changes from then on. The worker would stay out for good.
+/// A worker's heartbeats are delayed until the store drops its entry, and the first to complete lists it again. That
+/// record is older than the known one, and no other follows, since only the heartbeat changes from then on. The
+/// worker would stay excluded forever.
 #[test]
-fn a_late_record_that_stands_brings_a_worker_back() {
+fn a_delayed_record_that_remains_restores_a_worker() {
     let rules = Rules::default();
     let mut belief = Belief::new(at(0));
-    assert_eq!(hear(&mut belief, listed(0, 5, Some(1)), 0), Change::New);
-    assert_eq!(hear(&mut belief, removed(1), 4_000), Change::Gone);
+    assert_eq!(apply(&mut belief, listed(0, 5, Some(1)), 0), Change::New);
+    assert_eq!(apply(&mut belief, removed(1), 4_000), Change::Gone);
     assert_eq!(
-        hear(&mut belief, listed(2, 4, Some(1)), 5_000),
+        apply(&mut belief, listed(2, 4, Some(1)), 5_000),
         Change::Doubted
     );
     assert!(!belief.is_known());
-    let contact = Contact::default();
-    let stood = 5_000 + u64::try_from(rules.stands.as_millis()).expect("a short span");
+    let contact = StoreReachability::default();
+    let stood = 5_000 + u64::try_from(rules.confirmation.as_millis()).expect("a short span");
     assert_eq!(belief.expire(&rules, &contact, at(stood - 1)), Change::Same);
     assert_eq!(belief.expire(&rules, &contact, at(stood)), Change::New);
     assert!(belief.is_known());
 }
 
-/// The same with a worker that is gone: the store drops the entry that a late heartbeat made, and no
-/// request must have been sent there meanwhile.
+/// The same with a worker that is gone: the store drops the entry that the delayed heartbeat created, and no request may
+/// be sent there in between.
 #[test]
-fn a_late_record_that_does_not_stand_brings_nobody_back() {
+fn a_delayed_record_that_is_dropped_restores_no_worker() {
     let mut belief = Belief::new(at(0));
-    hear(&mut belief, listed(0, 5, Some(1)), 0);
-    hear(&mut belief, removed(1), 4_000);
-    hear(&mut belief, listed(2, 5, Some(1)), 5_000);
+    apply(&mut belief, listed(0, 5, Some(1)), 0);
+    apply(&mut belief, removed(1), 4_000);
+    apply(&mut belief, listed(2, 5, Some(1)), 5_000);
     assert!(!belief.is_known());
-    assert_eq!(hear(&mut belief, removed(3), 8_600), Change::Gone);
-    let end = belief.expire(&Rules::default(), &Contact::default(), at(20_000));
+    assert_eq!(apply(&mut belief, removed(3), 8_600), Change::Gone);
+    let end = belief.expire(&Rules::default(), &StoreReachability::default(), at(20_000));
     assert_eq!(end, Change::Same);
     assert!(!belief.is_known() && !belief.is_forgotten(at(20_000)));
     let forgotten = at(8_600) + TOMBSTONE;
     assert!(belief.is_forgotten(forgotten));
 }
 
-/// While the store cannot be read nobody sees it drop an entry, so that one stands says nothing then.
+/// While the store is unreachable no VM sees it drop an entry, so an entry that remains proves nothing.
 #[test]
-fn a_doubt_does_not_end_while_the_store_is_away() {
+fn doubt_does_not_end_while_the_store_is_unreachable() {
     let rules = Rules::default();
     let mut belief = Belief::new(at(0));
-    hear(&mut belief, listed(0, 5, None), 0);
-    hear(&mut belief, removed(1), 4_000);
-    hear(&mut belief, listed(2, 5, None), 5_000);
-    let mut contact = Contact::default();
-    contact.store(false, at(5_500));
+    apply(&mut belief, listed(0, 5, None), 0);
+    apply(&mut belief, removed(1), 4_000);
+    apply(&mut belief, listed(2, 5, None), 5_000);
+    let mut contact = StoreReachability::default();
+    contact.record_response(false, at(5_500));
     assert_eq!(belief.expire(&rules, &contact, at(30_000)), Change::Same);
-    contact.store(true, at(30_000));
+    contact.record_response(true, at(30_000));
     assert_eq!(belief.expire(&rules, &contact, at(31_000)), Change::Same);
-    let stood = at(30_000) + rules.stands;
+    let stood = at(30_000) + rules.confirmation;
     assert_eq!(belief.expire(&rules, &contact, stood), Change::New);
 }
 
-/// A worker said that it leaves and is gone; then it starts again under its id. It must get requests at
-/// once, and what its former life still writes must not take it out.
+/// A worker announces that it leaves, ends, and restarts under the same id. It must get requests at once, and delayed
+/// writes of its previous incarnation must not remove it.
 #[test]
-fn a_worker_that_starts_again_is_another_one() {
+fn a_restarted_worker_is_a_new_incarnation() {
     let mut belief = Belief::new(at(0));
     let mut leaving = listed(0, 90, Some(1));
-    leaving.said = Said::Listed(Listing {
+    leaving.record = ListRecord::Listed(Listing {
         beat: 90,
         born: Some(Incarnation(1)),
         leaving: true,
     });
-    hear(&mut belief, leaving, 0);
-    assert_eq!(hear(&mut belief, removed(1), 2_000), Change::Gone);
+    apply(&mut belief, leaving, 0);
+    assert_eq!(apply(&mut belief, removed(1), 2_000), Change::Gone);
     assert_eq!(
-        hear(&mut belief, listed(2, 1, Some(50)), 3_000),
+        apply(&mut belief, listed(2, 1, Some(50)), 3_000),
         Change::Restarted
     );
     assert!(belief.is_known() && !belief.is_leaving());
     leaving.at = offset(3);
-    assert_eq!(hear(&mut belief, leaving, 3_500), Change::Former);
+    assert_eq!(apply(&mut belief, leaving, 3_500), Change::Former);
     assert!(belief.is_known() && !belief.is_leaving());
-    assert_eq!(belief.meet(Some(Incarnation(1))), Change::Former);
-    assert_eq!(belief.meet(Some(Incarnation(70))), Change::Restarted);
+    assert_eq!(
+        belief.observe_incarnation(Some(Incarnation(1))),
+        Change::Former
+    );
+    assert_eq!(
+        belief.observe_incarnation(Some(Incarnation(70))),
+        Change::Restarted
+    );
     assert_eq!(belief.born(), Some(Incarnation(70)));
 }
 
-/// Entries lapse with the store away. Who lives writes within two seconds of its return, however long it
-/// was away; giving anybody longer sends requests to workers that are gone.
+/// Entries lapse while the store is unreachable. A live worker writes within two seconds of the store's return, however
+/// long it was away; a longer limit would send requests to workers that are gone.
 #[test]
 fn a_lapse_ends_two_seconds_after_the_stores_return() {
     let rules = Rules::default();
-    let mut contact = Contact::default();
+    let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
-    hear(&mut belief, listed(0, 5, Some(1)), 0);
-    contact.store(false, at(1_000));
-    let lapsed = belief.hear(removed(1), &rules, &contact, at(1_500));
+    apply(&mut belief, listed(0, 5, Some(1)), 0);
+    contact.record_response(false, at(1_000));
+    let lapsed = belief.apply(removed(1), &rules, &contact, at(1_500));
     assert_eq!(lapsed, Change::Lapsed);
-    contact.store(true, at(9_000));
+    contact.record_response(true, at(9_000));
     assert!(belief.is_known());
     let due = at(9_000) + LAPSE;
     assert!(!belief.is_overdue(&rules, &contact, at(10_999)));
@@ -342,29 +357,29 @@
     assert_eq!(belief.expire(&rules, &contact, due), Change::Gone);
 }
 
-/// Words of one upstream in a world without trouble: the log is short, and so is what is heard.
+/// Without faults, an upstream writes a single record to the log.
 #[test]
-fn a_quiet_world_says_little() {
+fn a_run_without_faults_writes_one_record() {
     let world: World = play(&[Step::Pass(250)], &mut Real::new()).expect("nothing happens");
     assert_eq!(world.log.len(), 1, "heartbeats are not written to the log");
 }
 
-/// Guards against a worker that is shut out because a restored store lists it with the heartbeat known before.
+/// Guards against excluding a worker because a restored store lists it with a heartbeat that was known before.
 #[test]
 fn a_worker_missing_from_a_restored_list_comes_back_with_the_same_heartbeat() {
     let rules = Rules::default();
-    let mut contact = Contact::default();
+    let mut contact = StoreReachability::default();
     let mut belief = Belief::new(at(0));
-    belief.hear(listed(40, 7, Some(1)), &rules, &contact, at(100));
+    belief.apply(listed(40, 7, Some(1)), &rules, &contact, at(100));
     contact.restored(at(1_000));
-    let on_copy = |no: u64, word: Word| Word {
+    let on_copy = |no: u64, update: ListUpdate| ListUpdate {
         at: LogPosition::new(Timeline(1), Offset(no)),
-        ..word
+        ..update
     };
-    let missing = belief.hear(on_copy(30, removed(0)), &rules, &contact, at(1_000));
+    let missing = belief.apply(on_copy(30, removed(0)), &rules, &contact, at(1_000));
     assert_eq!(missing, Change::Lapsed);
     assert!(belief.is_known());
-    let again = belief.hear(
+    let again = belief.apply(
         on_copy(31, listed(0, 7, Some(1))),
         &rules,
         &contact,
--- a/crates/sesamegap-policy/tests/testsuite/routing/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/mod.rs
@@ -1,13 +1,13 @@
-//! Decisions of an entry VM that knows only its own traffic.
+//! Tests of an entry VM's routing decisions.
 
 mod belief;
 mod budget;
+mod dissemination;
 mod engines;
 mod plain;
 mod reading;
 mod rolls;
 mod shards;
 mod silence;
-mod telling;
 mod transfers;
 mod weights;
