--- a/crates/sesamegap-policy/src/placing/backlog.rs
+++ b/crates/sesamegap-policy/src/placing/backlog.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Dispatches remembered for the replay: more than one router sends between two reports.
-const REPLAYED: usize = 128;
+const MAX_REPLAYED: usize = 128;
 
 /// A fluid queue that drains at the engine's speed.
 #[derive(Debug, Clone, Copy, Default)]
@@ -21,13 +21,13 @@
 }
 
 impl Queue {
-    fn drained(self, now: Moment, per_token: f64) -> f64 {
-        let done = now.since(self.at).as_secs_f64() / per_token;
-        (self.tokens - done).max(0.0)
+    fn remaining(self, now: Moment, seconds_per_token: f64) -> f64 {
+        let processed = now.since(self.at).as_secs_f64() / seconds_per_token;
+        (self.tokens - processed).max(0.0)
     }
 
-    fn add(&mut self, tokens: f64, now: Moment, per_token: f64) {
-        self.tokens = self.drained(now, per_token) + tokens;
+    fn add(&mut self, tokens: f64, now: Moment, seconds_per_token: f64) {
+        self.tokens = self.remaining(now, seconds_per_token) + tokens;
         self.at = self.at.max(now);
     }
 }
@@ -51,7 +51,7 @@
     }
 
     /// Takes a report of what waited at a moment.
-    pub fn report(&mut self, waiting: Tokens, as_of: Moment, per_token: f64) {
+    pub fn report(&mut self, waiting: Tokens, as_of: Moment, seconds_per_token: f64) {
         while self.sent.front().is_some_and(|(sent, _)| *sent <= as_of) {
             self.sent.pop_front();
         }
@@ -60,16 +60,16 @@
             at: as_of,
         };
         for (sent, tokens) in &self.sent {
-            self.queue.add(*tokens, *sent, per_token);
+            self.queue.add(*tokens, *sent, seconds_per_token);
         }
     }
 
     /// Books tokens that are now sent.
-    pub fn send(&mut self, tokens: Tokens, now: Moment, per_token: f64) {
+    pub fn send(&mut self, tokens: Tokens, now: Moment, seconds_per_token: f64) {
         let tokens = tokens.0 as f64;
-        self.queue.add(tokens, now, per_token);
+        self.queue.add(tokens, now, seconds_per_token);
         self.own += tokens;
-        if self.sent.len() >= REPLAYED {
+        if self.sent.len() >= MAX_REPLAYED {
             self.sent.pop_front();
         }
         self.sent.push_back((now, tokens));
@@ -104,13 +104,13 @@
     }
 
     /// Time until all that waits now is computed.
-    pub fn wait(&self, now: Moment, per_token: f64) -> Duration {
-        let replayed = self.queue.drained(now, per_token);
+    pub fn wait(&self, now: Moment, seconds_per_token: f64) -> Duration {
+        let replayed = self.queue.remaining(now, seconds_per_token);
         let peers = Queue {
             tokens: self.peers,
             at: self.peers_at,
         };
-        let known = self.own + peers.drained(now, per_token);
-        Duration::from_secs_f64(replayed.max(known) * per_token)
+        let known = self.own + peers.remaining(now, seconds_per_token);
+        Duration::from_secs_f64(replayed.max(known) * seconds_per_token)
     }
 }
--- a/crates/sesamegap-policy/src/placing/builder.rs
+++ b/crates/sesamegap-policy/src/placing/builder.rs
@@ -3,18 +3,18 @@
 use super::candidates::Candidates;
 use super::engines::Engines;
 use super::feed::Feed;
-use super::flights::Flights;
 use super::heat::Heat;
+use super::in_flight::InFlightRequests;
 use super::index::Index;
 use super::peers::Peers;
 use super::prefix::PrefixPlacer;
-use super::turns::Turns;
+use super::priority_waits::PriorityWaits;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{DomainId, Moment};
 
 /// Blocks remembered at most: a daemon's share of 120 million blocks over 340 daemons, and half
 /// as many again for an uneven share; at 57 bytes each that is 30 MB.
-const BLOCKS: usize = 530_000;
+const DEFAULT_MAX_BLOCKS: usize = 530_000;
 
 /// Gathers what a placer needs.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     pub fn new(domain: DomainId) -> Self {
         Self {
             domain,
-            blocks: BLOCKS,
+            blocks: DEFAULT_MAX_BLOCKS,
         }
     }
 
@@ -46,13 +46,13 @@
             engines: Engines::default(),
             index: Index::new(self.blocks),
             heat: Heat::default(),
-            flights: Flights::default(),
+            in_flight: InFlightRequests::default(),
             peers: Peers::default(),
-            turns: Turns::default(),
+            priority_waits: PriorityWaits::default(),
             feed: Feed::default(),
             candidates: Candidates::default(),
             blocks: FxHashMap::default(),
-            tended: Moment(0),
+            last_refresh: Moment(0),
             store: None,
         }
     }
--- a/crates/sesamegap-policy/src/placing/candidates.rs
+++ b/crates/sesamegap-policy/src/placing/candidates.rs
@@ -14,10 +14,10 @@
 use sesamegap_wire::Moment;
 
 /// Holders weighed, those of the longest prefixes.
-const HOLDERS: usize = 6;
+const MAX_HOLDERS: usize = 6;
 
 /// Members of the home set weighed.
-const HOMES: usize = 6;
+const MAX_HOMES: usize = 6;
 
 /// An engine to weigh.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -71,7 +71,7 @@
             .extend(barred.filter_map(|id| engines.number(id)));
         self.add_holders(ring, engines, draws.0);
         self.add_homes(engines);
-        self.add_drawn(ring, engines, draws);
+        self.add_random(ring, engines, draws);
         !self.found.is_empty()
     }
 
@@ -110,7 +110,7 @@
         self.depths.sort_by_key(|d| std::cmp::Reverse(d.blocks));
         let mut added = 0;
         for at in 0..self.depths.len() {
-            let Some(no) = engines.of_slot(self.depths[at].slot) else {
+            let Some(no) = engines.engine_at_slot(self.depths[at].slot) else {
                 continue;
             };
             if !ring.has(no) || self.barred.contains(&no) {
@@ -118,7 +118,7 @@
             }
             self.add(no, engines);
             added += 1;
-            if added == HOLDERS {
+            if added == MAX_HOLDERS {
                 return;
             }
         }
@@ -133,13 +133,13 @@
             }
             self.add(no, engines);
             added += 1;
-            if added == HOMES {
+            if added == MAX_HOMES {
                 return;
             }
         }
     }
 
-    fn add_drawn(&mut self, ring: &Ring, engines: &Engines, draws: (u64, u64)) {
+    fn add_random(&mut self, ring: &Ring, engines: &Engines, draws: (u64, u64)) {
         for draw in [draws.0, draws.1] {
             if let Some(no) = ring.pick_beside(&self.barred, draw) {
                 self.add(no, engines);
--- a/crates/sesamegap-policy/src/placing/cost.rs
+++ b/crates/sesamegap-policy/src/placing/cost.rs
@@ -11,36 +11,36 @@
 use sesamegap_wire::Tokens;
 
 /// Slowness that counts as ordinary for uneven hardware.
-pub const SLOW_FROM: f64 = 1.5;
+pub const SLOWNESS_THRESHOLD: f64 = 1.5;
 
 /// Slowness beyond which an engine is no worse.
-const SLOW_MOST: f64 = 8.0;
+const MAX_SLOWNESS_EXCESS: f64 = 8.0;
 
 /// Seconds that each unit of slowness costs.
-const SLOW: f64 = 1.0;
+const SECONDS_PER_SLOWNESS: f64 = 1.0;
 
 /// Part of evicted blocks that will be computed again, under the usual pressure.
-const EVICT: f64 = 1.0;
+const RECOMPUTED_FRACTION: f64 = 1.0;
 
 /// Requests held up per second of queue, by each second computed.
-const CROWD: f64 = 0.5;
+const DELAYED_PER_SECOND: f64 = 0.5;
 
 /// Part of the cost of missing tokens that each place down the home set adds: as much again, so
 /// that only a queue longer than the computing itself sends a cold prefix to its second home.
-const RANK: f64 = 1.0;
+const COST_PER_RANK: f64 = 1.0;
 
 /// Seconds that a round trip to another failure domain adds.
-const ACROSS: f64 = 0.003;
+const CROSS_DOMAIN_SECONDS: f64 = 0.003;
 
 /// Costs within this part of the best are alike.
-const ALIKE: f64 = 0.02;
+const TIE_FRACTION: f64 = 0.02;
 
 /// Costs within so many seconds of the best are alike; estimates are no better.
-const ALIKE_SECONDS: f64 = 0.002;
+const TIE_SECONDS: f64 = 0.002;
 
 /// One engine's offer to answer a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Offer {
+pub struct CostEstimate {
     /// Seconds until the engine turns to it.
     pub wait: f64,
     /// Prompt tokens to compute.
@@ -50,16 +50,16 @@
     /// Its seconds per token in relation to the fleet's.
     pub slowness: f64,
     /// Part of the missing blocks for which others are evicted.
-    pub evicting: f64,
+    pub eviction_fraction: f64,
     /// Pressure on the cache: 1 where blocks are evicted at the age typical of the fleet.
     pub pressure: f64,
     /// Place in the home set, beyond its end if the engine is not in it.
     pub rank: f64,
     /// Whether it stands in another failure domain.
-    pub across: bool,
+    pub cross_domain: bool,
 }
 
-impl Offer {
+impl CostEstimate {
     /// Seconds to the first token.
     pub fn first_token(&self) -> f64 {
         self.wait + self.missing.0 as f64 * self.per_token
@@ -67,17 +67,22 @@
 
     /// Cost in seconds for a class that weighs a recomputed token `thrift` times.
     pub fn cost(&self, thrift: f64) -> f64 {
-        let crowd = 1.0 + CROWD * self.wait;
-        let compute = self.missing.0 as f64 * self.per_token * thrift.max(1.0) * crowd;
-        let rank = compute * RANK * self.rank;
-        let evict = compute * EVICT * self.evicting * self.pressure;
-        let across = if self.across { ACROSS } else { 0.0 };
-        let slow = (self.slowness - SLOW_FROM).clamp(0.0, SLOW_MOST) * SLOW;
-        slow + self.wait + compute + evict + rank + across
+        let queueing = 1.0 + DELAYED_PER_SECOND * self.wait;
+        let compute = self.missing.0 as f64 * self.per_token * thrift.max(1.0) * queueing;
+        let rank = compute * COST_PER_RANK * self.rank;
+        let evict = compute * RECOMPUTED_FRACTION * self.eviction_fraction * self.pressure;
+        let cross_domain = if self.cross_domain {
+            CROSS_DOMAIN_SECONDS
+        } else {
+            0.0
+        };
+        let slow = (self.slowness - SLOWNESS_THRESHOLD).clamp(0.0, MAX_SLOWNESS_EXCESS)
+            * SECONDS_PER_SLOWNESS;
+        slow + self.wait + compute + evict + rank + cross_domain
     }
 }
 
 /// Highest cost that counts as like the best.
-pub fn alike(best: f64) -> f64 {
-    best * (1.0 + ALIKE) + ALIKE_SECONDS
+pub fn tie_limit(best: f64) -> f64 {
+    best * (1.0 + TIE_FRACTION) + TIE_SECONDS
 }
--- a/crates/sesamegap-policy/src/placing/dump.rs
+++ b/crates/sesamegap-policy/src/placing/dump.rs
@@ -5,17 +5,17 @@
 use sesamegap_wire::Moment;
 
 /// Engines described at most, so that a dump of a large fleet stays readable.
-const SHOWN: usize = 200;
+const MAX_SHOWN: usize = 200;
 
 /// Describes the state.
 pub(super) fn describe(placer: &PrefixPlacer, now: Moment) -> serde_json::Value {
-    let shown = placer.engines.iter().take(SHOWN);
+    let shown = placer.engines.iter().take(MAX_SHOWN);
     let engines: Vec<_> = shown.map(|(_, e)| engine(placer, e, now)).collect();
     serde_json::json!({
         "placer": "prefix",
         "blocks": placer.index.len(),
         "index_bytes": placer.index.bytes(),
-        "in_flight": placer.flights.count(),
+        "in_flight": placer.in_flight.count(),
         "hot_prefixes": placer.heat.len(),
         "typical_us_per_token": placer.engines.typical * 1e6,
         "engines": engines,
@@ -32,7 +32,7 @@
         "suspect": engine.suspect,
         "reported": engine.report.is_some(),
         "newest_event": engine.newest,
-        "wants_listing": engine.unlisted,
+        "wants_listing": engine.needs_listing,
         "wait_ms": engine.backlog.wait(now, per_token).as_millis(),
         "us_per_token": per_token * 1e6,
         "eviction_age_s": placer.index.age(engine.slot),
--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -4,7 +4,7 @@
 //! shows the weights, and nothing has failed there since that report.
 
 use super::backlog::Backlog;
-use super::cost::SLOW_FROM;
+use super::cost::SLOWNESS_THRESHOLD;
 use super::index::{Index, Slot};
 use super::ring::{EngineNo, Ring, seed_of};
 use super::speed::{self, Speed};
@@ -13,23 +13,23 @@
 use sesamegap_wire::{DomainId, Incarnation, ModelId, Moment, UpstreamId, WeightsVersion};
 
 /// Cache size of an engine of ordinary weight, in blocks, until reports tell.
-const ORDINARY: f64 = 256.0;
+const DEFAULT_CAPACITY: f64 = 256.0;
 
 /// Seconds without progress that are nothing unusual, beside the time to compute what was sent:
 /// peers' work may go first.
-const PATIENCE: f64 = 2.0;
+const PROGRESS_GRACE: f64 = 2.0;
 
 /// Bounds of the pressure on a cache: ages are learned from few evictions.
-const PRESSURE: (f64, f64) = (0.25, 4.0);
+const PRESSURE_BOUNDS: (f64, f64) = (0.25, 4.0);
 
 /// Bounds of an engine's weight: reports may be wrong, and one engine must not draw all keys.
-const WEIGHTS: (f64, f64) = (0.25, 4.0);
+const WEIGHT_BOUNDS: (f64, f64) = (0.25, 4.0);
 
 /// Weight of a new answer in the share of mistakes: about the last eight count.
 const MISTAKE_GAIN: f64 = 0.125;
 
 /// Share of mistakes from which entries are in doubt although no event seems lost.
-const MISTAKEN: f64 = 0.4;
+const MISTAKE_THRESHOLD: f64 = 0.4;
 
 /// An engine as this router knows it.
 #[derive(Debug)]
@@ -53,9 +53,9 @@
     /// Number of the newest cache event taken in.
     pub newest: Option<u64>,
     /// When a listing was last asked for.
-    pub asked: Option<Moment>,
+    pub listing_requested: Option<Moment>,
     /// Whether a listing is wanted.
-    pub unlisted: bool,
+    pub needs_listing: bool,
     /// Own long prefills under way.
     pub cold: u32,
     /// Own requests that are being computed.
@@ -63,7 +63,7 @@
     /// How often its cache fell short of what was believed, lately.
     pub mistakes: f64,
     /// When an own request there last showed progress.
-    pub heard: Moment,
+    pub last_progress: Moment,
     /// What waits there.
     pub backlog: Backlog,
     /// How fast it computes.
@@ -72,36 +72,37 @@
 
 impl Engine {
     /// Learns whether its cache fell short of what was believed.
-    pub fn note_belief(&mut self, overrated: bool) {
-        let seen = if overrated { 1.0 } else { 0.0 };
+    pub fn record_prediction(&mut self, overestimated: bool) {
+        let seen = if overestimated { 1.0 } else { 0.0 };
         self.mistakes += (seen - self.mistakes) * MISTAKE_GAIN;
     }
 
     /// Whether what is believed of it is mostly wrong; true once for each such finding.
-    pub fn mistaken(&mut self) -> bool {
-        let mistaken = self.mistakes > MISTAKEN;
-        if mistaken {
+    pub fn take_mistaken(&mut self) -> bool {
+        let take_mistaken = self.mistakes > MISTAKE_THRESHOLD;
+        if take_mistaken {
             self.mistakes = 0.0;
         }
-        mistaken
+        take_mistaken
     }
 
     /// Seconds by which own requests there are overdue.
     ///
     /// A silent engine's backlog seems to drain by the clock, so it would look idle and draw all
     /// requests for what it holds until the silence limit ends the first of them.
-    pub fn silence(&self, now: Moment) -> f64 {
+    pub fn overdue_seconds(&self, now: Moment) -> f64 {
         let own = self.backlog.own().0 as f64;
         if own <= 0.0 {
             return 0.0;
         }
-        let allowed = PATIENCE + 2.0 * own * self.speed.per_token(speed::AT_FIRST, now);
-        (now.since(self.heard).as_secs_f64() - allowed).max(0.0)
+        let allowed = PROGRESS_GRACE
+            + 2.0 * own * self.speed.per_token(speed::DEFAULT_SECONDS_PER_TOKEN, now);
+        (now.since(self.last_progress).as_secs_f64() - allowed).max(0.0)
     }
 
     /// Whether own requests there are overdue.
     pub fn stalled(&self, now: Moment) -> bool {
-        self.silence(now) > 0.0
+        self.overdue_seconds(now) > 0.0
     }
 
     /// Blocks that its cache can hold.
@@ -115,10 +116,13 @@
     }
 
     fn weight(&self) -> f64 {
-        let blocks = self.report.as_ref().map_or(ORDINARY, |r| r.capacity as f64);
+        let blocks = self
+            .report
+            .as_ref()
+            .map_or(DEFAULT_CAPACITY, |r| r.capacity as f64);
         // Quarters, so that a small change of a report moves no keys.
-        let quarters = (blocks / ORDINARY * 4.0).round() / 4.0;
-        quarters.clamp(WEIGHTS.0, WEIGHTS.1)
+        let quarters = (blocks / DEFAULT_CAPACITY * 4.0).round() / 4.0;
+        quarters.clamp(WEIGHT_BOUNDS.0, WEIGHT_BOUNDS.1)
     }
 }
 
@@ -146,7 +150,7 @@
             numbers: FxHashMap::default(),
             by_slot: Vec::new(),
             rings: FxHashMap::default(),
-            typical: speed::AT_FIRST,
+            typical: speed::DEFAULT_SECONDS_PER_TOKEN,
             typical_age: 1.0,
         }
     }
@@ -172,14 +176,14 @@
             if let Some(engine) = self.get_mut(no) {
                 engine.leaving = entry.leaving;
             }
-            self.seat(no);
+            self.update_rings(no);
         }
         gone
     }
 
     /// Takes an engine's report of itself.
     pub fn report(&mut self, no: EngineNo, report: &LoadReport, now: Moment, index: &mut Index) {
-        self.live(no, report.incarnation, index);
+        self.observe_incarnation(no, report.incarnation, index);
         let typical = self.typical;
         let Some(engine) = self.get_mut(no) else {
             return;
@@ -193,11 +197,16 @@
         engine.backlog.report(report.prefill, as_of, per_token);
         engine.report = Some(report.clone());
         engine.suspect = false;
-        self.seat(no);
+        self.update_rings(no);
     }
 
     /// Notes the life an engine is in; a new one has an empty cache.
-    pub fn live(&mut self, no: EngineNo, incarnation: Incarnation, index: &mut Index) {
+    pub fn observe_incarnation(
+        &mut self,
+        no: EngineNo,
+        incarnation: Incarnation,
+        index: &mut Index,
+    ) {
         let Some(engine) = self.get_mut(no) else {
             return;
         };
@@ -210,20 +219,20 @@
         engine.report = None;
         engine.speed = Speed::default();
         engine.newest = None;
-        engine.unlisted = false;
+        engine.needs_listing = false;
         if let Some(slot) = index.open() {
             index.close(engine.slot);
             self.reslot(no, slot);
         }
-        self.seat(no);
+        self.update_rings(no);
     }
 
     /// Notes that an engine failed, so that nothing goes there until it reports again.
-    pub fn fail(&mut self, no: EngineNo) {
+    pub fn mark_failed(&mut self, no: EngineNo) {
         if let Some(engine) = self.get_mut(no) {
             engine.suspect = true;
         }
-        self.seat(no);
+        self.update_rings(no);
     }
 
     /// Gives an engine's cache another slot.
@@ -250,7 +259,7 @@
     }
 
     /// The engine whose cache has a slot.
-    pub fn of_slot(&self, slot: Slot) -> Option<EngineNo> {
+    pub fn engine_at_slot(&self, slot: Slot) -> Option<EngineNo> {
         self.by_slot.get(slot.at()).copied().flatten()
     }
 
@@ -293,12 +302,12 @@
             return 0.0;
         };
         let slowness = self.per_token(engine, now) / self.typical;
-        (1.0 + SLOW_FROM - slowness).clamp(0.0, 1.0)
+        (1.0 + SLOWNESS_THRESHOLD - slowness).clamp(0.0, 1.0)
     }
 
     /// How soon an engine evicts, that does so at some age, in relation to the others.
     pub fn pressure(&self, age: f64) -> f64 {
-        (self.typical_age / age.max(1.0)).clamp(PRESSURE.0, PRESSURE.1)
+        (self.typical_age / age.max(1.0)).clamp(PRESSURE_BOUNDS.0, PRESSURE_BOUNDS.1)
     }
 
     /// Learns anew what speed and what eviction age are typical.
@@ -330,12 +339,12 @@
             incarnation: Incarnation(0),
             suspect: false,
             newest: None,
-            asked: None,
-            unlisted: false,
+            listing_requested: None,
+            needs_listing: false,
             cold: 0,
             computing: 0,
             mistakes: 0.0,
-            heard: Moment(0),
+            last_progress: Moment(0),
             backlog: Backlog::default(),
             speed: Speed::default(),
         };
@@ -363,7 +372,7 @@
     }
 
     /// Puts an engine on the rings of the weights it holds, and off all others.
-    fn seat(&mut self, no: EngineNo) {
+    fn update_rings(&mut self, no: EngineNo) {
         let Some(engine) = self.all.get(no.at()).and_then(Option::as_ref) else {
             return;
         };
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 /// Time between two listings of one engine: a few times an event's delay.
-const PER_ENGINE: Duration = Duration::from_secs(3);
+const MIN_LISTING_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Keys taken in a second, by which listings are spaced: an index takes ten times as many in.
-const KEYS_A_SECOND: f64 = 500_000.0;
+const LISTING_KEYS_PER_SECOND: f64 = 500_000.0;
 
 /// Time between two looks for engines of which nothing is known.
-const LOOK: Duration = Duration::from_millis(20);
+const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Takes in what engines tell of their caches.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
         index: &mut Index,
         now: Moment,
     ) -> Need {
-        engines.live(no, batch.incarnation, index);
+        engines.observe_incarnation(no, batch.incarnation, index);
         let Some(engine) = engines.get_mut(no) else {
             return Need::Nothing;
         };
@@ -55,7 +55,7 @@
             // The first event of a life is number 1 or 0; any later one comes after others.
             let next = engine.newest.map_or(1, |newest| newest + 1);
             if *number > next {
-                engine.unlisted = true;
+                engine.needs_listing = true;
                 index.doubt(engine.slot, now);
             }
             engine.newest = Some(*number);
@@ -80,7 +80,7 @@
         let due = engines.iter().find(|(_, e)| self.due(e, now));
         let no = due.map(|(no, _)| no);
         if no.is_none() {
-            self.next = now + LOOK;
+            self.next = now + SCAN_INTERVAL;
         }
         let engine = engines.get_mut(no?)?;
         self.ask(engine, now);
@@ -88,16 +88,18 @@
     }
 
     fn due(&self, engine: &Engine, now: Moment) -> bool {
-        let unknown = engine.unlisted || engine.newest.is_none();
+        let unknown = engine.needs_listing || engine.newest.is_none();
         let reports = engine.report.is_some() && !engine.suspect;
-        let waits = engine.asked.is_some_and(|at| now < at + PER_ENGINE);
+        let waits = engine
+            .listing_requested
+            .is_some_and(|at| now < at + MIN_LISTING_INTERVAL);
         unknown && reports && !waits && now >= self.next
     }
 
     fn ask(&mut self, engine: &mut Engine, now: Moment) {
-        engine.asked = Some(now);
-        let seconds = engine.capacity() as f64 / KEYS_A_SECOND;
-        self.next = now + Duration::from_secs_f64(seconds.min(PER_ENGINE.as_secs_f64()));
+        engine.listing_requested = Some(now);
+        let seconds = engine.capacity() as f64 / LISTING_KEYS_PER_SECOND;
+        self.next = now + Duration::from_secs_f64(seconds.min(MIN_LISTING_INTERVAL.as_secs_f64()));
     }
 
     /// Takes in a listing; `false` if it tells less than is known.
@@ -108,7 +110,7 @@
         index: &mut Index,
         now: Moment,
     ) -> bool {
-        engines.live(no, listing.incarnation, index);
+        engines.observe_incarnation(no, listing.incarnation, index);
         let Some(engine) = engines.get_mut(no) else {
             return false;
         };
@@ -117,7 +119,7 @@
             return false;
         }
         engine.newest = Some(listing.newest);
-        engine.unlisted = false;
+        engine.needs_listing = false;
         let slot = index.relist(engine.slot, &listing.keys, now);
         engines.reslot(no, slot);
         true
@@ -131,7 +133,7 @@
         index: &mut Index,
         now: Moment,
     ) {
-        engines.live(no, cache.incarnation, index);
+        engines.observe_incarnation(no, cache.incarnation, index);
         let Some(engine) = engines.get_mut(no) else {
             return;
         };
@@ -139,7 +141,7 @@
             return;
         }
         engine.newest = Some(cache.newest);
-        engine.unlisted = false;
+        engine.needs_listing = false;
         for key in &cache.keys {
             index.stored(engine.slot, *key, now);
         }
--- a/crates/sesamegap-policy/src/placing/holders.rs
+++ b/crates/sesamegap-policy/src/placing/holders.rs
@@ -6,7 +6,7 @@
 /// Most engines entered for one block; the one used least recently makes room.
 ///
 /// A prefix's home set is smaller, so more holders would never be asked about.
-const MOST: usize = 64;
+const MAX_HOLDINGS: usize = 64;
 
 const CONFIRMED: u16 = 0x8000;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Holding {
     pub(super) slot: u16,
-    mark: u16,
+    packed: u16,
 }
 
 impl Holding {
@@ -23,36 +23,36 @@
 
     const EMPTY: Self = Self {
         slot: Self::NONE,
-        mark: 0,
+        packed: 0,
     };
 
     pub(super) fn new(slot: u16, tick: u16, confirmed: bool) -> Self {
         let flag = if confirmed { CONFIRMED } else { 0 };
         Self {
             slot,
-            mark: (tick & !CONFIRMED) | flag,
+            packed: (tick & !CONFIRMED) | flag,
         }
     }
 
     /// Tick of the last use.
     pub(super) fn tick(self) -> u16 {
-        self.mark & !CONFIRMED
+        self.packed & !CONFIRMED
     }
 
     pub(super) fn confirmed(self) -> bool {
-        self.mark & CONFIRMED != 0
+        self.packed & CONFIRMED != 0
     }
 }
 
 /// What entering a holding did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Entered {
+pub(super) enum PutResult {
     /// The slot held the block already.
-    Renewed,
+    Refreshed,
     /// It is one holding more.
     New,
     /// It took the place of another slot's holding.
-    Instead(u16),
+    Replaced(u16),
 }
 
 /// All holdings of a block.
@@ -91,32 +91,32 @@
     }
 
     /// Enters a holding; one that was confirmed stays so.
-    pub(super) fn put(&mut self, new: Holding) -> Entered {
+    pub(super) fn put(&mut self, new: Holding) -> PutResult {
         if let Some(old) = self.iter_mut().find(|h| h.slot == new.slot) {
             let confirmed = old.confirmed() || new.confirmed();
             *old = Holding::new(new.slot, new.tick(), confirmed);
-            return Entered::Renewed;
+            return PutResult::Refreshed;
         }
         match self {
             Self::Few(few) => {
                 if let Some(empty) = few.iter_mut().find(|h| h.slot == Holding::NONE) {
                     *empty = new;
-                    return Entered::New;
+                    return PutResult::New;
                 }
                 let mut holdings = Vec::with_capacity(8);
                 holdings.extend_from_slice(few);
                 holdings.push(new);
                 *self = Self::Many(Box::new(Spill { holdings }));
-                Entered::New
+                PutResult::New
             }
             Self::Many(spill) => {
-                let dropped = if spill.holdings.len() >= MOST {
-                    spill.drop_oldest(new.tick())
+                let dropped = if spill.holdings.len() >= MAX_HOLDINGS {
+                    spill.remove_oldest(new.tick())
                 } else {
                     None
                 };
                 spill.holdings.push(new);
-                dropped.map_or(Entered::New, |old| Entered::Instead(old.slot))
+                dropped.map_or(PutResult::New, |old| PutResult::Replaced(old.slot))
             }
         }
     }
@@ -164,7 +164,7 @@
 }
 
 impl Spill {
-    fn drop_oldest(&mut self, now: u16) -> Option<Holding> {
+    fn remove_oldest(&mut self, now: u16) -> Option<Holding> {
         let age = |h: &Holding| now.wrapping_sub(h.tick()) & !CONFIRMED;
         let oldest = (0..self.holdings.len()).max_by_key(|at| age(&self.holdings[*at]));
         oldest.map(|at| self.holdings.swap_remove(at))
--- a/crates/sesamegap-policy/src/placing/homes.rs
+++ b/crates/sesamegap-policy/src/placing/homes.rs
@@ -17,16 +17,16 @@
 ///
 /// A preamble is short and its dossiers are long: measured, a wide outer set costs a few blocks an
 /// engine and spreads the dossiers evenly, a narrow one overfills some engines' memory.
-pub const LEAST_OUTER: usize = 12;
+pub const MIN_OUTER_SET: usize = 12;
 
 /// Engines at home to any prefix at most, which bounds the cost of one placement.
-pub const MOST: usize = 24;
+pub const MAX_SET: usize = 24;
 
 /// Engines at home to an inner prefix at least: a second choice for when the first is full.
-pub const LEAST_INNER: usize = 2;
+pub const MIN_INNER_SET: usize = 2;
 
 /// Busy engines a prefix may need before its set grows beyond them: half of each is left free.
-const SLACK: f64 = 2.0;
+const HEADROOM: f64 = 2.0;
 
 /// Score of an engine for a key; the highest is the first home.
 pub fn score(key: BlockKey, seed: u64) -> u64 {
@@ -35,9 +35,9 @@
 }
 
 /// Size of a home set for a prefix that keeps `busy` engines at work.
-pub fn size(busy: f64, least: usize) -> usize {
+pub fn size(busy_engines: f64, least: usize) -> usize {
     let mut size = least;
-    while size < MOST && (size as f64) < busy * SLACK {
+    while size < MAX_SET && (size as f64) < busy_engines * HEADROOM {
         size += 1;
     }
     size
@@ -69,12 +69,12 @@
         let Some(outer) = levels.next().and_then(|end| key_at(chain, *end)) else {
             return;
         };
-        ring.walk(outer, size(heat.busy(outer), LEAST_OUTER), found);
+        ring.walk(outer, size(heat.busy_engines(outer), MIN_OUTER_SET), found);
         for end in levels {
             let Some(key) = key_at(chain, *end) else {
                 return;
             };
-            let most = size(heat.busy(key), LEAST_INNER);
+            let most = size(heat.busy_engines(key), MIN_INNER_SET);
             if most < found.len() {
                 self.narrow(key, most, &seeds, found);
             }
--- a/crates/sesamegap-policy/src/placing/import.rs
+++ b/crates/sesamegap-policy/src/placing/import.rs
@@ -7,17 +7,17 @@
 
 use super::Ask;
 use super::candidates::Candidate;
-use super::cost::Offer;
+use super::cost::CostEstimate;
 use super::engines::Engine;
 use super::prefix::PrefixPlacer;
 use super::ring::EngineNo;
 use sesamegap_wire::{Moment, UpstreamId};
 
 /// Seconds to fetch one block over the network: what the users' stores take, about 3 ms.
-const FETCH: f64 = 3e-3;
+const FETCH_SECONDS_PER_BLOCK: f64 = 3e-3;
 
 /// Fetching must be this many times quicker than computing, for it also loads the source.
-const WORTH: f64 = 2.0;
+const MIN_SPEEDUP: f64 = 2.0;
 
 impl PrefixPlacer {
     /// Where the chosen engine should look for what it lacks, if that is worth it.
@@ -28,18 +28,18 @@
         &self,
         ask: &Ask<'_>,
         chosen: EngineNo,
-        offer: &Offer,
+        estimate: &CostEstimate,
         now: Moment,
     ) -> Option<UpstreamId> {
         let block = self.block(ask.model).0;
-        let compute = offer.per_token * block as f64;
-        if offer.missing.0 < block || compute < FETCH * WORTH {
+        let compute = estimate.per_token * block as f64;
+        if estimate.missing.0 < block || compute < FETCH_SECONDS_PER_BLOCK * MIN_SPEEDUP {
             return None;
         }
-        let held = (ask.chain.tokens - offer.missing).0 / block;
+        let held = (ask.chain.tokens - estimate.missing).0 / block;
         let others = self.candidates.found.iter();
         let more = others.filter(|other| {
-            other.engine != chosen && u64::from(other.blocks) > held && self.gives(other, now)
+            other.engine != chosen && u64::from(other.blocks) > held && self.can_serve(other, now)
         });
         let best = more.max_by_key(|other| other.blocks);
         let best = best.and_then(|other| self.engines.get(other.engine));
@@ -48,7 +48,7 @@
     }
 
     /// Whether an engine can be asked for blocks.
-    fn gives(&self, other: &Candidate, now: Moment) -> bool {
+    fn can_serve(&self, other: &Candidate, now: Moment) -> bool {
         let engine: Option<&Engine> = self.engines.get(other.engine);
         engine.is_some_and(|engine| !engine.stalled(now))
     }
--- a/crates/sesamegap-policy/src/placing/flights.rs
+++ b/crates/sesamegap-policy/src/placing/in_flight.rs
@@ -23,7 +23,7 @@
 
 /// One request with an engine.
 #[derive(Debug, Clone)]
-pub struct Flight {
+pub struct InFlightRequest {
     /// The engine.
     pub engine: EngineNo,
     /// Incarnation of the engine that it was sent to.
@@ -48,38 +48,43 @@
 
 /// All requests with engines; the windows on engines bound their number.
 #[derive(Debug, Default)]
-pub struct Flights {
-    all: FxHashMap<RequestId, Flight>,
+pub struct InFlightRequests {
+    all: FxHashMap<RequestId, InFlightRequest>,
 }
 
-impl Flights {
+impl InFlightRequests {
     /// Enters a request; gives the former entry if it was sent before.
-    pub fn enter(&mut self, request: &RequestId, flight: Flight) -> Option<Flight> {
-        self.all.insert(request.clone(), flight)
+    pub fn insert(
+        &mut self,
+        request: &RequestId,
+        in_flight_request: InFlightRequest,
+    ) -> Option<InFlightRequest> {
+        self.all.insert(request.clone(), in_flight_request)
     }
 
     /// A request's entry, to change.
-    pub fn get_mut(&mut self, request: &RequestId) -> Option<&mut Flight> {
+    pub fn get_mut(&mut self, request: &RequestId) -> Option<&mut InFlightRequest> {
         self.all.get_mut(request)
     }
 
     /// Takes out a request that is over.
-    pub fn leave(&mut self, request: &RequestId) -> Option<Flight> {
+    pub fn remove(&mut self, request: &RequestId) -> Option<InFlightRequest> {
         self.all.remove(request)
     }
 
     /// Takes out all requests of an engine that is gone.
     pub fn drop_engine(&mut self, engine: EngineNo) {
-        self.all.retain(|_, flight| flight.engine != engine);
+        self.all
+            .retain(|_, in_flight_request| in_flight_request.engine != engine);
     }
 
     /// Requests with one engine.
-    pub fn on(&self, engine: EngineNo) -> impl Iterator<Item = &Flight> {
+    pub fn on_engine(&self, engine: EngineNo) -> impl Iterator<Item = &InFlightRequest> {
         self.all.values().filter(move |f| f.engine == engine)
     }
 
     /// Long prompts not yet computed.
-    pub fn cold(&self) -> impl Iterator<Item = &Flight> {
+    pub fn cold(&self) -> impl Iterator<Item = &InFlightRequest> {
         let all = self.all.values();
         all.filter(|f| f.cold && f.stage != Stage::Answering)
     }
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -12,8 +12,8 @@
 //!
 //! Memory is bounded: a shard that is full forgets the quarter of its blocks unused the longest.
 
-use super::holders::{Entered, Holders, Holding};
-use super::ticks::{TICKS, seconds, tick, ticks_since};
+use super::holders::{Holders, Holding, PutResult};
+use super::ticks::{TICK_MASK, seconds, tick, ticks_since};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{BlockKey, Moment};
 use std::time::Duration;
@@ -27,16 +27,16 @@
 const SHARDS: usize = 2048;
 
 /// Time for a sweep over all shards; the slots of dead engines come free after two.
-const SWEEP: Duration = Duration::from_mins(1);
+const SWEEP_INTERVAL: Duration = Duration::from_mins(1);
 
 /// Ages beyond this are clipped by the sweep, before the ticks wrap.
-const OLDEST: u16 = TICKS / 2;
+const MAX_AGE_TICKS: u16 = TICK_MASK / 2;
 
 /// Eviction age assumed until one was seen.
-const AGE_AT_FIRST: Duration = Duration::from_secs(30);
+const INITIAL_EVICTION_AGE: Duration = Duration::from_secs(30);
 
 /// Weight of a new eviction in the learned age: about the last 30 count.
-const AGE_GAIN: f64 = 1.0 / 32.0;
+const EVICTION_AGE_GAIN: f64 = 1.0 / 32.0;
 
 /// A number under which one life of an engine's cache is entered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -51,10 +51,10 @@
 
 /// What is known of a slot.
 #[derive(Debug, Clone)]
-struct Life {
+struct SlotState {
     live: bool,
     /// Sweeps completed when the slot died.
-    died: u64,
+    closed_in_sweep: u64,
     /// Holdings not confirmed since this tick are in doubt.
     doubt: Option<u16>,
     /// Seconds from last use to eviction, learned.
@@ -69,10 +69,10 @@
     shards: Vec<FxHashMap<u64, Holders>>,
     /// Most blocks in one shard.
     limit: usize,
-    lives: Vec<Life>,
+    slots: Vec<SlotState>,
     free: Vec<u16>,
     cursor: usize,
-    swept: u64,
+    sweeps_done: u64,
     next: Moment,
 }
 
@@ -85,7 +85,7 @@
     pub blocks: u16,
 }
 
-fn short(key: BlockKey) -> u64 {
+fn short_key(key: BlockKey) -> u64 {
     u64::try_from(key.0 >> 64).unwrap_or(0)
 }
 
@@ -95,10 +95,10 @@
         Self {
             shards: (0..SHARDS).map(|_| FxHashMap::default()).collect(),
             limit: (most / SHARDS).max(4),
-            lives: Vec::new(),
+            slots: Vec::new(),
             free: Vec::new(),
             cursor: 0,
-            swept: 0,
+            sweeps_done: 0,
             next: Moment(0),
         }
     }
@@ -107,40 +107,40 @@
     ///
     /// `None` if all numbers are taken by lives that are not yet swept.
     pub fn open(&mut self) -> Option<Slot> {
-        let life = Life {
+        let slot_state = SlotState {
             live: true,
-            died: 0,
+            closed_in_sweep: 0,
             doubt: None,
-            age: AGE_AT_FIRST.as_secs_f64(),
+            age: INITIAL_EVICTION_AGE.as_secs_f64(),
             held: 0,
         };
         if let Some(number) = self.free.pop() {
-            self.lives[usize::from(number)] = life;
+            self.slots[usize::from(number)] = slot_state;
             return Some(Slot(number));
         }
-        let number = u16::try_from(self.lives.len()).ok()?;
+        let number = u16::try_from(self.slots.len()).ok()?;
         if number == Holding::NONE {
             return None;
         }
-        self.lives.push(life);
+        self.slots.push(slot_state);
         Some(Slot(number))
     }
 
     /// Forgets all that a slot holds.
     pub fn close(&mut self, slot: Slot) {
-        let swept = self.swept;
-        let life = self.life(slot);
-        life.live = false;
-        life.died = swept;
+        let sweeps_done = self.sweeps_done;
+        let slot_state = self.slot_state(slot);
+        slot_state.live = false;
+        slot_state.closed_in_sweep = sweeps_done;
     }
 
     /// Moves to a new slot what a listing says is held, and forgets the rest.
     pub fn relist(&mut self, old: Slot, keys: &[BlockKey], now: Moment) -> Slot {
         let Some(new) = self.open() else { return old };
-        self.lives[usize::from(new.0)].age = self.lives[usize::from(old.0)].age;
+        self.slots[usize::from(new.0)].age = self.slots[usize::from(old.0)].age;
         for key in keys {
-            let used = self.used(old, *key).unwrap_or(tick(now));
-            self.put(new, *key, used, true);
+            let last_used = self.last_used(old, *key).unwrap_or(tick(now));
+            self.put(new, *key, last_used, true);
         }
         self.close(old);
         new
@@ -163,23 +163,23 @@
         };
         if holding.confirmed() {
             let age = seconds(ticks_since(tick(now), holding.tick()));
-            let life = self.life(slot);
-            life.age += (age - life.age) * AGE_GAIN;
+            let slot_state = self.slot_state(slot);
+            slot_state.age += (age - slot_state.age) * EVICTION_AGE_GAIN;
         }
         let shard = self.shard(key);
-        let Some(holders) = shard.get_mut(&short(key)) else {
+        let Some(holders) = shard.get_mut(&short_key(key)) else {
             return;
         };
         holders.remove(slot.0);
         if holders.is_empty() {
-            shard.remove(&short(key));
+            shard.remove(&short_key(key));
         }
-        self.lose(slot.0);
+        self.decrement_held(slot.0);
     }
 
     /// Marks what a slot holds now as doubtful.
     pub fn doubt(&mut self, slot: Slot, now: Moment) {
-        self.life(slot).doubt = Some(tick(now));
+        self.slot_state(slot).doubt = Some(tick(now));
     }
 
     /// Gives for each slot that holds the first block how many leading ones it holds.
@@ -189,7 +189,7 @@
             return;
         };
         let now = tick(now);
-        let believed = first.iter().filter(|h| self.believes(**h, now));
+        let believed = first.iter().filter(|h| self.is_believed(**h, now));
         found.extend(believed.map(|h| Depth {
             slot: Slot(h.slot),
             blocks: 1,
@@ -202,7 +202,7 @@
             for depth in found.iter_mut().filter(|d| usize::from(d.blocks) == at) {
                 if holders
                     .find(depth.slot.0)
-                    .is_some_and(|h| self.believes(h, now))
+                    .is_some_and(|h| self.is_believed(h, now))
                 {
                     depth.blocks += 1;
                     alive = true;
@@ -220,7 +220,7 @@
         let held = keys.iter().take_while(|key| {
             self.holders(**key)
                 .and_then(|h| h.find(slot.0))
-                .is_some_and(|h| self.believes(h, now))
+                .is_some_and(|h| self.is_believed(h, now))
         });
         u16::try_from(held.count()).unwrap_or(u16::MAX)
     }
@@ -230,24 +230,24 @@
         if now < self.next {
             return;
         }
-        self.next = now + SWEEP / u32::try_from(SHARDS).unwrap_or(1);
+        self.next = now + SWEEP_INTERVAL / u32::try_from(SHARDS).unwrap_or(1);
         let mut shard = std::mem::take(&mut self.shards[self.cursor]);
         let tick = tick(now);
         shard.retain(|_, holders| {
             holders.retain(|h| {
-                let keeps = self.keeps(h, tick);
-                if !keeps {
-                    self.lose(h.slot);
+                let retain_holding = self.retain_holding(h, tick);
+                if !retain_holding {
+                    self.decrement_held(h.slot);
                 }
-                keeps
+                retain_holding
             });
             !holders.is_empty()
         });
         self.shards[self.cursor] = shard;
         self.cursor = (self.cursor + 1) % SHARDS;
         if self.cursor == 0 {
-            self.swept += 1;
-            self.recycle();
+            self.sweeps_done += 1;
+            self.free_swept_slots();
         }
     }
 
@@ -274,12 +274,12 @@
 
     /// Seconds from last use to eviction, learned.
     pub fn age(&self, slot: Slot) -> f64 {
-        self.lives[slot.at()].age
+        self.slots[slot.at()].age
     }
 
     /// Blocks entered for a slot.
     pub fn held(&self, slot: Slot) -> u64 {
-        u64::from(self.lives[slot.at()].held)
+        u64::from(self.slots[slot.at()].held)
     }
 
     /// Keys a slot holds, the most recently used first; only their upper halves are known.
@@ -287,7 +287,7 @@
         let now = tick(now);
         let mut held: Vec<(u16, u64)> = Vec::new();
         for (key, holders) in self.shards.iter().flatten() {
-            if let Some(holding) = holders.find(slot.0).filter(|h| self.believes(*h, now)) {
+            if let Some(holding) = holders.find(slot.0).filter(|h| self.is_believed(*h, now)) {
                 held.push((ticks_since(now, holding.tick()), *key));
             }
         }
@@ -298,87 +298,90 @@
     }
 
     fn shard(&mut self, key: BlockKey) -> &mut FxHashMap<u64, Holders> {
-        &mut self.shards[Self::place(key)]
+        &mut self.shards[Self::shard_index(key)]
     }
 
-    fn place(key: BlockKey) -> usize {
+    fn shard_index(key: BlockKey) -> usize {
         usize::try_from(key.0 >> 112).unwrap_or(0) % SHARDS
     }
 
     fn holders(&self, key: BlockKey) -> Option<&Holders> {
-        self.shards[Self::place(key)].get(&short(key))
+        self.shards[Self::shard_index(key)].get(&short_key(key))
     }
 
-    fn life(&mut self, slot: Slot) -> &mut Life {
-        &mut self.lives[slot.at()]
+    fn slot_state(&mut self, slot: Slot) -> &mut SlotState {
+        &mut self.slots[slot.at()]
     }
 
     /// Last use of a block whose holding was confirmed.
-    fn used(&self, slot: Slot, key: BlockKey) -> Option<u16> {
+    fn last_used(&self, slot: Slot, key: BlockKey) -> Option<u16> {
         let holding = self.holders(key)?.find(slot.0)?;
         holding.confirmed().then_some(holding.tick())
     }
 
-    fn put(&mut self, slot: Slot, key: BlockKey, used: u16, confirmed: bool) {
+    fn put(&mut self, slot: Slot, key: BlockKey, last_used: u16, confirmed: bool) {
         let limit = self.limit;
         let shard = self.shard(key);
         let mut dropped = Vec::new();
-        if shard.len() >= limit && !shard.contains_key(&short(key)) {
-            dropped = forget_oldest(shard, used);
+        if shard.len() >= limit && !shard.contains_key(&short_key(key)) {
+            dropped = forget_oldest(shard, last_used);
         }
-        let holding = Holding::new(slot.0, used, confirmed);
-        let entered = shard.entry(short(key)).or_default().put(holding);
-        if let Entered::Instead(old) = entered {
-            self.lose(old);
+        let holding = Holding::new(slot.0, last_used, confirmed);
+        let outcome = shard.entry(short_key(key)).or_default().put(holding);
+        if let PutResult::Replaced(old) = outcome {
+            self.decrement_held(old);
         }
-        if entered != Entered::Renewed {
-            self.life(slot).held += 1;
+        if outcome != PutResult::Refreshed {
+            self.slot_state(slot).held += 1;
         }
         for holding in dropped.iter().flat_map(Holders::iter) {
-            self.lose(holding.slot);
+            self.decrement_held(holding.slot);
         }
     }
 
-    fn lose(&mut self, slot: u16) {
-        let life = &mut self.lives[usize::from(slot)];
-        life.held = life.held.saturating_sub(1);
+    fn decrement_held(&mut self, slot: u16) {
+        let slot_state = &mut self.slots[usize::from(slot)];
+        slot_state.held = slot_state.held.saturating_sub(1);
     }
 
-    fn believes(&self, holding: Holding, now: u16) -> bool {
-        let life = &self.lives[usize::from(holding.slot)];
-        if !life.live {
+    fn is_believed(&self, holding: Holding, now: u16) -> bool {
+        let slot_state = &self.slots[usize::from(holding.slot)];
+        if !slot_state.live {
             return false;
         }
         let age = ticks_since(now, holding.tick());
         if !holding.confirmed() {
             return seconds(age) < EXPECT.as_secs_f64();
         }
-        let doubted = life
+        let doubted = slot_state
             .doubt
             .is_some_and(|since| age >= ticks_since(now, since));
-        !doubted || seconds(age) < life.age
+        !doubted || seconds(age) < slot_state.age
     }
 
     /// Whether the sweep leaves a holding, whose age it clips before the ticks wrap.
-    fn keeps(&self, holding: &mut Holding, now: u16) -> bool {
-        let live = self.lives[usize::from(holding.slot)].live;
+    fn retain_holding(&self, holding: &mut Holding, now: u16) -> bool {
+        let live = self.slots[usize::from(holding.slot)].live;
         let age = ticks_since(now, holding.tick());
-        if age > OLDEST {
+        if age > MAX_AGE_TICKS {
             *holding = Holding::new(
                 holding.slot,
-                now.wrapping_sub(OLDEST) & TICKS,
+                now.wrapping_sub(MAX_AGE_TICKS) & TICK_MASK,
                 holding.confirmed(),
             );
         }
         live && (holding.confirmed() || seconds(age) < EXPECT.as_secs_f64())
     }
 
-    fn recycle(&mut self) {
-        for (number, life) in self.lives.iter_mut().enumerate() {
-            if life.live || life.died == u64::MAX || self.swept < life.died + 2 {
+    fn free_swept_slots(&mut self) {
+        for (number, slot_state) in self.slots.iter_mut().enumerate() {
+            if slot_state.live
+                || slot_state.closed_in_sweep == u64::MAX
+                || self.sweeps_done < slot_state.closed_in_sweep + 2
+            {
                 continue;
             }
-            life.died = u64::MAX;
+            slot_state.closed_in_sweep = u64::MAX;
             self.free.push(u16::try_from(number).unwrap_or(u16::MAX));
         }
     }
@@ -389,7 +392,7 @@
 fn forget_oldest(shard: &mut FxHashMap<u64, Holders>, now: u16) -> Vec<Holders> {
     let age = |holders: &Holders| {
         let youngest = holders.iter().map(|h| ticks_since(now, h.tick())).min();
-        youngest.unwrap_or(TICKS)
+        youngest.unwrap_or(TICK_MASK)
     };
     let mut ages: Vec<(u16, u64)> = shard.iter().map(|(key, h)| (age(h), *key)).collect();
     let kept = ages.len() * 3 / 4;
--- a/crates/sesamegap-policy/src/placing/peers.rs
+++ b/crates/sesamegap-policy/src/placing/peers.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 /// A peer without a digest for this long has nothing under way.
-const SILENT: Duration = Duration::from_secs(5);
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Peers remembered at most, as many as there may be routers.
-const PEERS: usize = 512;
+const MAX_PEERS: usize = 512;
 
 #[derive(Debug)]
 struct Peer {
@@ -27,13 +27,13 @@
 
 impl Peers {
     /// Takes a peer's figures in place of its former ones; gives the engines whose sum changed.
-    pub fn hear(
+    pub fn update(
         &mut self,
         from: &str,
         waiting: Vec<(EngineNo, f64)>,
         now: Moment,
     ) -> Vec<EngineNo> {
-        if self.peers.len() >= PEERS && !self.peers.contains_key(from) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(from) {
             return Vec::new();
         }
         let mut changed = self.forget(from);
@@ -47,7 +47,10 @@
 
     /// Forgets peers that have gone silent; gives the engines whose sum changed.
     pub fn tend(&mut self, now: Moment) -> Vec<EngineNo> {
-        let silent = self.peers.iter().filter(|(_, p)| now.since(p.at) >= SILENT);
+        let silent = self
+            .peers
+            .iter()
+            .filter(|(_, p)| now.since(p.at) >= PEER_TIMEOUT);
         let silent: Vec<SmolStr> = silent.map(|(name, _)| name.clone()).collect();
         silent.iter().flat_map(|name| self.forget(name)).collect()
     }
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -7,15 +7,15 @@
 //! booked at once on the engine's backlog and in the index, long before reports and events tell.
 
 use super::candidates::Candidates;
-use super::choose::COLD_BLOCKS;
+use super::choose::MIN_COLD_BLOCKS;
 use super::engines::Engines;
 use super::feed::Feed;
-use super::flights::{Flight, Flights, Stage};
 use super::heat::Heat;
+use super::in_flight::{InFlightRequest, InFlightRequests, Stage};
 use super::index::Index;
 use super::peers::Peers;
+use super::priority_waits::PriorityWaits;
 use super::ring::EngineNo;
-use super::turns::Turns;
 use super::{Ask, Need, Placed, Placement, Placer, PrefixBuilder, Room};
 use rand::Rng;
 use rustc_hash::FxHashMap;
@@ -30,17 +30,17 @@
 pub const BLOCK: Tokens = Tokens(4096);
 
 /// Pace of what is learned over the whole fleet.
-const TEND: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Engines named in a digest at most, those with the most waiting.
-const NAMED: usize = 64;
+const MAX_DIGEST_ENGINES: usize = 64;
 
 /// Long prompts under way named in a digest, and blocks of each: a few kilobytes at the most.
-const COLD_NAMED: usize = 8;
-const COLD_KEYS: usize = 64;
+const MAX_COLD_PROMPTS: usize = 8;
+const MAX_COLD_KEYS: usize = 64;
 
 /// Keys handed to a peer that starts, which keeps the message under its largest size.
-const WARM_KEYS: usize = 300_000;
+const MAX_WARM_KEYS: usize = 300_000;
 
 /// Places by prefix, load and home set.
 #[derive(Debug)]
@@ -49,13 +49,13 @@
     pub(super) engines: Engines,
     pub(super) index: Index,
     pub(super) heat: Heat,
-    pub(super) flights: Flights,
+    pub(super) in_flight: InFlightRequests,
     pub(super) peers: Peers,
-    pub(super) turns: Turns,
+    pub(super) priority_waits: PriorityWaits,
     pub(super) feed: Feed,
     pub(super) candidates: Candidates,
     pub(super) blocks: FxHashMap<ModelId, Tokens>,
-    pub(super) tended: Moment,
+    pub(super) last_refresh: Moment,
     /// The kept-KV store.
     pub(super) store: Option<UpstreamId>,
 }
@@ -83,18 +83,18 @@
 
     fn tend(&mut self, now: Moment) {
         self.index.tend(now);
-        if now < self.tended + TEND {
+        if now < self.last_refresh + REFRESH_INTERVAL {
             return;
         }
-        self.tended = now;
+        self.last_refresh = now;
         self.heat.tend(now);
         self.engines.tend(&self.index, now);
         for engine in self.peers.tend(now) {
-            self.note_peers(engine, now);
+            self.update_peer_backlog(engine, now);
         }
     }
 
-    fn note_peers(&mut self, no: EngineNo, now: Moment) {
+    fn update_peer_backlog(&mut self, no: EngineNo, now: Moment) {
         let sum = self.peers.sum(no);
         if let Some(engine) = self.engines.get_mut(no) {
             engine.backlog.peers(sum, now);
@@ -105,8 +105,8 @@
     pub fn cost(&self, ask: &Ask<'_>, id: &UpstreamId, now: Moment) -> Option<f64> {
         let no = self.engines.number(id)?;
         let found = self.candidates.describe(no, &self.engines)?;
-        let offer = self.offer(ask, self.engines.get(no)?, found, now);
-        Some(offer.cost(ask.class.thrift))
+        let estimate = self.estimate(ask, self.engines.get(no)?, found, now);
+        Some(estimate.cost(ask.class.thrift))
     }
 
     /// Enters what engines are computing for a peer.
@@ -114,33 +114,33 @@
     /// Load: a dossier is lost with its engine, and requests for it come to several routers.
     /// Harm prevented: each router has it computed on an engine of its own choice, because the
     /// event that tells of the first comes only when that is done, seconds later.
-    fn expect_cold(&mut self, digest: &Digest, now: Moment) {
-        for cold in digest.cold.iter().take(COLD_NAMED) {
+    fn expect_peer_prefills(&mut self, digest: &Digest, now: Moment) {
+        for cold in digest.cold.iter().take(MAX_COLD_PROMPTS) {
             let number = self.engines.number(&cold.engine);
             let engine = number.and_then(|no| self.engines.get(no));
             let engine = engine.filter(|e| !e.suspect && e.incarnation == cold.incarnation);
             let Some(slot) = engine.map(|e| e.slot) else {
                 continue;
             };
-            for key in cold.keys.iter().take(COLD_KEYS) {
+            for key in cold.keys.iter().take(MAX_COLD_KEYS) {
                 self.index.expect(slot, *key, now);
             }
         }
     }
 
     /// Takes a request's booking off its engine's books.
-    fn settle(&mut self, flight: &Flight) {
-        let Some(engine) = self.engines.get_mut(flight.engine) else {
+    fn settle(&mut self, in_flight_request: &InFlightRequest) {
+        let Some(engine) = self.engines.get_mut(in_flight_request.engine) else {
             return;
         };
-        if flight.stage == Stage::Answering {
+        if in_flight_request.stage == Stage::Answering {
             return;
         }
-        engine.backlog.settle(flight.missing);
-        if flight.cold {
+        engine.backlog.settle(in_flight_request.missing);
+        if in_flight_request.cold {
             engine.cold = engine.cold.saturating_sub(1);
         }
-        if matches!(flight.stage, Stage::Started { .. }) {
+        if matches!(in_flight_request.stage, Stage::Started { .. }) {
             engine.computing = engine.computing.saturating_sub(1);
         }
     }
@@ -156,7 +156,7 @@
 
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
         for gone in self.engines.list(engines, &mut self.index) {
-            self.flights.drop_engine(gone);
+            self.in_flight.drop_engine(gone);
         }
         self.tend(now);
     }
@@ -164,7 +164,7 @@
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         if let Some(no) = self.engines.number(engine) {
             self.engines.report(no, report, now, &mut self.index);
-            self.note_peers(no, now);
+            self.update_peer_backlog(no, now);
         }
         self.tend(now);
     }
@@ -198,9 +198,12 @@
         let Some((slot, life)) = self.engines.get(no).map(|e| (e.slot, e.incarnation)) else {
             return;
         };
-        let here = self.flights.on(no).filter(|f| f.incarnation == life);
-        for flight in here {
-            for key in flight.keys.iter() {
+        let here = self
+            .in_flight
+            .on_engine(no)
+            .filter(|f| f.incarnation == life);
+        for in_flight_request in here {
+            for key in in_flight_request.keys.iter() {
                 self.index.expect(slot, *key, now);
             }
         }
@@ -240,7 +243,7 @@
         };
         let per_token = engine.speed.per_token(typical, now);
         if engine.backlog.own().0 == 0 {
-            engine.heard = now;
+            engine.last_progress = now;
         }
         let backlog = engine.backlog.wait(now, per_token).as_secs_f64();
         engine.backlog.send(missing, now, per_token);
@@ -249,8 +252,8 @@
         for key in ask.chain.keys.iter() {
             self.index.expect(slot, *key, now);
         }
-        self.heat.count_levels(ask.chain);
-        let flight = Flight {
+        self.heat.count_prefixes(ask.chain);
+        let in_flight_request = InFlightRequest {
             engine: no,
             incarnation: at.incarnation,
             block: self.block(ask.model),
@@ -262,60 +265,62 @@
             cold,
             stage: Stage::Sent,
         };
-        if let Some(former) = self.flights.enter(ask.request, flight) {
+        if let Some(former) = self.in_flight.insert(ask.request, in_flight_request) {
             self.settle(&former);
         }
     }
 
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment) {
-        let Some(flight) = self.flights.get_mut(request) else {
+        let Some(in_flight_request) = self.in_flight.get_mut(request) else {
             return;
         };
-        let Some(engine) = self.engines.get_mut(flight.engine) else {
+        let Some(engine) = self.engines.get_mut(in_flight_request.engine) else {
             return;
         };
-        if flight.stage != Stage::Sent {
+        if in_flight_request.stage != Stage::Sent {
             return;
         }
-        engine.heard = now;
-        let found = flight.prompt - cached;
-        engine.backlog.correct(flight.missing, found);
-        let overrated = found.0 >= flight.missing.0 + COLD_BLOCKS * flight.block.0;
-        engine.note_belief(overrated);
-        flight.missing = found;
+        engine.last_progress = now;
+        let found = in_flight_request.prompt - cached;
+        engine.backlog.correct(in_flight_request.missing, found);
+        let overestimated =
+            found.0 >= in_flight_request.missing.0 + MIN_COLD_BLOCKS * in_flight_request.block.0;
+        engine.record_prediction(overestimated);
+        in_flight_request.missing = found;
         engine.computing += 1;
         let alone = engine.computing == 1;
-        flight.stage = Stage::Started { at: now, alone };
-        if engine.mistaken() {
-            engine.unlisted = true;
+        in_flight_request.stage = Stage::Started { at: now, alone };
+        if engine.take_mistaken() {
+            engine.needs_listing = true;
             self.index.doubt(engine.slot, now);
         }
-        if engine.incarnation != flight.incarnation {
+        if engine.incarnation != in_flight_request.incarnation {
             // The answer overtook the news of a restart: what was cached then is gone.
             return;
         }
-        let blocks = usize::try_from(cached.0 / flight.block.0).unwrap_or(usize::MAX);
-        for key in flight.keys.iter().take(blocks) {
+        let blocks = usize::try_from(cached.0 / in_flight_request.block.0).unwrap_or(usize::MAX);
+        for key in in_flight_request.keys.iter().take(blocks) {
             self.index.stored(engine.slot, *key, now);
         }
     }
 
     fn first(&mut self, request: &RequestId, now: Moment) {
-        let Some(flight) = self.flights.get_mut(request) else {
+        let Some(in_flight_request) = self.in_flight.get_mut(request) else {
             return;
         };
-        let before = flight.clone();
-        flight.stage = Stage::Answering;
+        let before = in_flight_request.clone();
+        in_flight_request.stage = Stage::Answering;
         self.settle(&before);
         let typical = self.engines.typical;
         let Some(engine) = self.engines.get_mut(before.engine) else {
             return;
         };
-        engine.heard = now;
+        engine.last_progress = now;
         let compute = before.missing.0 as f64 * engine.speed.per_token(typical, now);
-        let (sent, foretold) = before.sent;
+        let (sent, predicted) = before.sent;
         let waited = now.since(sent).as_secs_f64() - compute;
-        self.turns.learn(before.priority, waited, foretold);
+        self.priority_waits
+            .learn(before.priority, waited, predicted);
         if let Stage::Started { at, alone: true } = before.stage {
             let took = now.since(at);
             engine.speed.learn(before.missing, took, typical, now);
@@ -324,27 +329,27 @@
     }
 
     fn finished(&mut self, request: &RequestId, _whole: bool, _now: Moment) {
-        if let Some(flight) = self.flights.leave(request) {
-            self.settle(&flight);
+        if let Some(in_flight_request) = self.in_flight.remove(request) {
+            self.settle(&in_flight_request);
         }
     }
 
     fn failed(&mut self, engine: &UpstreamId, _now: Moment) {
         if let Some(no) = self.engines.number(engine) {
-            self.engines.fail(no);
+            self.engines.mark_failed(no);
         }
     }
 
     fn peer(&mut self, from: &str, digest: &Digest, now: Moment) {
         self.heat.peer(from, &digest.heat, now);
-        let waiting = digest.prefill.iter().take(NAMED);
+        let waiting = digest.prefill.iter().take(MAX_DIGEST_ENGINES);
         let waiting = waiting
             .filter_map(|(id, tokens)| Some((self.engines.number(id)?, tokens.0 as f64)))
             .collect();
-        for engine in self.peers.hear(from, waiting, now) {
-            self.note_peers(engine, now);
+        for engine in self.peers.update(from, waiting, now) {
+            self.update_peer_backlog(engine, now);
         }
-        self.expect_cold(digest, now);
+        self.expect_peer_prefills(digest, now);
     }
 
     fn digest(&mut self, digest: &mut Digest, now: Moment) {
@@ -353,14 +358,19 @@
         let waiting = self.engines.iter().map(|(_, e)| (e.backlog.own(), &e.id));
         let mut waiting: Vec<_> = waiting.filter(|(tokens, _)| tokens.0 > 0).collect();
         waiting.sort_unstable_by(|a, b| b.cmp(a));
-        let named = waiting.into_iter().take(NAMED);
+        let named = waiting.into_iter().take(MAX_DIGEST_ENGINES);
         digest.prefill = named.map(|(tokens, id)| (id.clone(), tokens)).collect();
-        let cold = self.flights.cold().take(COLD_NAMED);
-        let cold = cold.filter_map(|flight| {
+        let cold = self.in_flight.cold().take(MAX_COLD_PROMPTS);
+        let cold = cold.filter_map(|in_flight_request| {
             Some(ColdPrompt {
-                engine: self.engines.get(flight.engine)?.id.clone(),
-                incarnation: flight.incarnation,
-                keys: flight.keys.iter().take(COLD_KEYS).copied().collect(),
+                engine: self.engines.get(in_flight_request.engine)?.id.clone(),
+                incarnation: in_flight_request.incarnation,
+                keys: in_flight_request
+                    .keys
+                    .iter()
+                    .take(MAX_COLD_KEYS)
+                    .copied()
+                    .collect(),
             })
         });
         digest.cold = cold.collect();
@@ -375,7 +385,7 @@
     }
 
     fn warmth(&self, now: Moment) -> Warmth {
-        let mut left = WARM_KEYS;
+        let mut left = MAX_WARM_KEYS;
         let engines = self.engines.iter().filter(|(_, e)| e.newest.is_some());
         let caches = engines.map(|(_, engine)| {
             let mut keys = self.index.keys(engine.slot, now);
--- a/crates/sesamegap-policy/src/placing/turns.rs
+++ b/crates/sesamegap-policy/src/placing/priority_waits.rs
@@ -9,44 +9,44 @@
 use rustc_hash::FxHashMap;
 
 /// Seconds of trust in the sum before anything was seen.
-const PRIOR: f64 = 2.0;
+const PRIOR_SECONDS: f64 = 2.0;
 
 /// What is kept of the past at each answer: about the last 64 count.
-const KEPT: f64 = 63.0 / 64.0;
+const DECAY: f64 = 63.0 / 64.0;
 
 /// Bounds of the learned part.
-const BOUNDS: (f64, f64) = (0.05, 1.5);
+const FRACTION_BOUNDS: (f64, f64) = (0.05, 1.5);
 
 /// Priorities that there may be: the settings' numbers are small.
-const MOST: usize = 64;
+const MAX_PRIORITIES: usize = 64;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct Observed {
     waited: f64,
-    foretold: f64,
+    predicted: f64,
 }
 
 /// Parts of the backlog that priorities wait for.
 #[derive(Debug, Default)]
-pub struct Turns {
-    seen: FxHashMap<u8, Seen>,
+pub struct PriorityWaits {
+    seen: FxHashMap<u8, Observed>,
 }
 
-impl Turns {
+impl PriorityWaits {
     /// Learns from one answer, in seconds.
-    pub fn learn(&mut self, priority: u8, waited: f64, foretold: f64) {
-        if self.seen.len() >= MOST && !self.seen.contains_key(&priority) {
+    pub fn learn(&mut self, priority: u8, waited: f64, predicted: f64) {
+        if self.seen.len() >= MAX_PRIORITIES && !self.seen.contains_key(&priority) {
             return;
         }
         let seen = self.seen.entry(priority).or_default();
-        seen.waited = seen.waited * KEPT + waited.max(0.0);
-        seen.foretold = seen.foretold * KEPT + foretold.max(0.0);
+        seen.waited = seen.waited * DECAY + waited.max(0.0);
+        seen.predicted = seen.predicted * DECAY + predicted.max(0.0);
     }
 
     /// Part of the backlog that a priority waits for.
-    pub fn part(&self, priority: u8) -> f64 {
+    pub fn wait_fraction(&self, priority: u8) -> f64 {
         let seen = self.seen.get(&priority).copied().unwrap_or_default();
-        let part = (seen.waited + PRIOR) / (seen.foretold + PRIOR);
-        part.clamp(BOUNDS.0, BOUNDS.1)
+        let wait_fraction = (seen.waited + PRIOR_SECONDS) / (seen.predicted + PRIOR_SECONDS);
+        wait_fraction.clamp(FRACTION_BOUNDS.0, FRACTION_BOUNDS.1)
     }
 }
--- a/crates/sesamegap-policy/src/placing/ring.rs
+++ b/crates/sesamegap-policy/src/placing/ring.rs
@@ -10,13 +10,13 @@
 use sesamegap_wire::{BlockKey, UpstreamId};
 
 /// Points of an engine of ordinary weight: shares then vary by about an eighth.
-const POINTS: f64 = 64.0;
+const POINTS_PER_WEIGHT: f64 = 64.0;
 
 /// Probes without a new engine after which the walk ends; most engines are then met.
-const PATIENCE: usize = 32;
+const MAX_REPEATED_PROBES: usize = 32;
 
 /// Step of a Weyl sequence: the golden ratio in 64 bits.
-const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+const WEYL_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// An engine's number in this router's tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -60,7 +60,7 @@
 /// Where on the ring a key probes for the nth time.
 pub fn place(key: BlockKey, nth: u64) -> u64 {
     let upper = u64::try_from(key.0 >> 64).unwrap_or(0);
-    mix(upper.wrapping_add((nth + 1).wrapping_mul(STEP)))
+    mix(upper.wrapping_add((nth + 1).wrapping_mul(WEYL_STEP)))
 }
 
 impl Ring {
@@ -81,10 +81,10 @@
         }
         self.bits[word] |= 1 << (no.at() % 64);
         // A lone point at least, so that the smallest engine still gets work.
-        let mut left = (POINTS * weight).round().max(1.0);
+        let mut left = (POINTS_PER_WEIGHT * weight).round().max(1.0);
         let mut at = seed;
         while left > 0.0 {
-            at = at.wrapping_add(STEP);
+            at = at.wrapping_add(WEYL_STEP);
             self.points.push((mix(at), no));
             left -= 1.0;
         }
@@ -159,7 +159,7 @@
         let most = most.min(self.members.len());
         let mut misses = 0;
         let mut probes = 0;
-        while found.len() < most && misses < PATIENCE {
+        while found.len() < most && misses < MAX_REPEATED_PROBES {
             let no = self.successor(place(key, probes));
             probes += 1;
             if found.contains(&no) {
--- a/crates/sesamegap-policy/src/placing/ticks.rs
+++ b/crates/sesamegap-policy/src/placing/ticks.rs
@@ -6,14 +6,14 @@
 const TICK_MICROS: u64 = 125_000;
 
 /// Ticks are kept in 15 bits, the sixteenth tells a confirmed holding.
-pub(super) const TICKS: u16 = 0x7fff;
+pub(super) const TICK_MASK: u16 = 0x7fff;
 
 pub(super) fn tick(now: Moment) -> u16 {
-    u16::try_from((now.0 / TICK_MICROS) & u64::from(TICKS)).unwrap_or(0)
+    u16::try_from((now.0 / TICK_MICROS) & u64::from(TICK_MASK)).unwrap_or(0)
 }
 
 pub(super) fn ticks_since(now: u16, then: u16) -> u16 {
-    now.wrapping_sub(then) & TICKS
+    now.wrapping_sub(then) & TICK_MASK
 }
 
 pub(super) fn seconds(ticks: u16) -> f64 {
