--- a/crates/sesamegap-policy/src/placing/backlog.rs
+++ b/crates/sesamegap-policy/src/placing/backlog.rs
@@ -1,19 +1,20 @@
-//! How many prompt tokens wait on an engine, seen through late reports.
+//! Estimate of the prompt tokens waiting on an engine, based on delayed reports.
 //!
-//! A report says what waited some time ago. Since then this router has sent more, which it knows
-//! exactly, and the engine has worked some off, which follows from its speed; so the report is
-//! replayed up to now. What peers have sent since is in no report: their digests say how much of
-//! their work has had no first token yet. The larger of the two views counts, because the harm of
-//! an engine taken for idle, on which all routers then pile up, is worse than that of one passed over.
+//! A load report describes the queue at an earlier time. Since then this router has sent more
+//! tokens, which it knows exactly, and the engine has processed some, which follows from its speed,
+//! so the report is replayed up to the present. Requests that peers sent since the report are
+//! missing from it; their digests tell how many tokens have no first token yet. The larger of the
+//! two estimates is used: if a busy engine is taken for idle, all routers send to it at once, which
+//! does more harm than passing over an idle one.
 
 use sesamegap_wire::{Moment, Tokens};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Dispatches remembered for the replay: more than one router sends between two reports.
+/// Dispatches kept for the replay; one router sends fewer than this between two reports.
 const MAX_REPLAYED: usize = 128;
 
-/// A fluid queue that drains at the engine's speed.
+/// A queue modeled as a fluid that drains at the engine's speed.
 #[derive(Debug, Clone, Copy, Default)]
 struct Queue {
     tokens: f64,
@@ -32,25 +33,26 @@
     }
 }
 
-/// What waits on one engine.
+/// Estimated prompt tokens waiting on one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Backlog {
     queue: Queue,
     sent: VecDeque<(Moment, f64)>,
-    /// Own tokens without a first token of their answer.
+    /// Tokens sent by this router whose requests have produced no first token yet.
     own: f64,
     peers: f64,
     peers_at: Moment,
 }
 
 impl Backlog {
-    /// Forgets what a former life of the engine had; own requests there are settled one by one.
+    /// Clears the queue of a previous incarnation. This router's own requests there are settled one by
+    /// one as they end.
     pub fn restart(&mut self) {
         self.queue = Queue::default();
         self.sent.clear();
     }
 
-    /// Takes a report of what waited at a moment.
+    /// Replaces the estimate by a report of the tokens waiting at `as_of`, then replays later dispatches.
     pub fn report(&mut self, waiting: Tokens, as_of: Moment, seconds_per_token: f64) {
         while self.sent.front().is_some_and(|(sent, _)| *sent <= as_of) {
             self.sent.pop_front();
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Books tokens that are now sent.
+    /// Adds tokens that this router has just sent.
     pub fn send(&mut self, tokens: Tokens, now: Moment, seconds_per_token: f64) {
         let tokens = tokens.0 as f64;
         self.queue.add(tokens, now, seconds_per_token);
@@ -75,35 +77,35 @@
         self.sent.push_back((now, tokens));
     }
 
-    /// Takes back a booking: its first token came, or it is over.
+    /// Removes tokens whose request produced its first token or ended.
     pub fn settle(&mut self, tokens: Tokens) {
         self.own = (self.own - tokens.0 as f64).max(0.0);
     }
 
-    /// Corrects a booking by what the engine found in its cache.
+    /// Adjusts the tokens of one request after the engine has looked up its cache.
     pub fn correct(&mut self, booked: Tokens, found: Tokens) {
         let change = found.0 as f64 - booked.0 as f64;
         self.own = (self.own + change).max(0.0);
         self.queue.tokens = (self.queue.tokens + change).max(0.0);
     }
 
-    /// Sets what all peers together have waiting.
+    /// Sets the tokens that all peers together have waiting on the engine.
     pub fn peers(&mut self, tokens: f64, now: Moment) {
         self.peers = tokens.max(0.0);
         self.peers_at = now;
     }
 
-    /// Own tokens without a first token.
+    /// Tokens sent by this router whose requests have produced no first token yet.
     pub fn own(&self) -> Tokens {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "kept at zero or more, and far below the largest whole number"
+            reason = "never negative, and far below `u64::MAX`"
         )]
         Tokens(self.own as u64)
     }
 
-    /// Time until all that waits now is computed.
+    /// Estimated time until the engine has computed all tokens now waiting.
     pub fn wait(&self, now: Moment, seconds_per_token: f64) -> Duration {
         let replayed = self.queue.remaining(now, seconds_per_token);
         let peers = Queue {
--- a/crates/sesamegap-policy/src/placing/builder.rs
+++ b/crates/sesamegap-policy/src/placing/builder.rs
@@ -1,4 +1,4 @@
-//! Builds the placer that routers use.
+//! Builder for the placer that routers use.
 
 use super::candidates::Candidates;
 use super::engines::Engines;
@@ -12,11 +12,11 @@
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{DomainId, Moment};
 
-/// Blocks remembered at most: a daemon's share of 120 million blocks over 340 daemons, and half
-/// as many again for an uneven share; at 57 bytes each that is 30 MB.
+/// Default limit on indexed blocks: one daemon's share of 120 million blocks over 340 daemons, plus
+/// half as many again for uneven shares. At 57 bytes per block this takes 30 MB.
 const DEFAULT_MAX_BLOCKS: usize = 530_000;
 
-/// Gathers what a placer needs.
+/// Builder for [`PrefixPlacer`].
 #[derive(Debug)]
 pub struct PrefixBuilder {
     domain: DomainId,
@@ -24,7 +24,7 @@
 }
 
 impl PrefixBuilder {
-    /// Starts with the router's failure domain.
+    /// Creates a builder for a router in the given failure domain.
     pub fn new(domain: DomainId) -> Self {
         Self {
             domain,
@@ -32,14 +32,14 @@
         }
     }
 
-    /// Sets how many blocks are remembered at most.
+    /// Sets the maximum number of blocks in the index.
     #[must_use]
     pub fn blocks(mut self, most: usize) -> Self {
         self.blocks = most;
         self
     }
 
-    /// Makes the placer.
+    /// Builds the placer.
     pub fn build(self) -> PrefixPlacer {
         PrefixPlacer {
             domain: self.domain,
--- a/crates/sesamegap-policy/src/placing/candidates.rs
+++ b/crates/sesamegap-policy/src/placing/candidates.rs
@@ -1,9 +1,9 @@
-//! The handful of engines weighed for one request.
+//! Selects the few engines that are compared for one request.
 //!
-//! Engines to which the request may not go are left out here and take no candidate's place. Struck
-//! out of the handful afterwards, they could be all of it, and an answer whose engine had crashed
-//! ended in the middle though another engine was idle: of two engines, one draw in four picked the
-//! barred one twice.
+//! Excluded engines are filtered out during selection, so that they do not use up candidate slots.
+//! When they were removed after selection, no candidate could remain: with two engines, one draw in
+//! four picked the excluded engine twice, and a streamed answer whose engine had crashed ended
+//! early although the other engine was idle.
 
 use super::Ask;
 use super::engines::Engines;
@@ -13,40 +13,40 @@
 use super::ring::{EngineNo, Ring};
 use sesamegap_wire::Moment;
 
-/// Holders weighed, those of the longest prefixes.
+/// Maximum number of candidates taken for holding the longest prefixes.
 const MAX_HOLDERS: usize = 6;
 
-/// Members of the home set weighed.
+/// Maximum number of candidates taken from the home set.
 const MAX_HOMES: usize = 6;
 
-/// An engine to weigh.
+/// An engine considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// The engine.
     pub engine: EngineNo,
-    /// Leading blocks it is believed to hold.
+    /// Leading blocks of the prompt that its cache is believed to hold.
     pub blocks: u16,
-    /// Place in the home set, beyond its end if it is not in it; slow engines before it count for
-    /// less than a place.
+    /// Rank in the home set, or the rank past the end if the engine is not a member. A slow engine
+    /// ahead of it adds less than one to the rank.
     pub rank: f64,
 }
 
-/// Gathers candidates into buffers that are used again.
+/// Selects candidates, reusing its buffers between requests.
 #[derive(Debug, Default)]
 pub struct Candidates {
-    /// What was gathered last.
+    /// Candidates for the latest request.
     pub found: Vec<Candidate>,
     depths: Vec<Depth>,
     homes: Vec<EngineNo>,
-    /// Rank of each home, and of all other engines at the end.
+    /// Rank of each member of the home set; the last entry is the rank of all other engines.
     ranks: Vec<f64>,
     finder: Homes,
-    /// Engines that the request may not go to.
+    /// Engines excluded for this request.
     barred: Vec<EngineNo>,
 }
 
 impl Candidates {
-    /// Gathers for a request; `false` if no engine that it may go to holds its weights.
+    /// Selects candidates for a request; returns `false` if no permitted engine has its weights loaded.
     pub fn gather(
         &mut self,
         ask: &Ask<'_>,
@@ -75,10 +75,10 @@
         !self.found.is_empty()
     }
 
-    /// Ranks the homes by their places.
+    /// Computes the ranks of the home set's members, weighted by health.
     ///
-    /// Load: the first home of a prefix has become slow. Harm prevented: work that stays there
-    /// because it is the first home; as an engine slows down, its place smoothly goes to the next.
+    /// Without the weighting, a prefix would stay with its first home after that engine has become
+    /// slow. As an engine slows down, the next member gradually takes over its rank.
     fn rank_homes(&mut self, engines: &Engines, now: Moment) {
         self.ranks.clear();
         let mut rank = 0.0;
@@ -90,7 +90,7 @@
         self.ranks.push(rank);
     }
 
-    /// What is known of any engine for the request gathered for last.
+    /// Describes any engine as a candidate for the latest request.
     pub fn describe(&self, no: EngineNo, engines: &Engines) -> Option<Candidate> {
         let slot = engines.get(no)?.slot;
         let depth = self.depths.iter().find(|d| d.slot == slot);
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Adds the holders of the longest prefixes, ties in an order that each request draws anew.
+    /// Adds the holders of the longest prefixes; ties are ordered at random for each request.
     fn add_holders(&mut self, ring: &Ring, engines: &Engines, draw: u64) {
         let turn = usize::try_from(draw >> 32).unwrap_or(0) % self.depths.len().max(1);
         self.depths.rotate_left(turn);
--- a/crates/sesamegap-policy/src/placing/choose.rs
+++ b/crates/sesamegap-policy/src/placing/choose.rs
@@ -1,4 +1,4 @@
-//! Weighing the candidates and picking one.
+//! Compares the candidates for a request and picks one.
 
 use super::candidates::Candidate;
 use super::cost::{CostEstimate, tie_limit};
@@ -10,29 +10,30 @@
 use sesamegap_wire::{Moment, Tokens};
 use std::time::Duration;
 
-/// Blocks to compute from which a request is a cold prefill.
+/// Number of uncached blocks from which a request counts as a cold prefill.
 pub(super) const MIN_COLD_BLOCKS: u64 = 4;
 
-/// Own cold prefills on one engine at a time: one is computed, one waits, the rest go elsewhere.
+/// Maximum number of this router's cold prefills on one engine: one being computed and one waiting.
 ///
-/// Load: an engine comes back empty and is first home to many hot prefixes. Without a limit all
-/// routers would fill its queue with long prefills, and short requests behind them would be late.
+/// An engine that restarts with an empty cache may be the first home of many hot prefixes. Without
+/// a limit all routers would fill its queue with long prefills and delay short requests behind them.
 const MAX_COLD_PREFILLS: u32 = 2;
 
-/// Seconds that waiting for room must save: less is lost in the estimates.
+/// Minimum saving in seconds for which a request waits for room; the estimates are not accurate
+/// enough for smaller differences.
 const MIN_SAVED_SECONDS: f64 = 0.05;
 
-/// Longest wait for room told at a time, in seconds.
+/// Longest wait for room returned to the caller of the placer, in seconds.
 const MAX_ROOM_WAIT: f64 = 1.0;
 
-/// Candidates with their costs.
+/// Candidates with their estimated costs.
 #[derive(Debug)]
 pub(super) struct ScoredCandidates {
-    /// Those with room.
+    /// Candidates that have room.
     available: Vec<(f64, EngineNo, CostEstimate)>,
-    /// Least cost with room.
+    /// Lowest cost among the candidates that have room.
     lowest_available: f64,
-    /// Least cost without room, and the shortest wait there.
+    /// Lowest cost among the candidates without room, and the shortest wait for one of them.
     lowest_full: f64,
     wait: f64,
 }
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Weighs the candidates; those over the cap on cold prefills only if `over` allows.
+    /// Estimates the candidates' costs. Engines at the limit of cold prefills are considered for another
+    /// one only if `allow_excess_cold` is set.
     pub(super) fn weigh(
         &self,
         ask: &Ask<'_>,
@@ -116,7 +118,7 @@
                 scored.available.push((cost, found.engine, estimate));
                 scored.lowest_available = scored.lowest_available.min(cost);
             } else if !engine.stalled(now) {
-                // Room comes when own work is done, whatever the request's priority.
+                // Room becomes free when this router's own requests there are done, whatever the priority.
                 let own = engine.backlog.own().0 as f64 * estimate.per_token;
                 scored.lowest_full = scored
                     .lowest_full
@@ -127,11 +129,11 @@
         scored
     }
 
-    /// Picks among what was weighed.
+    /// Picks the cheapest candidate, with ties broken at random, or asks the caller to wait.
     ///
-    /// Load: an engine that holds a dossier has its window full for a moment. Harm prevented: the
-    /// whole dossier computed again on an engine that happens to have room; so the request waits
-    /// here where that is cheaper, unless the engine shows no progress.
+    /// If the engine that holds a dossier has a full window for a moment, waiting for it can be cheaper
+    /// than computing the whole dossier again on an engine with room. The request then waits, unless
+    /// the engine that holds it makes no progress.
     pub(super) fn choose(
         &self,
         ask: &Ask<'_>,
--- a/crates/sesamegap-policy/src/placing/cost.rs
+++ b/crates/sesamegap-policy/src/placing/cost.rs
@@ -1,71 +1,72 @@
-//! What it costs to answer a request on one engine, in seconds.
+//! Cost model: estimated cost, in seconds, of answering a request on one engine.
 //!
-//! The cost is the wait until the engine turns to the request, plus the time to compute what its
-//! cache lacks, which counts `thrift` times: computing a block again also holds up the requests
-//! behind, the more of them the longer the queue. Blocks that must be evicted for it cost more
-//! where the cache is under pressure, that is, where blocks are evicted soon after their last use;
-//! so memory fills evenly, whatever the hashing. Each place down the home set costs more too, so
-//! that routers which know nothing of each other's dispatches still send a cold prefix to the same
-//! engine. A slow engine costs by its slowness, another failure domain its round trip.
+//! The cost is the queueing delay plus the time to compute the uncached tokens. The computing time
+//! is weighted by `thrift`, because recomputing a block also delays the requests queued behind it,
+//! and more of them the longer the queue. Evictions add cost in proportion to cache pressure, that
+//! is, how soon after their last use blocks are evicted, so that memory fills evenly whatever the
+//! hashing. Each rank in the home set adds cost, so that routers unaware of each other's dispatches
+//! still send a cold prefix to the same engine. A slow engine costs extra in proportion to its
+//! slowness, and one in another failure domain costs a round trip.
 
 use sesamegap_wire::Tokens;
 
-/// Slowness that counts as ordinary for uneven hardware.
+/// Slowness up to which an engine is treated as normal, since the hardware is uneven.
 pub const SLOWNESS_THRESHOLD: f64 = 1.5;
 
-/// Slowness beyond which an engine is no worse.
+/// Slowness above the threshold beyond which the cost no longer grows.
 const MAX_SLOWNESS_EXCESS: f64 = 8.0;
 
-/// Seconds that each unit of slowness costs.
+/// Cost in seconds per unit of slowness above the threshold.
 const SECONDS_PER_SLOWNESS: f64 = 1.0;
 
-/// Part of evicted blocks that will be computed again, under the usual pressure.
+/// Fraction of evicted blocks expected to be recomputed at typical cache pressure.
 const RECOMPUTED_FRACTION: f64 = 1.0;
 
-/// Requests held up per second of queue, by each second computed.
+/// Requests delayed by each second of computing, per second of queue.
 const DELAYED_PER_SECOND: f64 = 0.5;
 
-/// Part of the cost of missing tokens that each place down the home set adds: as much again, so
-/// that only a queue longer than the computing itself sends a cold prefix to its second home.
+/// Cost added by each rank in the home set, as a fraction of the cost of computing the missing
+/// tokens. At 1.0, a cold prefix moves to its second home only if the queue at the first is longer
+/// than the computation itself.
 const COST_PER_RANK: f64 = 1.0;
 
-/// Seconds that a round trip to another failure domain adds.
+/// Round-trip time to another failure domain, in seconds.
 const CROSS_DOMAIN_SECONDS: f64 = 0.003;
 
-/// Costs within this part of the best are alike.
+/// Costs within this fraction of the lowest one are ties.
 const TIE_FRACTION: f64 = 0.02;
 
-/// Costs within so many seconds of the best are alike; estimates are no better.
+/// Costs within this many seconds of the lowest one are ties, as the estimates are no more accurate.
 const TIE_SECONDS: f64 = 0.002;
 
-/// One engine's offer to answer a request.
+/// Inputs to the cost of answering a request on one engine.
 #[derive(Debug, Clone, Copy)]
 pub struct CostEstimate {
-    /// Seconds until the engine turns to it.
+    /// Seconds until the engine starts on the request.
     pub wait: f64,
-    /// Prompt tokens to compute.
+    /// Prompt tokens that the engine must compute.
     pub missing: Tokens,
-    /// Seconds a token takes there.
+    /// Seconds per token on this engine.
     pub per_token: f64,
-    /// Its seconds per token in relation to the fleet's.
+    /// Seconds per token relative to the fleet's typical value.
     pub slowness: f64,
-    /// Part of the missing blocks for which others are evicted.
+    /// Fraction of the missing blocks that evict other blocks.
     pub eviction_fraction: f64,
-    /// Pressure on the cache: 1 where blocks are evicted at the age typical of the fleet.
+    /// Cache pressure: 1 if blocks are evicted at the age typical of the fleet.
     pub pressure: f64,
-    /// Place in the home set, beyond its end if the engine is not in it.
+    /// Rank in the home set, or the rank past the end if the engine is not a member.
     pub rank: f64,
-    /// Whether it stands in another failure domain.
+    /// Whether the engine is in another failure domain.
     pub cross_domain: bool,
 }
 
 impl CostEstimate {
-    /// Seconds to the first token.
+    /// Estimated seconds to the first token.
     pub fn first_token(&self) -> f64 {
         self.wait + self.missing.0 as f64 * self.per_token
     }
 
-    /// Cost in seconds for a class that weighs a recomputed token `thrift` times.
+    /// Cost in seconds for a class that weights the time to compute tokens by `thrift`.
     pub fn cost(&self, thrift: f64) -> f64 {
         let queueing = 1.0 + DELAYED_PER_SECOND * self.wait;
         let compute = self.missing.0 as f64 * self.per_token * thrift.max(1.0) * queueing;
@@ -82,7 +83,7 @@
     }
 }
 
-/// Highest cost that counts as like the best.
+/// Highest cost that still ties with the lowest one.
 pub fn tie_limit(best: f64) -> f64 {
     best * (1.0 + TIE_FRACTION) + TIE_SECONDS
 }
--- a/crates/sesamegap-policy/src/placing/dump.rs
+++ b/crates/sesamegap-policy/src/placing/dump.rs
@@ -1,13 +1,13 @@
-//! The placer's state as an operator reads it.
+//! JSON dump of the placer's state for operators.
 
 use super::engines::Engine;
 use super::prefix::PrefixPlacer;
 use sesamegap_wire::Moment;
 
-/// Engines described at most, so that a dump of a large fleet stays readable.
+/// Maximum number of engines listed, to keep the dump of a large fleet readable.
 const MAX_SHOWN: usize = 200;
 
-/// Describes the state.
+/// Renders the placer's state as JSON.
 pub(super) fn describe(placer: &PrefixPlacer, now: Moment) -> serde_json::Value {
     let shown = placer.engines.iter().take(MAX_SHOWN);
     let engines: Vec<_> = shown.map(|(_, e)| engine(placer, e, now)).collect();
