--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -1,7 +1,7 @@
-//! The engines in use and what each has said of itself.
+//! The engines in use and the latest state reported by each.
 //!
-//! An engine may be chosen only while the list names it, it is not leaving, its last report
-//! shows the weights, and nothing has failed there since that report.
+//! An engine is eligible only if it is listed and not leaving, its latest report shows the model
+//! version as loaded, and no failure was seen since that report.
 
 use super::backlog::Backlog;
 use super::cost::SLOWNESS_THRESHOLD;
@@ -12,72 +12,72 @@
 use sesamegap_wire::engine::{EngineEntry, LoadReport};
 use sesamegap_wire::{DomainId, Incarnation, ModelId, Moment, UpstreamId, WeightsVersion};
 
-/// Cache size of an engine of ordinary weight, in blocks, until reports tell.
+/// Cache size, in blocks, of an engine with a ring weight of 1; assumed until an engine has reported.
 const DEFAULT_CAPACITY: f64 = 256.0;
 
-/// Seconds without progress that are nothing unusual, beside the time to compute what was sent:
-/// peers' work may go first.
+/// Seconds without progress allowed beyond the time to compute this router's own requests, because
+/// the engine may compute peers' requests first.
 const PROGRESS_GRACE: f64 = 2.0;
 
-/// Bounds of the pressure on a cache: ages are learned from few evictions.
+/// Bounds of cache pressure, as eviction ages are learned from few evictions.
 const PRESSURE_BOUNDS: (f64, f64) = (0.25, 4.0);
 
-/// Bounds of an engine's weight: reports may be wrong, and one engine must not draw all keys.
+/// Bounds of an engine's ring weight. Reports may be wrong, and one engine must not attract all keys.
 const WEIGHT_BOUNDS: (f64, f64) = (0.25, 4.0);
 
-/// Weight of a new answer in the share of mistakes: about the last eight count.
+/// Weight of a new sample in the misprediction rate, which covers about the last eight answers.
 const MISTAKE_GAIN: f64 = 0.125;
 
-/// Share of mistakes from which entries are in doubt although no event seems lost.
+/// Misprediction rate above which index entries are in doubt even though no event gap was seen.
 const MISTAKE_THRESHOLD: f64 = 0.4;
 
-/// An engine as this router knows it.
+/// State of one engine as known to this router.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its name.
+    /// Engine identifier.
     pub id: UpstreamId,
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub domain: DomainId,
-    /// A number for hashing that is the same in every router.
+    /// Hash seed, the same in every router.
     pub seed: u64,
-    /// Where its cache stands in the index.
+    /// Slot of its cache in the index.
     pub slot: Slot,
-    /// Whether the list says that it leaves.
+    /// Whether the list of engines marks it as leaving.
     pub leaving: bool,
-    /// Its last report.
+    /// Latest load report.
     pub report: Option<LoadReport>,
-    /// Its present life.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Whether something failed there since its last report.
+    /// Whether a failure was seen since its latest report.
     pub suspect: bool,
-    /// Number of the newest cache event taken in.
+    /// Sequence number of the latest cache event applied.
     pub newest: Option<u64>,
-    /// When a listing was last asked for.
+    /// When a listing was last requested.
     pub listing_requested: Option<Moment>,
-    /// Whether a listing is wanted.
+    /// Whether index entries are in doubt until a listing arrives.
     pub needs_listing: bool,
-    /// Own long prefills under way.
+    /// Number of this router's cold prefills in progress.
     pub cold: u32,
-    /// Own requests that are being computed.
+    /// Number of this router's requests being computed.
     pub computing: u32,
-    /// How often its cache fell short of what was believed, lately.
+    /// Recent rate at which its cache held less than predicted.
     pub mistakes: f64,
-    /// When an own request there last showed progress.
+    /// When one of this router's requests there last made progress.
     pub last_progress: Moment,
-    /// What waits there.
+    /// Estimated tokens waiting there.
     pub backlog: Backlog,
-    /// How fast it computes.
+    /// Learned prefill speed.
     pub speed: Speed,
 }
 
 impl Engine {
-    /// Learns whether its cache fell short of what was believed.
+    /// Records whether its cache held less than predicted.
     pub fn record_prediction(&mut self, overestimated: bool) {
         let seen = if overestimated { 1.0 } else { 0.0 };
         self.mistakes += (seen - self.mistakes) * MISTAKE_GAIN;
     }
 
-    /// Whether what is believed of it is mostly wrong; true once for each such finding.
+    /// Whether the misprediction rate exceeds the threshold; resets the rate if so.
     pub fn take_mistaken(&mut self) -> bool {
         let take_mistaken = self.mistakes > MISTAKE_THRESHOLD;
         if take_mistaken {
@@ -86,10 +86,11 @@
         take_mistaken
     }
 
-    /// Seconds by which own requests there are overdue.
+    /// Seconds by which this router's requests there are overdue.
     ///
-    /// A silent engine's backlog seems to drain by the clock, so it would look idle and draw all
-    /// requests for what it holds until the silence limit ends the first of them.
+    /// The estimated backlog of an engine that makes no progress still drains with time. Without
+    /// this penalty the engine would look idle and attract all requests for the blocks it holds,
+    /// until the silence limit ends the first of them.
     pub fn overdue_seconds(&self, now: Moment) -> f64 {
         let own = self.backlog.own().0 as f64;
         if own <= 0.0 {
@@ -100,12 +101,12 @@
         (now.since(self.last_progress).as_secs_f64() - allowed).max(0.0)
     }
 
-    /// Whether own requests there are overdue.
+    /// Whether this router's requests there are overdue.
     pub fn stalled(&self, now: Moment) -> bool {
         self.overdue_seconds(now) > 0.0
     }
 
-    /// Blocks that its cache can hold.
+    /// Capacity of its cache in blocks.
     pub fn capacity(&self) -> u64 {
         self.report.as_ref().map_or(0, |r| r.capacity)
     }
@@ -120,25 +121,25 @@
             .report
             .as_ref()
             .map_or(DEFAULT_CAPACITY, |r| r.capacity as f64);
-        // Quarters, so that a small change of a report moves no keys.
+        // Rounded to quarters, so that a small change in a report moves no keys.
         let quarters = (blocks / DEFAULT_CAPACITY * 4.0).round() / 4.0;
         quarters.clamp(WEIGHT_BOUNDS.0, WEIGHT_BOUNDS.1)
     }
 }
 
-/// All engines, by number.
+/// All known engines, indexed by number.
 #[derive(Debug)]
 pub struct Engines {
     all: Vec<Option<Engine>>,
-    /// Seeds by number, close together: a home set reads many of them.
+    /// Seeds by number, stored contiguously because finding a home set reads many of them.
     seeds: Vec<u64>,
     numbers: FxHashMap<UpstreamId, EngineNo>,
-    /// The engine of each slot, by the slot's number.
+    /// Engine of each slot, indexed by slot number.
     by_slot: Vec<Option<EngineNo>>,
     rings: FxHashMap<ModelId, Vec<(WeightsVersion, Ring)>>,
-    /// Seconds a token takes on the middle engine.
+    /// Median seconds per token over the engines.
     pub typical: f64,
-    /// Mean age at which engines evict.
+    /// Mean eviction age over the engines.
     typical_age: f64,
 }
 
@@ -157,7 +158,7 @@
 }
 
 impl Engines {
-    /// Takes the list of engines in place of the former one; gives the numbers that are gone.
+    /// Replaces the list of engines; returns the numbers of those removed.
     pub fn list(&mut self, entries: &[EngineEntry], index: &mut Index) -> Vec<EngineNo> {
         let listed: FxHashMap<_, _> = entries.iter().map(|e| (&e.id, e)).collect();
         let gone = self.iter().filter(|(_, e)| !listed.contains_key(&e.id));
@@ -181,7 +182,7 @@
         gone
     }
 
-    /// Takes an engine's report of itself.
+    /// Applies an engine's load report.
     pub fn report(&mut self, no: EngineNo, report: &LoadReport, now: Moment, index: &mut Index) {
         self.observe_incarnation(no, report.incarnation, index);
         let typical = self.typical;
@@ -200,7 +201,7 @@
         self.update_rings(no);
     }
 
-    /// Notes the life an engine is in; a new one has an empty cache.
+    /// Records the engine's incarnation; a new incarnation starts with an empty cache.
     pub fn observe_incarnation(
         &mut self,
         no: EngineNo,
@@ -215,7 +216,7 @@
         }
         engine.incarnation = incarnation;
         engine.backlog.restart();
-        // What the former life had loaded says nothing of this one.
+        // The models loaded by the previous incarnation may not be loaded now.
         engine.report = None;
         engine.speed = Speed::default();
         engine.newest = None;
@@ -227,7 +228,7 @@
         self.update_rings(no);
     }
 
-    /// Notes that an engine failed, so that nothing goes there until it reports again.
+    /// Marks an engine as failed, so that no request is sent to it until it reports again.
     pub fn mark_failed(&mut self, no: EngineNo) {
         if let Some(engine) = self.get_mut(no) {
             engine.suspect = true;
@@ -235,7 +236,7 @@
         self.update_rings(no);
     }
 
-    /// Gives an engine's cache another slot.
+    /// Moves an engine's cache to another slot.
     pub fn reslot(&mut self, no: EngineNo, slot: Slot) {
         let Some(engine) = self.get_mut(no) else {
             return;
@@ -253,50 +254,50 @@
         self.by_slot[slot.at()] = Some(no);
     }
 
-    /// The number of an engine.
+    /// Looks up an engine's number by its identifier.
     pub fn number(&self, id: &UpstreamId) -> Option<EngineNo> {
         self.numbers.get(id).copied()
     }
 
-    /// The engine whose cache has a slot.
+    /// Returns the engine whose cache uses a slot.
     pub fn engine_at_slot(&self, slot: Slot) -> Option<EngineNo> {
         self.by_slot.get(slot.at()).copied().flatten()
     }
 
-    /// An engine by its number.
+    /// Returns an engine by its number.
     pub fn get(&self, no: EngineNo) -> Option<&Engine> {
         self.all.get(no.at())?.as_ref()
     }
 
-    /// An engine by its number, to change.
+    /// Returns an engine by its number, mutably.
     pub fn get_mut(&mut self, no: EngineNo) -> Option<&mut Engine> {
         self.all.get_mut(no.at())?.as_mut()
     }
 
-    /// A number for hashing that an engine has in every router.
+    /// Hash seed of an engine, the same in every router.
     pub fn seed(&self, no: EngineNo) -> u64 {
         self.seeds.get(no.at()).copied().unwrap_or(0)
     }
 
-    /// All engines with their numbers.
+    /// Iterates over all engines and their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (EngineNo, &Engine)> {
         let all = self.all.iter().enumerate();
         all.filter_map(|(at, e)| Some((EngineNo(u16::try_from(at).ok()?), e.as_ref()?)))
     }
 
-    /// The ring of engines that hold some weights and take work.
+    /// Ring of the usable engines that have the given model version loaded; `None` if there are none.
     pub fn ring(&self, model: &ModelId, version: WeightsVersion) -> Option<&Ring> {
         let rings = self.rings.get(model)?;
         let (_, ring) = rings.iter().find(|(v, _)| *v == version)?;
         (!ring.is_empty()).then_some(ring)
     }
 
-    /// Seconds a token takes on an engine.
+    /// Estimated seconds per token on an engine.
     pub fn per_token(&self, engine: &Engine, now: Moment) -> f64 {
         engine.speed.per_token(self.typical, now)
     }
 
-    /// How far an engine counts as sound: 1 at an ordinary speed, less as it gets slower.
+    /// Health from 0 to 1: 1 at normal speed, decreasing as the engine becomes slower.
     pub fn health(&self, no: EngineNo, now: Moment) -> f64 {
         let Some(engine) = self.get(no) else {
             return 0.0;
@@ -305,12 +306,12 @@
         (1.0 + SLOWNESS_THRESHOLD - slowness).clamp(0.0, 1.0)
     }
 
-    /// How soon an engine evicts, that does so at some age, in relation to the others.
+    /// Cache pressure for an eviction age, relative to the mean over the engines.
     pub fn pressure(&self, age: f64) -> f64 {
         (self.typical_age / age.max(1.0)).clamp(PRESSURE_BOUNDS.0, PRESSURE_BOUNDS.1)
     }
 
-    /// Learns anew what speed and what eviction age are typical.
+    /// Recomputes the typical speed and eviction age.
     pub fn tend(&mut self, index: &Index, now: Moment) {
         let all = self.all.iter().flatten();
         self.typical = speed::typical(all.clone().map(|e| &e.speed), now);
@@ -371,7 +372,7 @@
         }
     }
 
-    /// Puts an engine on the rings of the weights it holds, and off all others.
+    /// Adds an engine to the rings of the model versions it has loaded and removes it from all others.
     fn update_rings(&mut self, no: EngineNo) {
         let Some(engine) = self.all.get(no.at()).and_then(Option::as_ref) else {
             return;
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -1,8 +1,9 @@
-//! Cache events and listings, taken into the index.
+//! Applies engines' cache events and listings to the index.
 //!
-//! Events of one life of an engine are numbered. A jump means that some were lost, which would
-//! show as requests placed on blocks that are gone; the engine's entries are then in doubt, and a
-//! listing is asked for. Listings are long, so they are asked for at a limited rate, per engine and in all.
+//! The events of one incarnation are numbered. A gap means that events were lost, and requests
+//! could be placed on blocks that were evicted; the engine's entries are then in doubt and a
+//! listing is requested. Listings are large, so requests for them are rate-limited, per engine and
+//! in total.
 
 use super::Need;
 use super::engines::{Engine, Engines};
@@ -13,23 +14,23 @@
 use sesamegap_wire::{Moment, UpstreamId};
 use std::time::Duration;
 
-/// Time between two listings of one engine: a few times an event's delay.
+/// Minimum time between two listings of one engine: a few times the delay of a cache event.
 const MIN_LISTING_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Keys taken in a second, by which listings are spaced: an index takes ten times as many in.
+/// Rate of listed keys by which listings are spaced; the index can insert ten times as many.
 const LISTING_KEYS_PER_SECOND: f64 = 500_000.0;
 
-/// Time between two looks for engines of which nothing is known.
+/// Interval between scans for engines whose cache contents are unknown.
 const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Takes in what engines tell of their caches.
+/// Applies cache events and listings, and limits the rate of listing requests.
 #[derive(Debug, Default)]
 pub struct Feed {
     next: Moment,
 }
 
 impl Feed {
-    /// Takes in a batch of events and says what is needed to trust the entries.
+    /// Applies a batch of events and returns what is needed before the entries can be trusted.
     pub fn events(
         &mut self,
         no: EngineNo,
@@ -52,7 +53,8 @@
             if engine.newest.is_some_and(|newest| *number <= newest) {
                 continue;
             }
-            // The first event of a life is number 1 or 0; any later one comes after others.
+            // The first event of an incarnation is number 0 or 1; a higher number means that events were
+            // missed.
             let next = engine.newest.map_or(1, |newest| newest + 1);
             if *number > next {
                 engine.needs_listing = true;
@@ -68,11 +70,11 @@
         Need::Nothing
     }
 
-    /// An engine of which a listing is wanted now, noted as asked.
+    /// Picks an engine to request a listing from now, and records the request.
     ///
-    /// Load: all routers restart together and know no cache. Harm prevented: dossiers computed
-    /// again that engines hold; so listings are asked for as soon as an engine has reported, the
-    /// small ones at once and the large ones one after another.
+    /// When all routers restart together, none knows the engines' caches, and dossiers that engines
+    /// hold would be computed again. Listings are therefore requested as soon as an engine has
+    /// reported: small ones at once, large ones one after another.
     pub fn wants(&mut self, engines: &mut Engines, now: Moment) -> Option<UpstreamId> {
         if now < self.next {
             return None;
@@ -102,7 +104,7 @@
         self.next = now + Duration::from_secs_f64(seconds.min(MIN_LISTING_INTERVAL.as_secs_f64()));
     }
 
-    /// Takes in a listing; `false` if it tells less than is known.
+    /// Applies a listing; returns `false` if it is older than the known state.
     pub fn listing(
         no: EngineNo,
         listing: &Listing,
@@ -125,7 +127,7 @@
         true
     }
 
-    /// Takes over what a peer believes of an engine of which nothing was heard.
+    /// Applies a peer's view of an engine's cache, unless this router has its own.
     pub fn warm(
         no: EngineNo,
         cache: &EngineCache,
--- a/crates/sesamegap-policy/src/placing/heat.rs
+++ b/crates/sesamegap-policy/src/placing/heat.rs
@@ -1,50 +1,50 @@
-//! How much work each prefix brings, in engines kept busy.
+//! Load of each prefix, measured in engines kept busy.
 //!
 //! A space-saving sketch keeps the hottest prefixes of this router's own traffic in bounded
-//! memory; peers' digests add theirs. A prefix's work is its requests a second times the seconds
-//! that one takes of an engine. Counts halve at a fixed pace, so that the set of a prefix gone
-//! cold shrinks, but only some time after it grew: that delay is the hysteresis which keeps a set
-//! from flapping at the edge of a size.
+//! memory, and peers' digests add theirs. The load of a prefix is its request rate times the engine
+//! seconds per request. Counts are halved at a fixed interval, so the home set of a prefix shrinks
+//! some time after its traffic ends. The delay is hysteresis that keeps a set from oscillating
+//! between two sizes.
 
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{BlockKey, Chain, Moment};
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// Prefixes counted; the hot ones of a router's share of 35,000 teams fit well.
+/// Maximum number of prefixes counted; enough for the hot ones of a router's share of 35,000 teams.
 const MAX_COUNTED: usize = 512;
 
-/// Prefixes named in a digest, which keeps it under a kilobyte.
+/// Maximum number of prefixes in a digest, which keeps it under a kilobyte.
 const MAX_DIGEST_PREFIXES: usize = 32;
 
-/// Time in which a count halves.
+/// Half-life of a count.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// A peer without a digest for this long has no traffic.
+/// A peer that sent no digest for this long is treated as having no traffic.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Peers whose digests are kept at most, as many as there may be routers.
+/// Maximum number of peers whose digests are kept, which is the largest number of routers.
 const MAX_PEERS: usize = 512;
 
-/// Weight of a new request in the learned seconds that one takes.
+/// Weight of a new sample in the learned service time.
 const SERVICE_TIME_GAIN: f64 = 1.0 / 64.0;
 
-/// A digest kept until its peer's next.
+/// Rates from a peer's latest digest.
 #[derive(Debug)]
 struct PeerHeat {
     at: Moment,
     rates: Vec<(BlockKey, f32)>,
 }
 
-/// Counts what each prefix asks of the engines.
+/// Tracks the load that each prefix puts on the engines.
 #[derive(Debug)]
 pub struct Heat {
     counts: FxHashMap<BlockKey, f64>,
     last_halved: Moment,
     peers: FxHashMap<SmolStr, PeerHeat>,
-    /// Peers' rates added up.
+    /// Sum of the peers' rates.
     peer_rates: FxHashMap<BlockKey, f32>,
-    /// Seconds that a request takes of an engine, learned.
+    /// Learned seconds of engine time per request.
     service_seconds: f64,
 }
 
@@ -55,7 +55,7 @@
             last_halved: Moment(0),
             peers: FxHashMap::default(),
             peer_rates: FxHashMap::default(),
-            // A guess until the first requests tell.
+            // Initial guess, until requests have been measured.
             service_seconds: 0.2,
         }
     }
@@ -75,7 +75,7 @@
         self.counts.insert(key, start);
     }
 
-    /// Counts a request for each nested prefix of its prompt.
+    /// Counts a request once for each nested prefix of its prompt.
     pub fn count_prefixes(&mut self, chain: &Chain) {
         for end in chain.levels.iter() {
             let at = usize::from(*end).checked_sub(1);
@@ -85,18 +85,18 @@
         }
     }
 
-    /// Learns the seconds that one request took of an engine.
+    /// Updates the learned service time with one request's seconds of engine time.
     pub fn took(&mut self, seconds: f64) {
         self.service_seconds += (seconds - self.service_seconds) * SERVICE_TIME_GAIN;
     }
 
-    /// Engines that a prefix keeps busy, over all routers.
+    /// Number of engines that a prefix keeps busy, over all routers.
     pub fn busy_engines(&self, key: BlockKey) -> f64 {
         let peer_rates = self.peer_rates.get(&key).copied().unwrap_or(0.0);
         (self.rate(key) + f64::from(peer_rates)) * self.service_seconds
     }
 
-    /// Halves the counts and forgets silent peers when it is time.
+    /// Halves the counts and removes timed-out peers once per half-life.
     pub fn tend(&mut self, now: Moment) {
         if now < self.last_halved + HALF_LIFE {
             return;
@@ -111,7 +111,7 @@
         self.sum_peer_rates();
     }
 
-    /// Takes a peer's rates in place of its former ones.
+    /// Replaces a peer's rates.
     pub fn peer(&mut self, from: &str, rates: &[(BlockKey, f32)], now: Moment) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(from) {
             return;
@@ -125,7 +125,7 @@
         self.sum_peer_rates();
     }
 
-    /// The hottest prefixes of this router's own traffic, in requests a second.
+    /// The hottest prefixes of this router's own traffic, with requests per second.
     pub fn hottest(&self) -> Vec<(BlockKey, f32)> {
         let mut all: Vec<_> = self.counts.iter().map(|(k, c)| (*k, *c)).collect();
         all.sort_unstable_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
@@ -133,7 +133,7 @@
         let rates = all.into_iter().map(|(key, _)| {
             #[expect(
                 clippy::cast_possible_truncation,
-                reason = "a rate needs no more digits"
+                reason = "`f32` is precise enough for a rate"
             )]
             let rate = self.rate(key) as f32;
             (key, rate)
@@ -141,25 +141,26 @@
         rates.collect()
     }
 
-    /// Prefixes counted now.
+    /// Number of prefixes counted.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether nothing was counted lately.
+    /// Whether no prefix is counted.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// Requests a second, from a count that halves: the mean count is one and a half half-lives of it.
+    /// Requests per second, estimated from a count: at a steady rate, the mean count equals the rate
+    /// times 1.5 half-lives.
     fn rate(&self, key: BlockKey) -> f64 {
         let count = self.counts.get(&key).copied().unwrap_or(0.0);
         count / (1.5 * HALF_LIFE.as_secs_f64())
     }
 
-    /// Drops a quarter of the counts, the smallest; gives the largest dropped.
+    /// Removes the smallest quarter of the counts and returns the largest one removed.
     ///
-    /// The newcomer starts from that count, as the sketch's error bound asks.
+    /// A new prefix starts from that count, as the error bound of the space-saving sketch requires.
     fn evict_smallest(&mut self) -> f64 {
         let mut all: Vec<_> = self.counts.iter().map(|(k, c)| (*c, *k)).collect();
         let dropped = all.len() / 4;
--- a/crates/sesamegap-policy/src/placing/in_flight.rs
+++ b/crates/sesamegap-policy/src/placing/in_flight.rs
@@ -1,59 +1,59 @@
-//! Requests that are with an engine and what was believed when they were sent.
+//! Requests in flight on engines, and what was assumed about each when it was sent.
 
 use super::ring::EngineNo;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{BlockKey, Incarnation, Moment, RequestId, Tokens};
 use std::sync::Arc;
 
-/// How far an engine has come with a request.
+/// Progress of a request on its engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Stage {
-    /// Sent, nothing heard.
+    /// Sent, with no response from the engine yet.
     Sent,
-    /// The engine has looked up its cache.
+    /// The engine has accepted the request and looked up its cache.
     Started {
-        /// When.
+        /// When it started.
         at: Moment,
-        /// Whether no other own request was computed there meanwhile.
+        /// Whether no other request of this router was being computed there at the start.
         alone: bool,
     },
-    /// Its first token came.
+    /// The first token has arrived.
     Answering,
 }
 
-/// One request with an engine.
+/// One request sent to an engine and not yet finished.
 #[derive(Debug, Clone)]
 pub struct InFlightRequest {
     /// The engine.
     pub engine: EngineNo,
-    /// Incarnation of the engine that it was sent to.
+    /// Incarnation of the engine at dispatch.
     pub incarnation: Incarnation,
     /// Block size of its model.
     pub block: Tokens,
-    /// The prompt's blocks.
+    /// Keys of the prompt's blocks.
     pub keys: Arc<[BlockKey]>,
-    /// The whole prompt.
+    /// Tokens in the prompt.
     pub prompt: Tokens,
-    /// Tokens to compute, as booked on the engine.
+    /// Tokens to compute, as counted in the engine's backlog.
     pub missing: Tokens,
     /// Priority of its class.
     pub priority: u8,
-    /// When it was sent, and the seconds of backlog found then.
+    /// When it was sent, and the engine's backlog then, in seconds.
     pub sent: (Moment, f64),
-    /// Whether it counts as a cold prefill.
+    /// Whether it is a cold prefill.
     pub cold: bool,
-    /// How far it has come.
+    /// Progress on the engine.
     pub stage: Stage,
 }
 
-/// All requests with engines; the windows on engines bound their number.
+/// All in-flight requests; their number is bounded by the engines' windows.
 #[derive(Debug, Default)]
 pub struct InFlightRequests {
     all: FxHashMap<RequestId, InFlightRequest>,
 }
 
 impl InFlightRequests {
-    /// Enters a request; gives the former entry if it was sent before.
+    /// Inserts a request; returns the previous entry if it had been sent before.
     pub fn insert(
         &mut self,
         request: &RequestId,
@@ -62,28 +62,28 @@
         self.all.insert(request.clone(), in_flight_request)
     }
 
-    /// A request's entry, to change.
+    /// Returns a request's entry, mutably.
     pub fn get_mut(&mut self, request: &RequestId) -> Option<&mut InFlightRequest> {
         self.all.get_mut(request)
     }
 
-    /// Takes out a request that is over.
+    /// Removes a request that has ended.
     pub fn remove(&mut self, request: &RequestId) -> Option<InFlightRequest> {
         self.all.remove(request)
     }
 
-    /// Takes out all requests of an engine that is gone.
+    /// Removes all requests of an engine that was removed.
     pub fn drop_engine(&mut self, engine: EngineNo) {
         self.all
             .retain(|_, in_flight_request| in_flight_request.engine != engine);
     }
 
-    /// Requests with one engine.
+    /// Iterates over the requests on one engine.
     pub fn on_engine(&self, engine: EngineNo) -> impl Iterator<Item = &InFlightRequest> {
         self.all.values().filter(move |f| f.engine == engine)
     }
 
-    /// Long prompts not yet computed.
+    /// Iterates over the cold prefills that are not finished.
     pub fn cold(&self) -> impl Iterator<Item = &InFlightRequest> {
         let all = self.all.values();
         all.filter(|f| f.cold && f.stage != Stage::Answering)
