--- a/crates/sesamegap-policy/src/placing/holders.rs
+++ b/crates/sesamegap-policy/src/placing/holders.rs
@@ -1,16 +1,16 @@
-//! The engines that hold one block, in sixteen bytes.
+//! Compact set of the engines that hold one block, in sixteen bytes.
 //!
-//! Most blocks are held by one to three engines, which stand in the entry itself; only the blocks
-//! of widely shared preambles spill to the heap.
+//! Most blocks are held by one to three engines, which are stored inline. Only the blocks of widely
+//! shared preambles are stored on the heap.
 
-/// Most engines entered for one block; the one used least recently makes room.
+/// Maximum number of engines recorded for one block; beyond it, the least recently used is replaced.
 ///
-/// A prefix's home set is smaller, so more holders would never be asked about.
+/// A prefix's home set is smaller than this, so further holders would never be considered.
 const MAX_HOLDINGS: usize = 64;
 
 const CONFIRMED: u16 = 0x8000;
 
-/// One engine's holding of a block.
+/// Record that one engine holds a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Holding {
     pub(super) slot: u16,
@@ -18,7 +18,7 @@
 }
 
 impl Holding {
-    /// The slot number that stands for no engine.
+    /// Slot number of an empty entry.
     pub(super) const NONE: u16 = u16::MAX;
 
     const EMPTY: Self = Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Tick of the last use.
+    /// Tick of the last use by this router.
     pub(super) fn tick(self) -> u16 {
         self.packed & !CONFIRMED
     }
@@ -44,18 +44,18 @@
     }
 }
 
-/// What entering a holding did.
+/// Result of [`Holders::put`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PutResult {
-    /// The slot held the block already.
+    /// The slot already held the block.
     Refreshed,
-    /// It is one holding more.
+    /// A holding was added.
     New,
-    /// It took the place of another slot's holding.
+    /// A holding was added in place of that of another slot.
     Replaced(u16),
 }
 
-/// All holdings of a block.
+/// The engines that hold a block.
 #[derive(Debug)]
 pub(super) enum Holders {
     Few([Holding; 3]),
@@ -90,7 +90,7 @@
         self.iter().next().is_none()
     }
 
-    /// Enters a holding; one that was confirmed stays so.
+    /// Adds or refreshes a holding; a confirmed holding stays confirmed.
     pub(super) fn put(&mut self, new: Holding) -> PutResult {
         if let Some(old) = self.iter_mut().find(|h| h.slot == new.slot) {
             let confirmed = old.confirmed() || new.confirmed();
--- a/crates/sesamegap-policy/src/placing/homes.rs
+++ b/crates/sesamegap-policy/src/placing/homes.rs
@@ -1,40 +1,40 @@
-//! The engines at home to a prompt, level by level.
+//! Home sets: the preferred engines of a prompt, computed for each nested prefix.
 //!
-//! Each nested prefix has a home set; a child's is a subset of its parent's, so that a dossier
-//! lands where its preamble already is. The outermost set comes from the ring, each inner one
-//! from rendezvous hashing among the members of the set around it. All routers agree on the order
-//! with no messages, and one that restarts sends work to where it went before.
+//! The home set of an inner prefix is a subset of the enclosing prefix's set, so that a dossier is
+//! placed where its preamble already is. The outermost set comes from the hash ring, and each inner
+//! one from rendezvous hashing among the members of the enclosing set. All routers compute the same
+//! order without communication, and a restarted router sends work to the same engines as before.
 //!
-//! Load: few teams send much of the traffic, and few dossiers most of a team's. A set that were
-//! too small would queue a hot prefix behind one engine, one too large would compute it again on
-//! every engine; so a set's size follows the prefix's heat.
+//! A few teams send much of the traffic, and a few dossiers are most of a team's. A set that is too
+//! small queues a hot prefix behind one engine, and one that is too large computes the prefix again
+//! on every engine, so the size of a set follows the load of its prefix.
 
 use super::heat::Heat;
 use super::ring::{EngineNo, Ring, mix};
 use sesamegap_wire::{BlockKey, Chain};
 
-/// Engines at home to the outermost prefix at least.
+/// Minimum size of the outermost prefix's home set.
 ///
-/// A preamble is short and its dossiers are long: measured, a wide outer set costs a few blocks an
-/// engine and spreads the dossiers evenly, a narrow one overfills some engines' memory.
+/// A preamble is short and its dossiers are long. In measurements, a wide outer set cost a few blocks
+/// per engine and spread the dossiers evenly, while a narrow one overfilled some engines' memory.
 pub const MIN_OUTER_SET: usize = 12;
 
-/// Engines at home to any prefix at most, which bounds the cost of one placement.
+/// Maximum size of a home set, which bounds the cost of one placement.
 pub const MAX_SET: usize = 24;
 
-/// Engines at home to an inner prefix at least: a second choice for when the first is full.
+/// Minimum size of an inner prefix's home set, so that there is a second choice if the first is full.
 pub const MIN_INNER_SET: usize = 2;
 
-/// Busy engines a prefix may need before its set grows beyond them: half of each is left free.
+/// Engines in a home set per engine that the prefix keeps busy: half of their capacity stays free.
 const HEADROOM: f64 = 2.0;
 
-/// Score of an engine for a key; the highest is the first home.
+/// Rendezvous hashing score of an engine for a key; the highest score is the first home.
 pub fn score(key: BlockKey, seed: u64) -> u64 {
     let upper = u64::try_from(key.0 >> 64).unwrap_or(0);
     mix(upper ^ seed)
 }
 
-/// Size of a home set for a prefix that keeps `busy` engines at work.
+/// Size of the home set of a prefix that keeps `busy_engines` engines busy.
 pub fn size(busy_engines: f64, least: usize) -> usize {
     let mut size = least;
     while size < MAX_SET && (size as f64) < busy_engines * HEADROOM {
@@ -43,19 +43,19 @@
     size
 }
 
-/// Finds the home sets of a chain, from the outermost prefix to the innermost.
+/// Finds the home set of a prompt, reusing its buffer between prompts.
 #[derive(Debug, Default)]
 pub struct Homes {
     scored: Vec<(u64, EngineNo)>,
 }
 
 impl Homes {
-    /// Fills `found` with the innermost prefix's home set, its first home in front.
+    /// Fills `found` with the innermost prefix's home set, the first home in front.
     ///
-    /// A prefix whose set is as large as the one around it keeps that one's order, so that all
-    /// forms of a dossier have the same first home.
+    /// A prefix whose set would be as large as the enclosing set keeps the enclosing set's order, so
+    /// that all forms of a dossier have the same first home.
     ///
-    /// `seeds` gives each engine's number that is the same in every router.
+    /// `seeds` returns an engine's hash seed, which is the same in every router.
     pub fn find(
         &mut self,
         chain: &Chain,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Keeps the `most` members that score highest for a key, best first.
+    /// Keeps the `most` members with the highest scores for a key, highest first.
     pub fn narrow(
         &mut self,
         key: BlockKey,
--- a/crates/sesamegap-policy/src/placing/import.rs
+++ b/crates/sesamegap-policy/src/placing/import.rs
@@ -1,9 +1,9 @@
-//! From where an engine imports blocks that it does not hold.
+//! Selects the source from which an engine imports blocks that it does not hold.
 //!
-//! Load: dossiers of tens of thousands of tokens that were evicted here, or are held by another
-//! engine that has no room. Harm prevented: computing again what exists already, which costs far
-//! more than fetching it. The source is only a hint: an engine that finds a block missing there, or
-//! computed with other weights, computes it.
+//! A dossier of tens of thousands of tokens may have been evicted from the chosen engine, or be held
+//! by another engine that has no room. Fetching its blocks costs far less than computing them again.
+//! The source is only a hint: an engine computes any block that is missing at the source or that
+//! was computed with other weights.
 
 use super::Ask;
 use super::candidates::Candidate;
@@ -13,17 +13,17 @@
 use super::ring::EngineNo;
 use sesamegap_wire::{Moment, UpstreamId};
 
-/// Seconds to fetch one block over the network: what the users' stores take, about 3 ms.
+/// Seconds to fetch one block over the network; the users' stores take about 3 ms.
 const FETCH_SECONDS_PER_BLOCK: f64 = 3e-3;
 
-/// Fetching must be this many times quicker than computing, for it also loads the source.
+/// Minimum ratio of compute time to fetch time for an import, since fetching also loads the source.
 const MIN_SPEEDUP: f64 = 2.0;
 
 impl PrefixPlacer {
-    /// Where the chosen engine should look for what it lacks, if that is worth it.
+    /// Returns where the chosen engine should fetch missing blocks from, if fetching is worthwhile.
     ///
-    /// The engine believed to hold most of the prefix comes first, for what it holds is known; the
-    /// kept-KV store has what was evicted everywhere, and nobody tells what that is.
+    /// The engine believed to hold the longest prefix is preferred, because its contents are known.
+    /// The kept-KV store holds blocks that all engines evicted, but does not report which.
     pub(super) fn import(
         &self,
         ask: &Ask<'_>,
@@ -47,7 +47,7 @@
             .or_else(|| self.store.clone())
     }
 
-    /// Whether an engine can be asked for blocks.
+    /// Whether blocks can be fetched from an engine.
     fn can_serve(&self, other: &Candidate, now: Moment) -> bool {
         let engine: Option<&Engine> = self.engines.get(other.engine);
         engine.is_some_and(|engine| !engine.stalled(now))
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -1,16 +1,16 @@
-//! Which engine is believed to hold which block.
+//! Index of which engine is believed to hold which block.
 //!
-//! An engine's entries hang on a *slot*, a small number that it gets anew with each incarnation
-//! and each listing; forgetting all that an engine held is then one step, and the entries left
-//! behind are swept up later, a shard at a time, before the slot is given out again. A key is cut
-//! to 64 bits: the index is a hint for speed, so a collision costs one recomputation and no more.
+//! The entries of an engine refer to a *slot*, a small number that is replaced with each
+//! incarnation and each listing. Forgetting all entries of an engine then takes constant time; a
+//! sweep later removes the stale ones, a shard at a time, before the slot is reused. Keys are
+//! truncated to 64 bits: the index is only a hint, so a collision costs one recomputation.
 //!
-//! Each holding has the time of its last use by this router, in coarse ticks, and whether an
-//! engine confirmed it. One entered when a request was sent counts for [`EXPECT`] only, unless an
-//! event or an answer confirms it. Where events were lost, a holding counts while it is younger
-//! than the age at which the engine was seen to evict.
+//! Each holding records its last use by this router, in coarse ticks, and whether the engine has
+//! confirmed it. An entry made when a request is sent counts for [`EXPECT`] only, unless an event
+//! or an answer confirms it. Where events were lost, a holding counts while it is younger than the
+//! engine's learned eviction age.
 //!
-//! Memory is bounded: a shard that is full forgets the quarter of its blocks unused the longest.
+//! Memory is bounded: a full shard removes its least recently used quarter of blocks.
 
 use super::holders::{Holders, Holding, PutResult};
 use super::ticks::{TICK_MASK, seconds, tick, ticks_since};
@@ -18,56 +18,56 @@
 use sesamegap_wire::{BlockKey, Moment};
 use std::time::Duration;
 
-/// How long a block counts as held that was sent to an engine but not confirmed: a long prompt's
-/// time in an engine's queue, with its event's delay.
+/// How long an unconfirmed block counts as held: the time that a long prompt spends in an engine's
+/// queue, plus the delay of its cache event.
 pub const EXPECT: Duration = Duration::from_secs(10);
 
-/// Shards: one is swept at a time, which keeps the longest pause to about a microsecond at a
+/// Number of shards. One is swept at a time, so the longest pause is about a microsecond at a
 /// daemon's share of 353,000 blocks.
 const SHARDS: usize = 2048;
 
-/// Time for a sweep over all shards; the slots of dead engines come free after two.
+/// Time for a sweep over all shards; a closed slot can be reused after two sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Ages beyond this are clipped by the sweep, before the ticks wrap.
+/// Maximum age, to which the sweep clips older ones before ticks wrap around.
 const MAX_AGE_TICKS: u16 = TICK_MASK / 2;
 
-/// Eviction age assumed until one was seen.
+/// Eviction age assumed until an eviction has been seen.
 const INITIAL_EVICTION_AGE: Duration = Duration::from_secs(30);
 
-/// Weight of a new eviction in the learned age: about the last 30 count.
+/// Weight of a new sample in the learned eviction age, which covers about the last 30 evictions.
 const EVICTION_AGE_GAIN: f64 = 1.0 / 32.0;
 
-/// A number under which one life of an engine's cache is entered.
+/// Identifies one generation of an engine's cache in the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot(pub(super) u16);
 
 impl Slot {
-    /// The number as an index.
+    /// The slot number as an array index.
     pub fn at(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// What is known of a slot.
+/// State of a slot.
 #[derive(Debug, Clone)]
 struct SlotState {
     live: bool,
-    /// Sweeps completed when the slot died.
+    /// Number of completed sweeps when the slot was closed.
     closed_in_sweep: u64,
-    /// Holdings not confirmed since this tick are in doubt.
+    /// Holdings last used at or before this tick are in doubt.
     doubt: Option<u16>,
-    /// Seconds from last use to eviction, learned.
+    /// Learned time from last use to eviction, in seconds.
     age: f64,
-    /// Blocks entered.
+    /// Number of blocks recorded for the slot.
     held: u32,
 }
 
-/// Who holds which block, as far as known.
+/// Index from blocks to the engines believed to hold them.
 #[derive(Debug)]
 pub struct Index {
     shards: Vec<FxHashMap<u64, Holders>>,
-    /// Most blocks in one shard.
+    /// Maximum number of blocks in one shard.
     limit: usize,
     slots: Vec<SlotState>,
     free: Vec<u16>,
@@ -76,12 +76,12 @@
     next: Moment,
 }
 
-/// How many leading blocks a slot holds.
+/// Number of leading blocks of a prompt that a slot holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Depth {
     /// The slot.
     pub slot: Slot,
-    /// Leading blocks believed to be held.
+    /// Number of leading blocks believed to be held.
     pub blocks: u16,
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl Index {
-    /// Makes an index that keeps at most about so many blocks.
+    /// Creates an index for approximately `most` blocks at the most.
     pub fn new(most: usize) -> Self {
         Self {
             shards: (0..SHARDS).map(|_| FxHashMap::default()).collect(),
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Opens a slot for an engine's cache of which nothing is known.
+    /// Opens an empty slot for an engine's cache.
     ///
-    /// `None` if all numbers are taken by lives that are not yet swept.
+    /// Returns `None` if all slot numbers are in use or not yet swept.
     pub fn open(&mut self) -> Option<Slot> {
         let slot_state = SlotState {
             live: true,
@@ -126,7 +126,7 @@
         Some(Slot(number))
     }
 
-    /// Forgets all that a slot holds.
+    /// Closes a slot and forgets its holdings.
     pub fn close(&mut self, slot: Slot) {
         let sweeps_done = self.sweeps_done;
         let slot_state = self.slot_state(slot);
@@ -134,7 +134,7 @@
         slot_state.closed_in_sweep = sweeps_done;
     }
 
-    /// Moves to a new slot what a listing says is held, and forgets the rest.
+    /// Opens a new slot with the listed blocks and closes the old one.
     pub fn relist(&mut self, old: Slot, keys: &[BlockKey], now: Moment) -> Slot {
         let Some(new) = self.open() else { return old };
         self.slots[usize::from(new.0)].age = self.slots[usize::from(old.0)].age;
@@ -146,17 +146,17 @@
         new
     }
 
-    /// Notes that an engine told of a block it holds.
+    /// Records a block that an engine reported as held.
     pub fn stored(&mut self, slot: Slot, key: BlockKey, now: Moment) {
         self.put(slot, key, tick(now), true);
     }
 
-    /// Notes that a block is used by a request sent to the engine, which will hold it then.
+    /// Records a block of a request sent to the engine, which will hold it once computed.
     pub fn expect(&mut self, slot: Slot, key: BlockKey, now: Moment) {
         self.put(slot, key, tick(now), false);
     }
 
-    /// Notes that an engine evicted a block, and learns its eviction age.
+    /// Removes a block that an engine evicted, and updates its learned eviction age.
     pub fn evicted(&mut self, slot: Slot, key: BlockKey, now: Moment) {
         let Some(holding) = self.holders(key).and_then(|h| h.find(slot.0)) else {
             return;
@@ -177,12 +177,12 @@
         self.decrement_held(slot.0);
     }
 
-    /// Marks what a slot holds now as doubtful.
+    /// Marks the current holdings of a slot as in doubt.
     pub fn doubt(&mut self, slot: Slot, now: Moment) {
         self.slot_state(slot).doubt = Some(tick(now));
     }
 
-    /// Gives for each slot that holds the first block how many leading ones it holds.
+    /// Computes, for each slot that holds the first block, the number of leading blocks it holds.
     pub fn depths(&self, keys: &[BlockKey], now: Moment, found: &mut Vec<Depth>) {
         found.clear();
         let Some(first) = keys.first().and_then(|key| self.holders(*key)) else {
@@ -214,7 +214,7 @@
         }
     }
 
-    /// How many leading blocks one slot holds.
+    /// Returns the number of leading blocks that one slot holds.
     pub fn depth(&self, slot: Slot, keys: &[BlockKey], now: Moment) -> u16 {
         let now = tick(now);
         let held = keys.iter().take_while(|key| {
@@ -225,7 +225,7 @@
         u16::try_from(held.count()).unwrap_or(u16::MAX)
     }
 
-    /// Sweeps one shard if it is time; to be called often.
+    /// Sweeps the next shard if it is due; must be called often.
     pub fn tend(&mut self, now: Moment) {
         if now < self.next {
             return;
@@ -251,19 +251,19 @@
         }
     }
 
-    /// Blocks that anyone is believed to hold.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
         self.shards.iter().map(FxHashMap::len).sum()
     }
 
-    /// Whether nothing is known.
+    /// Whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.shards.iter().all(FxHashMap::is_empty)
     }
 
-    /// Bytes taken by the tables, counted from their capacity.
+    /// Memory used by the tables in bytes, computed from their capacity.
     pub fn bytes(&self) -> usize {
-        // A bucket has one byte of control data, and at most seven in eight are filled.
+        // The hash table has one control byte per bucket and a maximum load factor of 7/8.
         let bucket = size_of::<(u64, Holders)>() + 1;
         let tables = self.shards.iter().map(|shard| {
             let many = shard.values().map(Holders::heap_bytes).sum::<usize>();
@@ -272,17 +272,17 @@
         tables.sum()
     }
 
-    /// Seconds from last use to eviction, learned.
+    /// Learned time from last use to eviction, in seconds.
     pub fn age(&self, slot: Slot) -> f64 {
         self.slots[slot.at()].age
     }
 
-    /// Blocks entered for a slot.
+    /// Number of blocks recorded for a slot.
     pub fn held(&self, slot: Slot) -> u64 {
         u64::from(self.slots[slot.at()].held)
     }
 
-    /// Keys a slot holds, the most recently used first; only their upper halves are known.
+    /// Keys that a slot holds, most recently used first. Only the upper half of each key is stored.
     pub fn keys(&self, slot: Slot, now: Moment) -> Vec<BlockKey> {
         let now = tick(now);
         let mut held: Vec<(u16, u64)> = Vec::new();
@@ -313,7 +313,7 @@
         &mut self.slots[slot.at()]
     }
 
-    /// Last use of a block whose holding was confirmed.
+    /// Tick of the last use of a block if its holding is confirmed.
     fn last_used(&self, slot: Slot, key: BlockKey) -> Option<u16> {
         let holding = self.holders(key)?.find(slot.0)?;
         holding.confirmed().then_some(holding.tick())
@@ -359,7 +359,7 @@
         !doubted || seconds(age) < slot_state.age
     }
 
-    /// Whether the sweep leaves a holding, whose age it clips before the ticks wrap.
+    /// Whether the sweep keeps a holding; clips its age before ticks wrap around.
     fn retain_holding(&self, holding: &mut Holding, now: u16) -> bool {
         let live = self.slots[usize::from(holding.slot)].live;
         let age = ticks_since(now, holding.tick());
@@ -387,7 +387,7 @@
     }
 }
 
-/// Drops the quarter of a shard's blocks that were unused the longest, so that each drop pays for
+/// Removes the least recently used quarter of a shard's blocks, so that the cost is amortized over
 /// many insertions.
 fn forget_oldest(shard: &mut FxHashMap<u64, Holders>, now: u16) -> Vec<Holders> {
     let age = |holders: &Holders| {
--- a/crates/sesamegap-policy/src/placing/peers.rs
+++ b/crates/sesamegap-policy/src/placing/peers.rs
@@ -1,4 +1,4 @@
-//! What peers have sent to engines and is not yet computed there.
+//! Tokens that peers have sent to engines and that are not computed yet.
 
 use super::ring::EngineNo;
 use rustc_hash::FxHashMap;
@@ -6,10 +6,10 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// A peer without a digest for this long has nothing under way.
+/// A peer that sent no digest for this long is treated as having no requests in flight.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Peers remembered at most, as many as there may be routers.
+/// Maximum number of peers tracked, which is the largest number of routers.
 const MAX_PEERS: usize = 512;
 
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     waiting: Vec<(EngineNo, f64)>,
 }
 
-/// Adds up over peers the tokens that wait on each engine.
+/// Sums the tokens waiting on each engine over all peers.
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: FxHashMap<SmolStr, Peer>,
@@ -26,7 +26,7 @@
 }
 
 impl Peers {
-    /// Takes a peer's figures in place of its former ones; gives the engines whose sum changed.
+    /// Replaces a peer's figures; returns the engines whose sum changed.
     pub fn update(
         &mut self,
         from: &str,
@@ -45,7 +45,7 @@
         changed
     }
 
-    /// Forgets peers that have gone silent; gives the engines whose sum changed.
+    /// Removes peers that have timed out; returns the engines whose sum changed.
     pub fn tend(&mut self, now: Moment) -> Vec<EngineNo> {
         let silent = self
             .peers
@@ -55,7 +55,7 @@
         silent.iter().flat_map(|name| self.forget(name)).collect()
     }
 
-    /// Tokens of all peers that wait on an engine.
+    /// Tokens of all peers waiting on an engine.
     pub fn sum(&self, engine: EngineNo) -> f64 {
         self.sums.get(&engine).copied().unwrap_or(0.0)
     }
@@ -69,7 +69,7 @@
                 *sum -= tokens;
             }
         }
-        // What is left below half a token is rounding.
+        // A remainder below half a token is a rounding error.
         self.sums.retain(|_, sum| *sum > 0.5);
         peer.waiting.into_iter().map(|(engine, _)| engine).collect()
     }
--- a/crates/sesamegap-policy/src/placing/priority_waits.rs
+++ b/crates/sesamegap-policy/src/placing/priority_waits.rs
@@ -1,23 +1,23 @@
-//! How much of an engine's backlog a priority really waits for.
+//! Fraction of an engine's backlog that requests of each priority actually wait for.
 //!
-//! Reports tell one sum of waiting tokens for all priorities. An engine that honours priorities
-//! lets a short question of a high class pass long reviews, so the sum overstates its wait, and
-//! it would be sent away from the engine that holds its prefix. How the engines go about it is
-//! not known, so it is learned: for each priority the time that answers really waited, against
-//! what the sum had foretold.
+//! Reports give one sum of waiting tokens for all priorities. An engine that honors priorities lets
+//! a short high-priority request overtake long reviews, so the sum overstates that request's wait
+//! and would send it away from the engine that holds its prefix. The engines' scheduling is not
+//! known, so the fraction is learned for each priority by comparing actual waits with the waits
+//! predicted from the sum.
 
 use rustc_hash::FxHashMap;
 
-/// Seconds of trust in the sum before anything was seen.
+/// Weight of the reported sum, in seconds, before any measurement.
 const PRIOR_SECONDS: f64 = 2.0;
 
-/// What is kept of the past at each answer: about the last 64 count.
+/// Weight kept by past measurements at each answer; about the last 64 answers count.
 const DECAY: f64 = 63.0 / 64.0;
 
-/// Bounds of the learned part.
+/// Bounds of the learned fraction.
 const FRACTION_BOUNDS: (f64, f64) = (0.05, 1.5);
 
-/// Priorities that there may be: the settings' numbers are small.
+/// Maximum number of priorities tracked; the settings use small numbers.
 const MAX_PRIORITIES: usize = 64;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -26,14 +26,14 @@
     predicted: f64,
 }
 
-/// Parts of the backlog that priorities wait for.
+/// Learned fraction of the backlog that requests of each priority wait for.
 #[derive(Debug, Default)]
 pub struct PriorityWaits {
     seen: FxHashMap<u8, Observed>,
 }
 
 impl PriorityWaits {
-    /// Learns from one answer, in seconds.
+    /// Updates a priority with the actual and the predicted wait of one answer, in seconds.
     pub fn learn(&mut self, priority: u8, waited: f64, predicted: f64) {
         if self.seen.len() >= MAX_PRIORITIES && !self.seen.contains_key(&priority) {
             return;
@@ -43,7 +43,7 @@
         seen.predicted = seen.predicted * DECAY + predicted.max(0.0);
     }
 
-    /// Part of the backlog that a priority waits for.
+    /// Fraction of the backlog that requests of a priority wait for.
     pub fn wait_fraction(&self, priority: u8) -> f64 {
         let seen = self.seen.get(&priority).copied().unwrap_or_default();
         let wait_fraction = (seen.waited + PRIOR_SECONDS) / (seen.predicted + PRIOR_SECONDS);
--- a/crates/sesamegap-policy/src/placing/ring.rs
+++ b/crates/sesamegap-policy/src/placing/ring.rs
@@ -1,48 +1,49 @@
-//! The order in which a key prefers engines, found without looking at all of them.
+//! Consistent-hash ring that orders engines by preference for a key without a scan of the fleet.
 //!
-//! Each engine stands at points of a ring, more of them the larger its cache. A key probes the ring at a
-//! sequence of places of its own; the engines met, without repetition, are its order of
-//! preference. All routers that know the same engines get the same order, an engine that comes or
-//! goes moves only its own share of keys, and a probe costs a look at a table and at the one or two
-//! points after it, whatever the fleet's size. Plain weighted rendezvous hashing gives the same for a scan of all engines, which at
-//! 1,700 engines takes longer than all the rest of a placement.
+//! Each engine has points on the ring, in proportion to the size of its cache. A key probes the ring
+//! at its own sequence of positions; the distinct engines found are its order of preference. All
+//! routers that know the same engines compute the same order, and an engine that joins or leaves
+//! moves only its own share of keys. A probe takes a table lookup and a look at the one or two
+//! points after it, whatever the size of the fleet. Plain weighted rendezvous hashing has the same
+//! properties but scans all engines, which at 1,700 engines takes longer than the rest of a
+//! placement.
 
 use sesamegap_wire::{BlockKey, UpstreamId};
 
-/// Points of an engine of ordinary weight: shares then vary by about an eighth.
+/// Points of an engine of weight 1; at 64 points, the engines' shares vary by about an eighth.
 const POINTS_PER_WEIGHT: f64 = 64.0;
 
-/// Probes without a new engine after which the walk ends; most engines are then met.
+/// Consecutive probes without a new engine after which the walk ends; by then most engines have been
+/// found.
 const MAX_REPEATED_PROBES: usize = 32;
 
-/// Step of a Weyl sequence: the golden ratio in 64 bits.
+/// Step of the Weyl sequence: the golden ratio as a 64-bit fraction.
 const WEYL_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// An engine's number in this router's tables.
+/// Index of an engine in this router's tables; differs between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineNo(pub u16);
 
 impl EngineNo {
-    /// The number as an index.
+    /// The number as an array index.
     pub fn at(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// Engines at points of a ring.
+/// Weighted consistent-hash ring of engines.
 #[derive(Debug, Default, Clone)]
 pub struct Ring {
     points: Vec<(u64, EngineNo)>,
-    /// For each equal part of the ring the first point in it or after it.
+    /// For each of the ring's equal parts, the index of the first point in or after it.
     starts: Vec<u32>,
     members: Vec<(EngineNo, f64)>,
-    /// A bit for each number, set for members.
+    /// Membership bitmap, indexed by engine number.
     bits: Vec<u64>,
 }
 
-/// Mixes all bits of a number into all bits.
+/// Mixes all bits of a number; the finalizer of SplitMix64.
 pub(super) fn mix(mut x: u64) -> u64 {
-    // The finalizer of SplitMix64.
     x ^= x >> 30;
     x = x.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^= x >> 27;
@@ -50,21 +51,21 @@
     x ^ (x >> 31)
 }
 
-/// A number for an engine that is the same in every router.
+/// Hash seed of an engine, the same in every router.
 pub(super) fn seed_of(engine: &UpstreamId) -> u64 {
     let mut half = [0; 8];
     half.copy_from_slice(&blake3::hash(engine.as_str().as_bytes()).as_bytes()[..8]);
     u64::from_le_bytes(half)
 }
 
-/// Where on the ring a key probes for the nth time.
+/// Position on the ring of a key's `nth` probe.
 pub fn place(key: BlockKey, nth: u64) -> u64 {
     let upper = u64::try_from(key.0 >> 64).unwrap_or(0);
     mix(upper.wrapping_add((nth + 1).wrapping_mul(WEYL_STEP)))
 }
 
 impl Ring {
-    /// Puts an engine on the ring, or gives it another weight.
+    /// Adds an engine to the ring or changes its weight.
     pub fn set(&mut self, no: EngineNo, seed: u64, weight: f64) {
         if self
             .members
@@ -80,7 +81,7 @@
             self.bits.resize(word + 1, 0);
         }
         self.bits[word] |= 1 << (no.at() % 64);
-        // A lone point at least, so that the smallest engine still gets work.
+        // At least one point, so that the smallest engine still gets work.
         let mut left = (POINTS_PER_WEIGHT * weight).round().max(1.0);
         let mut at = seed;
         while left > 0.0 {
@@ -92,7 +93,7 @@
         self.index();
     }
 
-    /// Takes an engine off the ring.
+    /// Removes an engine from the ring.
     pub fn remove(&mut self, no: EngineNo) {
         let before = self.members.len();
         self.members.retain(|(member, _)| *member != no);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Divides the ring into about as many parts as there are points.
+    /// Rebuilds the lookup table, which has about as many parts as there are points.
     fn index(&mut self) {
         let parts = self.points.len().next_power_of_two().max(2);
         self.starts.clear();
@@ -133,19 +134,19 @@
         word.is_some_and(|word| word & (1 << (no.at() % 64)) != 0)
     }
 
-    /// Engines on the ring, in no order.
+    /// Engines on the ring, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = EngineNo> + '_ {
         self.members.iter().map(|(no, _)| *no)
     }
 
-    /// The engines' points in order.
+    /// The engines' points in ascending order.
     pub fn points(&self) -> &[(u64, EngineNo)] {
         &self.points
     }
 
-    /// The member at a place drawn at random, or the next one after it that is not barred.
+    /// Returns the member at a random position, or the next one after it that is not in `barred`.
     ///
-    /// A request bars the few engines that it was sent to, so at most as many are passed over.
+    /// A request excludes only the few engines that it was sent to before, so few are skipped.
     pub fn pick_beside(&self, barred: &[EngineNo], draw: u64) -> Option<EngineNo> {
         let len = u64::try_from(self.members.len()).unwrap_or(1).max(1);
         let at = usize::try_from(draw % len).unwrap_or(0);
@@ -154,7 +155,7 @@
         members.find(|no| !barred.contains(no))
     }
 
-    /// Appends up to `most` engines in the key's order of preference.
+    /// Appends engines in the key's order of preference until `found` has `most`.
     pub fn walk(&self, key: BlockKey, most: usize, found: &mut Vec<EngineNo>) {
         let most = most.min(self.members.len());
         let mut misses = 0;
--- a/crates/sesamegap-policy/src/placing/speed.rs
+++ b/crates/sesamegap-policy/src/placing/speed.rs
@@ -1,36 +1,37 @@
-//! How fast an engine computes prompts, learned from its first tokens.
+//! Prefill speed of an engine, learned from the times to its first tokens.
 //!
-//! Load: donated hardware of uneven speed, of which any piece may drift to a fraction of it. Harm
-//! prevented: work sent by queue length alone waits longest on the slowest engine. What was seen
-//! fades with time towards the speed typical of the fleet, so a slow engine loses weight smoothly,
-//! and one that has recovered is asked again little by little and earns its weight back.
+//! The hardware is donated and uneven, and any machine may drift to a fraction of its speed. Work
+//! distributed by queue length alone would wait longest on the slowest engine. Measurements decay
+//! towards the fleet's typical speed, so a slow engine loses traffic smoothly, and a recovered one
+//! gets requests again gradually until its measured speed restores its share.
 
 use sesamegap_wire::{Moment, Tokens};
 use std::time::Duration;
 
-/// Seconds a token takes before anything was seen: a large model on one accelerator.
+/// Seconds per token assumed before any measurement: a large model on one accelerator.
 pub const DEFAULT_SECONDS_PER_TOKEN: f64 = 5e-5;
 
-/// Time in which what was seen loses half its weight: long against a queue, short against a shift.
+/// Half-life of measurements: long compared with a queue, short compared with a shift.
 const HALF_LIFE: Duration = Duration::from_mins(1);
 
-/// Tokens' worth of trust in the typical speed: one short prompt whose prefix is cached.
+/// Weight of the typical speed, in tokens: one short prompt whose prefix is cached.
 const PRIOR_TOKENS: f64 = 1024.0;
 
-/// Tokens seen that count at most; older ones are scaled down.
+/// Maximum weight of past measurements, in tokens; older ones are scaled down.
 const MAX_TOKENS: f64 = 65_536.0;
 
-/// What is kept of the past at each prompt: about the last 12 count, so that a drift shows within
-/// as many prompts, however short they are.
+/// Weight kept by past measurements at each prompt. About the last 12 prompts count, so that a
+/// change of speed shows within as many prompts, however short they are.
 const DECAY: f64 = 11.0 / 12.0;
 
-/// Tokens that stand for the fixed cost of starting a prompt.
+/// Fixed cost of starting a prompt, in tokens.
 const STARTUP_TOKENS: f64 = 256.0;
 
-/// A sample this many times over the present speed counts as so many: a pause is no drift.
+/// Maximum ratio of a sample to the current estimate; larger samples are clipped, so that a pause
+/// is not taken for a change of speed.
 const MAX_SAMPLE_RATIO: f64 = 3.0;
 
-/// Learned speed of one engine.
+/// Learned prefill speed of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Speed {
     time: f64,
@@ -39,14 +40,15 @@
 }
 
 impl Speed {
-    /// Seconds a token takes, between what was seen here and what is `typical` of the fleet.
+    /// Estimated seconds per token: a weighted mean of this engine's measurements and the `typical`
+    /// value of the fleet.
     pub fn per_token(&self, typical: f64, now: Moment) -> f64 {
         let decay_factor = self.decay_factor(now);
         (self.time * decay_factor + typical * PRIOR_TOKENS)
             / (self.tokens * decay_factor + PRIOR_TOKENS)
     }
 
-    /// Learns from one prompt, of which so many tokens were computed in so much time.
+    /// Updates the estimate with one prompt, of which `tokens` were computed in the time `took`.
     pub fn learn(&mut self, tokens: Tokens, took: Duration, typical: f64, now: Moment) {
         let tokens = tokens.0 as f64 + STARTUP_TOKENS;
         let most = self.per_token(typical, now) * MAX_SAMPLE_RATIO * tokens;
@@ -58,7 +60,7 @@
         self.at = now;
     }
 
-    /// Whether anything was seen that still counts.
+    /// Whether recent measurements outweigh the prior.
     pub fn known(&self, now: Moment) -> bool {
         self.tokens * self.decay_factor(now) > PRIOR_TOKENS
     }
@@ -69,7 +71,7 @@
     }
 }
 
-/// The median speed of engines that were seen lately.
+/// Median seconds per token of the engines with recent measurements.
 pub fn typical<'a>(speeds: impl Iterator<Item = &'a Speed>, now: Moment) -> f64 {
     let known = speeds.filter(|speed| speed.known(now));
     let mut all: Vec<f64> = known.map(|speed| speed.time / speed.tokens).collect();
--- a/crates/sesamegap-policy/src/placing/ticks.rs
+++ b/crates/sesamegap-policy/src/placing/ticks.rs
@@ -1,11 +1,11 @@
-//! Coarse times in fifteen bits, which wrap.
+//! Coarse timestamps of 15 bits, which wrap around.
 
 use sesamegap_wire::Moment;
 
-/// Length of a tick; 15 bits of ticks are 68 minutes, longer than any block is left unused.
+/// Length of a tick. Ticks of 15 bits wrap around after 68 minutes, longer than any block stays unused.
 const TICK_MICROS: u64 = 125_000;
 
-/// Ticks are kept in 15 bits, the sixteenth tells a confirmed holding.
+/// Mask of the 15 bits of a tick; the sixteenth bit marks a confirmed holding.
 pub(super) const TICK_MASK: u16 = 0x7fff;
 
 pub(super) fn tick(now: Moment) -> u16 {
