--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -1,12 +1,12 @@
-//! Which engine answers a request.
+//! Placement: decides which engine answers a request.
 //!
-//! A [`Placer`] hears what engines report, what their caches gain and lose, and how requests went,
-//! and weighs for each request the wait against the tokens that would be computed again.
+//! A [`Placer`] receives the engines' load reports, their cache events and the progress of requests.
+//! For each request it weighs the wait against the tokens that would have to be recomputed.
 //!
-//! [`PrefixPlacer`] is the one that routers use. It keeps the [`engines`] with what waits on each
-//! ([`backlog`]) and how fast it is ([`speed`]), an [`index`] of who holds which block, and the
-//! [`heat`] of prefixes; from these it gathers a handful of candidates (holders, [`homes`] found
-//! on a [`ring`], two at random) and takes the cheapest.
+//! [`PrefixPlacer`] is the implementation that routers use. It tracks the [`engines`] with the tokens
+//! waiting on each ([`backlog`]) and their [`speed`], an [`index`] of which engine holds which block,
+//! and the [`heat`] of prefixes. For each request it compares a few candidates (engines that hold
+//! the prefix, its [`homes`] found on a [`ring`], and two at random) and picks the cheapest.
 
 pub mod backlog;
 mod builder;
@@ -42,119 +42,121 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What is asked of a placer for one request.
+/// Input to the placement of one request.
 #[derive(Debug)]
 pub struct Ask<'a> {
     /// The request.
     pub request: &'a RequestId,
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a ModelId,
-    /// Weights the answer must come from.
+    /// Version of the weights that must compute the answer.
     pub version: WeightsVersion,
-    /// The prompt's blocks.
+    /// Block keys and nested prefixes of the prompt.
     pub chain: &'a Chain,
-    /// Promises to the traffic class.
+    /// Specification of the request's traffic class.
     pub class: &'a ClassSpec,
-    /// Engines on which the request failed before.
+    /// Engines excluded because the request failed on them before.
     pub barred: &'a [UpstreamId],
 }
 
-/// Where a request goes.
+/// Engine chosen for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The engine.
     pub engine: UpstreamId,
-    /// Incarnation of the engine that the placement relies on.
+    /// Incarnation of the engine on which the placement is based.
     pub incarnation: Incarnation,
     /// Prompt tokens believed to be in the engine's cache.
     pub cached: Tokens,
     /// Expected time from dispatch to the first token.
     pub wait: Duration,
-    /// Where cache blocks are imported from first.
+    /// First source from which the engine should import cache blocks.
     pub import: Option<UpstreamId>,
 }
 
-/// What a placer found.
+/// Outcome of a placement.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Placed {
-    /// An engine with room.
+    /// An engine with room was chosen.
     At(Placement),
-    /// Engines hold the model but have no room now; the shortest wait for one is given.
+    /// Engines with the model loaded have no room now; contains the shortest
+    /// estimated wait for room.
     Full(Duration),
-    /// No live engine holds the model in this version.
+    /// No eligible engine has this version of the model loaded.
     Nowhere,
 }
 
-/// What a placer needs to know before it trusts an engine's entries again.
+/// What a placer needs before it can trust an engine's index entries again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
     /// Nothing.
     Nothing,
-    /// A listing of all blocks the engine holds.
+    /// A listing of all blocks that the engine holds.
     Listing,
 }
 
-/// Which engines have room for more work.
+/// Tells which engines have room for more work.
 pub trait Room {
-    /// Whether an engine may be sent a request with so many tokens to compute.
+    /// Whether an engine may be sent a request with `prefill` tokens to compute.
     fn has(&self, engine: &UpstreamId, prefill: Tokens) -> bool;
 }
 
-/// Picks engines. One implementation serves routers; others are baselines to measure against.
+/// Picks the engine for each request. Routers use one implementation; others are baselines for
+/// measurements.
 pub trait Placer: fmt::Debug + Send {
-    /// Takes the settings in force, of which the models' block sizes matter.
+    /// Applies the current settings, of which only the models' block sizes are used.
     fn settings(&mut self, _catalogue: &Catalogue) {}
 
-    /// Takes the list of engines in use, in place of the former one.
+    /// Replaces the list of engines in use.
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment);
 
-    /// Takes an engine's report of itself.
+    /// Applies an engine's load report.
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
 
-    /// Takes cache events of an engine and says what is needed to trust its entries.
+    /// Applies an engine's cache events and returns what is needed before its entries can be trusted.
     fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need;
 
-    /// Takes the kept-KV store in use, if there is one.
+    /// Sets the kept-KV store, if there is one.
     fn store(&mut self, _store: Option<UpstreamId>) {}
 
-    /// An engine of which a listing is wanted now, without an event that tells so.
+    /// Returns an engine from which a listing should be requested now, independently of its events.
     fn wants(&mut self, _now: Moment) -> Option<UpstreamId> {
         None
     }
 
-    /// Takes a listing of all that an engine holds.
+    /// Applies a listing of all blocks that an engine holds.
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment);
 
-    /// Picks an engine; nothing is booked until [`Placer::sent`].
+    /// Picks an engine; the request is not counted until [`Placer::sent`] is called.
     fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed;
 
-    /// Books a request that is now sent to an engine.
+    /// Counts a request that has been sent to an engine.
     fn sent(&mut self, ask: &Ask<'_>, at: &Placement, now: Moment);
 
-    /// Takes the cached-token count that an engine gave when it took the request.
+    /// Records the number of cached tokens that the engine reported when it accepted the request.
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment);
 
-    /// Notes that the first token of an answer came.
+    /// Records that the first token of an answer has arrived.
     fn first(&mut self, request: &RequestId, now: Moment);
 
-    /// Notes that a request is no longer with its engine; `whole` if its answer is complete.
+    /// Records that a request has left its engine; `whole` tells whether its answer is complete.
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment);
 
-    /// Notes that an engine could not be reached or has gone mute.
+    /// Records that an engine could not be reached or has stopped responding.
     fn failed(&mut self, engine: &UpstreamId, now: Moment);
 
-    /// Takes a peer's digest; the peer is silent for good if none comes for a while.
+    /// Applies a peer's digest; a peer that sends none for a while is treated as gone.
     fn peer(&mut self, from: &str, digest: &Digest, now: Moment);
 
-    /// Adds what peers should know to the digest.
+    /// Fills in this placer's part of the digest sent to peers.
     fn digest(&mut self, digest: &mut Digest, now: Moment);
 
-    /// Takes over what a peer believes, where nothing newer is known.
+    /// Applies a peer's view of the caches, where this placer knows nothing newer.
     fn warm(&mut self, warmth: &Warmth, now: Moment);
 
-    /// Gives what is believed, for a peer that has just started.
+    /// Returns this placer's view of the caches, for a peer that has just started.
     fn warmth(&self, now: Moment) -> Warmth;
 
-    /// Describes the state for a dump.
+    /// Renders the state as JSON for a dump.
     fn dump(&self, now: Moment) -> serde_json::Value;
 }
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -1,10 +1,10 @@
 //! The placer that routers use.
 //!
-//! For each request a handful of engines is weighed, whatever the number of all: those believed
-//! to hold the most of its prefix, its home set, and two drawn at random, which find an idle
-//! engine when all the others are busy. The cheapest wins; near ties are drawn at random,
-//! so that routers with the same late reports do not all pile onto one engine. What is sent is
-//! booked at once on the engine's backlog and in the index, long before reports and events tell.
+//! Each request is compared on a few engines, whatever the size of the fleet: those believed to hold
+//! the most of its prefix, its home set, and two drawn at random, which can find an idle engine when
+//! the others are busy. The cheapest is picked. Near ties are broken at random, so that routers with
+//! the same delayed reports do not all send to one engine. A dispatch is added at once to the
+//! engine's backlog and to the index, long before reports and events show it.
 
 use super::candidates::Candidates;
 use super::choose::MIN_COLD_BLOCKS;
@@ -26,23 +26,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Block size of a model that settings do not tell.
+/// Block size of a model that the settings do not list.
 pub const BLOCK: Tokens = Tokens(4096);
 
-/// Pace of what is learned over the whole fleet.
+/// Interval at which values learned over the whole fleet are recomputed.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Engines named in a digest at most, those with the most waiting.
+/// Maximum number of engines in a digest; those with the most waiting tokens are included.
 const MAX_DIGEST_ENGINES: usize = 64;
 
-/// Long prompts under way named in a digest, and blocks of each: a few kilobytes at the most.
+/// Maximum numbers of cold prefills in a digest and of block keys for each, which limit their size to
+/// a few kilobytes.
 const MAX_COLD_PROMPTS: usize = 8;
 const MAX_COLD_KEYS: usize = 64;
 
-/// Keys handed to a peer that starts, which keeps the message under its largest size.
+/// Maximum number of keys sent to a starting peer, which keeps the message within its size limit.
 const MAX_WARM_KEYS: usize = 300_000;
 
-/// Places by prefix, load and home set.
+/// Places requests by cached prefix, load and home set.
 #[derive(Debug)]
 pub struct PrefixPlacer {
     pub(super) domain: DomainId,
@@ -56,22 +57,22 @@
     pub(super) candidates: Candidates,
     pub(super) blocks: FxHashMap<ModelId, Tokens>,
     pub(super) last_refresh: Moment,
-    /// The kept-KV store.
+    /// The kept-KV store, if any.
     pub(super) store: Option<UpstreamId>,
 }
 
 impl PrefixPlacer {
-    /// Starts to build a placer for a router in a failure domain.
+    /// Creates a builder for a router in the given failure domain.
     pub fn builder(domain: DomainId) -> PrefixBuilder {
         PrefixBuilder::new(domain)
     }
 
-    /// The engines as this placer knows them.
+    /// The engines known to this placer.
     pub fn engines(&self) -> &Engines {
         &self.engines
     }
 
-    /// What this placer believes of the engines' caches.
+    /// The index of the engines' caches.
     pub fn index(&self) -> &Index {
         &self.index
     }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Cost in seconds of the request placed last, on any engine; for tests and explanations.
+    /// Cost in seconds of the latest placed request on any given engine; for tests and explanations.
     pub fn cost(&self, ask: &Ask<'_>, id: &UpstreamId, now: Moment) -> Option<f64> {
         let no = self.engines.number(id)?;
         let found = self.candidates.describe(no, &self.engines)?;
@@ -109,11 +110,11 @@
         Some(estimate.cost(ask.class.thrift))
     }
 
-    /// Enters what engines are computing for a peer.
+    /// Records the blocks that engines are computing for a peer.
     ///
-    /// Load: a dossier is lost with its engine, and requests for it come to several routers.
-    /// Harm prevented: each router has it computed on an engine of its own choice, because the
-    /// event that tells of the first comes only when that is done, seconds later.
+    /// When a dossier is lost with its engine, requests for it may reach several routers at once.
+    /// The cache event of the first prefill arrives only when it is done, seconds later; until then
+    /// each router would have the dossier computed on an engine of its own choice.
     fn expect_peer_prefills(&mut self, digest: &Digest, now: Moment) {
         for cold in digest.cold.iter().take(MAX_COLD_PROMPTS) {
             let number = self.engines.number(&cold.engine);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes a request's booking off its engine's books.
+    /// Removes a request's tokens from its engine's backlog and counters.
     fn settle(&mut self, in_flight_request: &InFlightRequest) {
         let Some(engine) = self.engines.get_mut(in_flight_request.engine) else {
             return;
@@ -193,8 +194,8 @@
         if !Feed::listing(no, listing, &mut self.engines, &mut self.index, now) {
             return;
         }
-        // Blocks of requests under way are not in a listing yet; without this the next request
-        // for the same prefix would be sent elsewhere and computed twice.
+        // A listing does not include the blocks of requests in flight. Without this, the next request
+        // for the same prefix could go to another engine and be computed twice.
         let Some((slot, life)) = self.engines.get(no).map(|e| (e.slot, e.incarnation)) else {
             return;
         };
@@ -210,7 +211,7 @@
     }
 
     fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed {
-        // Upkeep that grows with the fleet is left to reports and digests.
+        // Maintenance whose cost grows with the fleet runs on reports and digests instead.
         self.index.tend(now);
         let known = self.candidates.gather(
             ask,
@@ -295,7 +296,7 @@
             self.index.doubt(engine.slot, now);
         }
         if engine.incarnation != in_flight_request.incarnation {
-            // The answer overtook the news of a restart: what was cached then is gone.
+            // The request was sent to a previous incarnation, whose cached blocks are gone.
             return;
         }
         let blocks = usize::try_from(cached.0 / in_flight_request.block.0).unwrap_or(usize::MAX);
