--- a/crates/sesamegap-policy/src/placing/ring.rs
+++ b/crates/sesamegap-policy/src/placing/ring.rs
@@ -42,7 +42,7 @@
     bits: Vec<u64>,
 }
 
-/// Mixes all bits of a number; the finalizer of SplitMix64.
+/// Mixes all bits of a number; the finalizer of `SplitMix64`.
 pub(super) fn mix(mut x: u64) -> u64 {
     x ^= x >> 30;
     x = x.wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -1,122 +1,126 @@
-//! What callers get when demand is skewed and when engines are slow, crash or lose events.
+//! Response times and placements under skewed demand and when engines are slow, crash or lose events.
 
+use super::simulation::{Simulation, quantile};
 use super::support::{chain, engine, entry, listing, report, request};
-use super::world::{World, quantile};
 use sesamegap_policy::{Need, Placed, Placer};
 use sesamegap_wire::engine::{CacheBatch, CacheEvent};
 use sesamegap_wire::peer::{ColdPrompt, Digest};
 use sesamegap_wire::{Incarnation, Moment, Tokens, WeightsVersion};
 use std::collections::HashSet;
 
-/// One busy substation's dossier draws nearly all requests of an hour. If all of them went to
-/// the one engine that holds it, callers would queue there while other engines are idle.
+/// Nearly all requests are for one dossier. If all of them went to the one engine that holds it,
+/// callers would queue there while other engines are idle.
 #[test]
 fn a_very_hot_dossier_is_spread() {
-    let mut world = World::new(8);
+    let mut simulation = Simulation::new(8);
     let mut firsts = Vec::new();
     let mut engines = HashSet::new();
     for seq in 0..600 {
-        let got = world.ask(&chain(0, 0, 10, seq % 400));
+        let outcome = simulation.ask(&chain(0, 0, 10, seq % 400));
         if seq > 200 {
-            firsts.push(got.first);
-            engines.insert(got.engine);
+            firsts.push(outcome.first);
+            engines.insert(outcome.engine);
         }
-        // 250 ms of work for each engine second of 100 ms: one engine alone would fall behind.
-        world.pass(100);
+        // Each request takes about 250 ms of engine time and one arrives every 100 ms, so one engine
+        // alone would fall behind.
+        simulation.advance(100);
     }
     assert!(engines.len() >= 2, "{engines:?}");
     let p95 = quantile(firsts, 0.95);
     assert!(p95 < 2000, "{p95} ms");
 }
 
-/// One engine falls to a quarter of its speed and says nothing of it. Callers whose dossiers lie
-/// there must not wait four times as long for ever, and once it is well it must get work again.
+/// One engine falls to a quarter of its speed without reporting it. Requests for the dossiers it
+/// holds must not stay four times slower, and the engine must get requests again once it recovers.
 #[test]
-fn a_slow_engine_loses_work_and_earns_it_back() {
-    let mut world = World::new(4);
+fn a_slow_engine_loses_traffic_until_it_recovers() {
+    let mut simulation = Simulation::new(4);
     let mut seq = 0;
-    let mut share = |world: &mut World, asks: u64| {
+    let mut share = |simulation: &mut Simulation, asks: u64| {
         let mut there = 0;
         for _ in 0..asks {
             seq += 1;
-            let got = world.ask(&chain(seq % 8, seq % 40, 3, seq % 3));
-            there += u64::from(got.engine == 1);
-            world.pass(150);
+            let outcome = simulation.ask(&chain(seq % 8, seq % 40, 3, seq % 3));
+            there += u64::from(outcome.engine == 1);
+            simulation.advance(150);
         }
         there as f64 / asks as f64
     };
-    share(&mut world, 200);
-    let usual = share(&mut world, 200);
-    world.fakes[1].slowness = 4;
-    share(&mut world, 400);
-    let slow = share(&mut world, 400);
-    world.fakes[1].slowness = 1;
-    share(&mut world, 1500);
-    let later = share(&mut world, 400);
+    share(&mut simulation, 200);
+    let usual = share(&mut simulation, 200);
+    simulation.engines[1].slowness = 4;
+    share(&mut simulation, 400);
+    let slow = share(&mut simulation, 400);
+    simulation.engines[1].slowness = 1;
+    share(&mut simulation, 1500);
+    let later = share(&mut simulation, 400);
     assert!(slow < usual * 0.6, "usual {usual}, slow {slow}");
     assert!(later > slow, "slow {slow}, later {later}");
 }
 
-/// An engine crashes and comes back empty. A request placed on entries of its former life would
-/// be believed cheap and take seconds, and its blocks might come from memory that is gone.
+/// An engine crashes and restarts with an empty cache. A request placed by the index entries of the
+/// previous incarnation would be estimated as cheap but take seconds, and it could use blocks that
+/// are no longer in memory.
 #[test]
-fn nothing_is_believed_of_a_former_life() {
-    let mut world = World::new(3);
+fn entries_of_a_previous_incarnation_are_ignored() {
+    let mut simulation = Simulation::new(3);
     for seq in 0..30 {
-        world.ask(&chain(0, seq % 6, 6, 0));
-        world.pass(700);
+        simulation.ask(&chain(0, seq % 6, 6, 0));
+        simulation.advance(700);
     }
-    world.restart(0);
+    simulation.restart(0);
     let prompt = chain(0, 0, 6, 0);
     for seq in 0..60 {
-        let got = world.ask(&chain(0, seq % 6, 6, 0));
+        let outcome = simulation.ask(&chain(0, seq % 6, 6, 0));
         assert!(
-            got.believed <= got.cached,
+            outcome.predicted <= outcome.cached,
             "{} and {}",
-            got.believed,
-            got.cached
+            outcome.predicted,
+            outcome.cached
         );
-        world.pass(700);
+        simulation.advance(700);
     }
-    assert!(world.ask(&prompt).cached > 0);
+    assert!(simulation.ask(&prompt).cached > 0);
 }
 
-/// An engine restarts, and its first cache event comes before its first report. What it had
-/// loaded is not known then: a request sent there could be answered by other weights.
+/// An engine restarts, and its first cache event arrives before its first report. Which weights it
+/// has loaded is not known then, so a request sent there could be answered by other weights.
 #[test]
-fn a_new_life_must_report_first() {
-    let mut world = World::new(2);
-    let now = Moment(world.now);
+fn a_new_incarnation_must_report_before_placement() {
+    let mut simulation = Simulation::new(2);
+    let now = Moment(simulation.now);
     let batch = CacheBatch {
         incarnation: Incarnation(2),
         events: Vec::new(),
         newest: 0,
     };
-    world.placer.cache(&engine(0), &batch, now);
+    simulation.placer.cache(&engine(0), &batch, now);
     for seq in 0..50 {
-        let Placed::At(at) = world.place(&chain(seq, seq, 3, 0)) else {
-            panic!("the other engine is fit");
+        let Placed::At(at) = simulation.place(&chain(seq, seq, 3, 0)) else {
+            panic!("the other engine is eligible");
         };
         assert_eq!(at.engine, engine(1));
     }
-    world.placer.report(&engine(0), &report(2, 0), now);
-    let again = (0..50).filter(|seq| match world.place(&chain(*seq, *seq, 3, 0)) {
+    simulation.placer.report(&engine(0), &report(2, 0), now);
+    let again = (0..50).filter(|seq| match simulation.place(&chain(*seq, *seq, 3, 0)) {
         Placed::At(at) => at.engine == engine(0) && at.incarnation == Incarnation(2),
         _ => false,
     });
     assert!(again.count() > 0);
 }
 
-/// An answer of an engine's former life, or a peer's word of it, comes late. Its blocks are gone,
-/// and a request placed on them would be computed from nothing.
+/// An answer from an engine's previous incarnation, or a peer's digest about it, arrives late. The
+/// blocks are gone, and a request placed on them would be computed from the start.
 #[test]
-fn late_news_of_a_former_life_is_not_believed() {
-    let mut world = World::new(1);
+fn late_messages_of_a_previous_incarnation_are_ignored() {
+    let mut simulation = Simulation::new(1);
     let prompt = chain(0, 0, 6, 0);
-    world.ask(&prompt);
-    world.restart(0);
-    let now = Moment(world.now);
-    world.placer.started(&request(0), Tokens(7 * 4096), now);
+    simulation.ask(&prompt);
+    simulation.restart(0);
+    let now = Moment(simulation.now);
+    simulation
+        .placer
+        .started(&request(0), Tokens(7 * 4096), now);
     let digest = Digest {
         cold: vec![ColdPrompt {
             engine: engine(0),
@@ -125,22 +129,22 @@
         }],
         ..Digest::default()
     };
-    world.placer.peer("vm-2", &digest, now);
-    let Placed::At(at) = world.place(&prompt) else {
-        panic!("the engine is there");
+    simulation.placer.peer("vm-2", &digest, now);
+    let Placed::At(at) = simulation.place(&prompt) else {
+        panic!("the engine is eligible");
     };
     assert_eq!((at.incarnation, at.cached), (Incarnation(2), Tokens(0)));
 }
 
-/// Events are lost on the way, evictions among them. The router would send requests to blocks
-/// that are gone, again and again, if it did not notice the gap and ask what is there.
+/// Cache events, evictions among them, are lost. Without detecting the gap and requesting a listing,
+/// the router would keep sending requests to blocks that are gone.
 #[test]
-fn a_gap_leads_to_a_listing_and_the_truth() {
-    let mut world = World::new(1);
+fn an_event_gap_leads_to_a_listing() {
+    let mut simulation = Simulation::new(1);
     let prompt = chain(0, 0, 6, 0);
-    world.ask(&prompt);
-    world.pass(2000);
-    world.fakes[0].held.clear();
+    simulation.ask(&prompt);
+    simulation.advance(2000);
+    simulation.engines[0].held.clear();
     let late = CacheBatch {
         incarnation: Incarnation(1),
         events: vec![(
@@ -151,55 +155,57 @@
         )],
         newest: 9,
     };
-    let need = world.placer.cache(&engine(0), &late, Moment(world.now));
+    let need = simulation
+        .placer
+        .cache(&engine(0), &late, Moment(simulation.now));
     assert_eq!(need, Need::Listing);
-    let again = world.placer.cache(&engine(0), &late, Moment(world.now));
-    assert_eq!(
-        again,
-        Need::Nothing,
-        "listings are asked for at a limited rate"
-    );
+    let again = simulation
+        .placer
+        .cache(&engine(0), &late, Moment(simulation.now));
+    assert_eq!(again, Need::Nothing, "listing requests are rate-limited");
     let truth = listing(1, 9, vec![prompt.keys[0]]);
-    world.placer.listing(&engine(0), &truth, Moment(world.now));
-    let Placed::At(at) = world.place(&prompt) else {
-        panic!("the engine is there");
+    simulation
+        .placer
+        .listing(&engine(0), &truth, Moment(simulation.now));
+    let Placed::At(at) = simulation.place(&prompt) else {
+        panic!("the engine is eligible");
     };
     assert_eq!(at.cached.0, 4096);
 }
 
-/// An engine leaves, another lost its weights, a third failed. A request sent there would fail
-/// or be answered by the wrong weights.
+/// One engine is leaving, another has loaded other weights, and a third has failed. A request sent
+/// to any of them would fail or be answered by the wrong weights.
 #[test]
-fn unfit_engines_are_never_chosen() {
-    let mut world = World::new(4);
-    let now = Moment(world.now);
+fn ineligible_engines_are_never_chosen() {
+    let mut simulation = Simulation::new(4);
+    let now = Moment(simulation.now);
     let mut fleet: Vec<_> = (0..4).map(entry).collect();
     fleet[0].leaving = true;
-    world.placer.fleet(&fleet, now);
+    simulation.placer.fleet(&fleet, now);
     let mut other = report(1, 0);
     other.loaded[0].1 = WeightsVersion(2);
-    world.placer.report(&engine(1), &other, now);
-    world.placer.failed(&engine(2), now);
+    simulation.placer.report(&engine(1), &other, now);
+    simulation.placer.failed(&engine(2), now);
     for seq in 0..200 {
-        let Placed::At(at) = world.place(&chain(seq % 9, seq, 3, 0)) else {
-            panic!("one engine is fit");
+        let Placed::At(at) = simulation.place(&chain(seq % 9, seq, 3, 0)) else {
+            panic!("one engine is eligible");
         };
         assert_eq!(at.engine, engine(3));
     }
-    world.placer.failed(&engine(3), now);
-    assert_eq!(world.place(&chain(0, 0, 3, 0)), Placed::Nowhere);
+    simulation.placer.failed(&engine(3), now);
+    assert_eq!(simulation.place(&chain(0, 0, 3, 0)), Placed::Nowhere);
 }
 
-/// An engine comes back empty and idle. If all cold dossiers went there at once, each would wait
-/// for those before it although other engines could compute them.
+/// An engine restarts empty and idle. If all cold dossiers went there at once, each would wait for
+/// those before it although other engines could compute them.
 #[test]
-fn a_cold_engine_is_not_run_over() {
-    let mut world = World::new(4);
-    world.restart(2);
+fn a_restarted_engine_is_not_flooded_with_cold_prefills() {
+    let mut simulation = Simulation::new(4);
+    simulation.restart(2);
     let mut there = 0;
     for seq in 0..8 {
-        let got = world.ask(&chain(seq, 100 + seq, 12, 0));
-        there += u32::from(got.engine == 2);
+        let outcome = simulation.ask(&chain(seq, 100 + seq, 12, 0));
+        there += u32::from(outcome.engine == 2);
     }
     assert!(there <= 3, "{there} of 8 long prompts at once");
 }
--- a/crates/sesamegap-policy/tests/testsuite/placing/homes.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/homes.rs
@@ -1,4 +1,4 @@
-//! Home sets against a full sort, and what all routers must agree on.
+//! Ring and home sets against reference implementations, and properties all routers rely on.
 
 use super::support::{chain, engine, first_failure, key};
 use sesamegap_policy::placing::heat::Heat;
@@ -19,7 +19,7 @@
     ring
 }
 
-/// Finds the order of preference by looking at every point for every probe.
+/// Computes the order of preference by scanning all points for each probe.
 fn naive_walk(ring: &Ring, key: BlockKey, most: usize) -> Vec<EngineNo> {
     let mut found = Vec::new();
     for nth in 0..10_000 {
@@ -41,9 +41,9 @@
 fn check_walk(case: &(u16, u64), skip: u64) -> Result<(), String> {
     let ring = ring(0..case.0 % 40 + 5);
     let mut found = Vec::new();
-    // A skipped probe is the fault put in on purpose.
-    let tested = BlockKey(key(case.1).0.wrapping_add(u128::from(skip) << 64));
-    ring.walk(tested, 4, &mut found);
+    // A shifted key is the injected fault.
+    let production = BlockKey(key(case.1).0.wrapping_add(u128::from(skip) << 64));
+    ring.walk(production, 4, &mut found);
     let wanted = naive_walk(&ring, key(case.1), 4);
     if found == wanted {
         return Ok(());
@@ -52,15 +52,15 @@
 }
 
 #[test]
-fn walk_gives_what_a_look_at_all_points_gives() {
+fn walk_matches_a_scan_of_all_points() {
     assert_eq!(first_failure(|case| check_walk(case, 0)), None);
     assert!(first_failure(|case| check_walk(case, 1)).is_some());
 }
 
-/// Narrows by the code, or by a version that takes the lowest scores instead.
-fn narrow(tested: bool, key: BlockKey, most: usize, all: &[EngineNo]) -> Vec<EngineNo> {
+/// Narrows with the production code, or with a faulty version that keeps the lowest scores.
+fn narrow(production: bool, key: BlockKey, most: usize, all: &[EngineNo]) -> Vec<EngineNo> {
     let mut found = all.to_vec();
-    if tested {
+    if production {
         Homes::default().narrow(key, most, seed, &mut found);
     } else {
         found.sort_by_key(|no| score(key, seed(*no)));
@@ -69,10 +69,10 @@
     found
 }
 
-fn check_narrow(case: &(u16, u64, usize), tested: bool) -> Result<(), String> {
+fn check_narrow(case: &(u16, u64, usize), production: bool) -> Result<(), String> {
     let all: Vec<EngineNo> = (0..case.0 % 50 + 2).map(EngineNo).collect();
     let most = case.2 % all.len() + 1;
-    let found = narrow(tested, key(case.1), most, &all);
+    let found = narrow(production, key(case.1), most, &all);
     let mut sorted = all;
     sorted.sort_by_key(|no| std::cmp::Reverse(score(key(case.1), seed(*no))));
     sorted.truncate(most);
@@ -83,13 +83,13 @@
 }
 
 #[test]
-fn inner_sets_are_the_front_of_a_full_sort() {
+fn inner_sets_match_a_full_sort() {
     assert_eq!(first_failure(|case| check_narrow(case, true)), None);
     assert!(first_failure(|case| check_narrow(case, false)).is_some());
 }
 
 #[test]
-fn every_inner_set_lies_in_the_one_around_it() {
+fn every_inner_set_is_a_subset_of_the_enclosing_set() {
     let ring = ring(0..40);
     let mut heat = Heat::default();
     for dossier in 0..200 {
@@ -111,10 +111,10 @@
     }
 }
 
-/// Two routers learned of the engines in another order, and number them differently. If they
-/// disagreed on homes, each dossier would be computed on several engines.
+/// Two routers learn of the engines in different orders. If they disagreed on home sets, each
+/// dossier would be computed on several engines.
 #[test]
-fn routers_agree_whatever_the_order() {
+fn routers_agree_whatever_the_order_of_engines() {
     let forward = ring(0..30);
     let backward = ring((0..30).rev());
     for number in 0..500 {
@@ -125,9 +125,10 @@
     }
 }
 
-/// An engine leaves. If all keys moved with it, every cache of the fleet would be useless at once.
+/// An engine is removed. If other engines' keys moved too, the caches of the whole fleet would become
+/// useless at once.
 #[test]
-fn an_engine_that_leaves_moves_only_its_own_share() {
+fn a_removed_engine_moves_only_its_own_keys() {
     let before = ring(0..20);
     let mut after = before.clone();
     after.remove(EngineNo(7));
@@ -142,10 +143,10 @@
     }
 }
 
-/// A dossier is hot for a while. Its set must grow, or one engine would have all of its requests;
+/// A dossier is hot for a while. Its home set must grow, or one engine would get all of its requests,
 /// and shrink later, or its blocks would fill the memory of engines that no longer need them.
 #[test]
-fn a_set_grows_with_heat_and_shrinks_later() {
+fn a_set_grows_with_load_and_shrinks_later() {
     let ring = ring(0..20);
     let prompt = chain(1, 1, 6, 1);
     let mut heat = Heat::default();
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn the_sketch_keeps_what_is_hot() {
+fn the_sketch_keeps_the_hottest_prefix() {
     let mut heat = Heat::default();
     for number in 0..20_000 {
         heat.count(key(number));
--- a/crates/sesamegap-policy/tests/testsuite/placing/index.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/index.rs
@@ -1,4 +1,4 @@
-//! The index against a plain map of everything.
+//! The index against a reference implementation on plain maps.
 
 use super::support::{first_failure, key};
 use quickcheck::{Arbitrary, Gen};
@@ -8,8 +8,8 @@
 
 const ENGINES: usize = 4;
 const KEYS: u64 = 24;
-/// Half a second: times are whole ticks, so the map need not know of ticks.
-const STEP: u64 = 500_000;
+/// Half a second, a whole number of ticks, so that the reference needs no ticks.
+const STEP_MICROS: u64 = 500_000;
 
 #[derive(Debug, Clone)]
 enum Op {
@@ -38,18 +38,18 @@
     }
 }
 
-/// What one engine holds: last use and whether confirmed.
+/// Blocks of one engine, with the last use and whether each is confirmed.
 #[derive(Default)]
-struct Plain {
+struct ReferenceCache {
     held: HashMap<u64, (u64, bool)>,
     doubt: Option<u64>,
     age: Option<f64>,
 }
 
-impl Plain {
-    fn put(&mut self, key: u64, now: u64, sure: bool) {
-        let held = self.held.entry(key).or_insert((now, sure));
-        *held = (now, held.1 || sure);
+impl ReferenceCache {
+    fn put(&mut self, key: u64, now: u64, confirmed: bool) {
+        let held = self.held.entry(key).or_insert((now, confirmed));
+        *held = (now, held.1 || confirmed);
     }
 
     fn evict(&mut self, key: u64, now: u64) {
@@ -63,19 +63,19 @@
     fn relist(&mut self, keys: &[u64], now: u64) {
         let old = std::mem::take(&mut self.held);
         for key in keys {
-            let sure = old.get(key).filter(|(_, sure)| *sure);
+            let confirmed = old.get(key).filter(|(_, confirmed)| *confirmed);
             self.held
-                .insert(*key, (sure.map_or(now, |(used, _)| *used), true));
+                .insert(*key, (confirmed.map_or(now, |(used, _)| *used), true));
         }
         self.doubt = None;
     }
 
-    fn believes(&self, key: u64, now: u64) -> bool {
-        let Some((used, sure)) = self.held.get(&key).copied() else {
+    fn is_held(&self, key: u64, now: u64) -> bool {
+        let Some((used, confirmed)) = self.held.get(&key).copied() else {
             return false;
         };
         let age = (now - used) as f64 / 1e6;
-        if !sure {
+        if !confirmed {
             return age < EXPECT.as_secs_f64();
         }
         let doubted = self.doubt.is_some_and(|since| used <= since);
@@ -83,7 +83,7 @@
     }
 }
 
-/// Faults put in on purpose, to see that the check finds them.
+/// Faults injected to verify that the comparison detects them.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -93,13 +93,13 @@
     ForgetsListing,
 }
 
-struct Tested {
+struct IndexUnderTest {
     index: Index,
     slots: Vec<Slot>,
     fault: Fault,
 }
 
-impl Tested {
+impl IndexUnderTest {
     fn apply(&mut self, op: &Op, now: Moment) {
         match op {
             Op::Stored(e, k) => self.index.stored(self.slots[*e], key(*k), now),
@@ -126,44 +126,45 @@
 fn check(ops: &[Op], fault: Fault) -> Result<(), String> {
     let mut index = Index::new(100_000);
     let slots = (0..ENGINES).map(|_| index.open().unwrap()).collect();
-    let mut tested = Tested {
+    let mut tested = IndexUnderTest {
         index,
         slots,
         fault,
     };
-    let mut plain: Vec<Plain> = (0..ENGINES).map(|_| Plain::default()).collect();
+    let mut reference: Vec<ReferenceCache> =
+        (0..ENGINES).map(|_| ReferenceCache::default()).collect();
     let mut now = 1_000_000_000;
     for op in ops {
         tested.apply(op, Moment(now));
         match op {
-            Op::Stored(e, k) => plain[*e].put(*k, now, true),
-            Op::Expect(e, k) => plain[*e].put(*k, now, false),
-            Op::Evicted(e, k) => plain[*e].evict(*k, now),
-            Op::Restart(e) => plain[*e] = Plain::default(),
-            Op::Doubt(e) => plain[*e].doubt = Some(now),
-            Op::Relist(e, keys) => plain[*e].relist(keys, now),
-            Op::Pass(steps) => now += steps * STEP,
+            Op::Stored(e, k) => reference[*e].put(*k, now, true),
+            Op::Expect(e, k) => reference[*e].put(*k, now, false),
+            Op::Evicted(e, k) => reference[*e].evict(*k, now),
+            Op::Restart(e) => reference[*e] = ReferenceCache::default(),
+            Op::Doubt(e) => reference[*e].doubt = Some(now),
+            Op::Relist(e, keys) => reference[*e].relist(keys, now),
+            Op::Pass(steps) => now += steps * STEP_MICROS,
         }
-        // Many calls, so that sweeps go round in the time that passes.
+        // Several calls for each operation, so that sweeps complete within the simulated time.
         for _ in 0..40 {
             tested.index.tend(Moment(now));
         }
-        compare(&tested, &plain, now).map_err(|fault| format!("{fault} after {op:?}"))?;
+        compare(&tested, &reference, now).map_err(|fault| format!("{fault} after {op:?}"))?;
     }
     Ok(())
 }
 
-fn compare(tested: &Tested, plain: &[Plain], now: u64) -> Result<(), String> {
+fn compare(tested: &IndexUnderTest, reference: &[ReferenceCache], now: u64) -> Result<(), String> {
     let numbers: Vec<u64> = (0..KEYS).collect();
     let mut found = Vec::new();
     for chain in numbers.chunks(6) {
         let keys: Vec<BlockKey> = chain.iter().map(|k| key(*k)).collect();
         tested.index.depths(&keys, Moment(now), &mut found);
-        for (engine, plain) in plain.iter().enumerate() {
+        for (engine, reference) in reference.iter().enumerate() {
             let slot = tested.slots[engine];
             let wanted = chain
                 .iter()
-                .take_while(|k| plain.believes(**k, now))
+                .take_while(|k| reference.is_held(**k, now))
                 .count();
             let depth = found
                 .iter()
@@ -179,13 +180,13 @@
 }
 
 #[test]
-fn says_what_a_plain_map_says() {
+fn matches_a_reference_map() {
     let failure = first_failure(|ops: &Vec<Op>| check(ops, Fault::None));
     assert_eq!(failure, None);
 }
 
 #[test]
-fn the_comparison_finds_faults_put_in() {
+fn the_comparison_detects_injected_faults() {
     let faults = [
         Fault::KeepsEvicted,
         Fault::SurvivesRestart,
@@ -197,8 +198,8 @@
     }
 }
 
-/// More blocks come than the index may remember. Without a bound a router's memory grows until
-/// its VM kills it, and all callers on it are cut off.
+/// More blocks arrive than the index may hold. Without a bound, a router's memory would grow until
+/// its VM kills the process and all its callers are disconnected.
 #[test]
 fn forgets_the_oldest_when_full() {
     let mut index = Index::new(10_000);
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn gives_slots_out_again() {
+fn reuses_closed_slots() {
     let mut index = Index::new(1000);
     let mut now = Moment(1_000_000_000);
     for life in 0..70_000_u64 {
--- a/crates/sesamegap-policy/tests/testsuite/placing/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/mod.rs
@@ -1,9 +1,9 @@
-//! Tests of placing: against naive versions, and by what callers get.
+//! Placement tests: comparisons with reference implementations, and simulations of a small fleet.
 
 mod barred;
 mod faults;
 mod homes;
 mod index;
 mod scan;
+mod simulation;
 mod support;
-mod world;
--- a/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
@@ -1,7 +1,8 @@
-//! The handful of candidates against a scan of all engines.
+//! The placer's choice among a few candidates against a scan of all engines.
 
 use super::support::{
-    Everywhere, ask, chain, class, engine, first_failure, listing, model, placer, report, request,
+    UnlimitedRoom, ask, chain, class, engine, first_failure, listing, model, placer, report,
+    request,
 };
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
@@ -12,14 +13,14 @@
 
 const NOW: Moment = Moment(1_000_000_000);
 
-/// How much dearer the chosen engine may be than the best of all, in the mean over a case: near
-/// ties are drawn at random, and not all engines are looked at.
-const MEAN: f64 = 1.05;
+/// Maximum mean ratio, over a case, of the chosen engine's cost to the lowest cost in the fleet. It
+/// exceeds 1 because near ties are broken at random and not all engines are compared.
+const MAX_MEAN_RATIO: f64 = 1.05;
 
-/// Requests placed in a case.
-const ASKS: u64 = 60;
+/// Requests placed in each case.
+const REQUESTS_PER_CASE: u64 = 60;
 
-/// A fleet with random queues and caches.
+/// Creates a placer for a fleet with random queues and caches.
 fn fleet(seed: u64, engines: usize) -> PrefixPlacer {
     let mut rng = ChaCha12Rng::seed_from_u64(seed);
     let mut placer = placer(engines, NOW);
@@ -44,7 +45,7 @@
     placer.cost(ask, id, NOW).unwrap()
 }
 
-/// Mean ratio of the chosen engine's cost to the least of all engines.
+/// Mean ratio of the chosen engine's cost to the lowest cost of all engines.
 fn ratio(
     seed: u64,
     choose: impl Fn(&mut PrefixPlacer, &Ask<'_>, &mut ChaCha12Rng) -> UpstreamId,
@@ -54,7 +55,7 @@
     let mut rng = ChaCha12Rng::seed_from_u64(seed + 1);
     let (model, class) = (model(), class());
     let mut sum = 0.0;
-    for seq in 0..ASKS {
+    for seq in 0..REQUESTS_PER_CASE {
         let chain = chain(rng.random_range(0..4), rng.random_range(0..40), 8, 1);
         let request = request(seq);
         let ask = ask(&request, &model, &chain, &class);
@@ -63,25 +64,25 @@
         let best = all.fold(f64::INFINITY, f64::min);
         sum += cost(&placer, &chosen, &ask) / best;
     }
-    sum / ASKS as f64
+    sum / REQUESTS_PER_CASE as f64
 }
 
 fn place(placer: &mut PrefixPlacer, ask: &Ask<'_>, rng: &mut ChaCha12Rng) -> UpstreamId {
-    match placer.place(ask, &Everywhere, NOW, rng) {
+    match placer.place(ask, &UnlimitedRoom, NOW, rng) {
         Placed::At(at) => at.engine,
         other => panic!("{other:?}"),
     }
 }
 
 fn check(seed: u64, ratio: f64) -> Result<(), String> {
-    if ratio <= MEAN {
+    if ratio <= MAX_MEAN_RATIO {
         return Ok(());
     }
-    Err(format!("{ratio} at {seed}"))
+    Err(format!("mean cost ratio {ratio} at seed {seed}"))
 }
 
 #[test]
-fn a_handful_is_nearly_as_good_as_all() {
+fn candidates_cost_little_more_than_a_full_scan() {
     let failure = first_failure(|seed: &u16| {
         let seed = u64::from(*seed);
         check(seed, ratio(seed, place))
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn the_scan_finds_a_placer_that_looks_at_one_engine() {
+fn the_scan_detects_a_random_choice() {
     let failure = first_failure(|seed: &u16| {
         let seed = u64::from(*seed);
         let random = ratio(seed, |placer, ask, rng| {
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -1,4 +1,4 @@
-//! Cases with fixed seeds, and small things that all tests of placing need.
+//! Property tests with fixed seeds, and fixtures shared by the placement tests.
 
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::placing::PrefixPlacer;
@@ -11,16 +11,16 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Tokens in a block.
+/// Tokens per block.
 pub const BLOCK: u64 = 4096;
 
-/// Cases of each fuzz test unless `SESAMEGAP_CASES` says otherwise.
+/// Number of cases of each property test, unless `SESAMEGAP_CASES` is set.
 const CASES: u64 = 60;
 
-/// The weights that tests place for.
+/// Version of the weights in all requests of these tests.
 pub const VERSION: WeightsVersion = WeightsVersion(1);
 
-/// Runs a check over cases made from fixed seeds; gives the first that fails.
+/// Runs a check on cases generated from fixed seeds and describes the first that fails.
 pub fn first_failure<T: Arbitrary + Debug>(
     check: impl Fn(&T) -> Result<(), String>,
 ) -> Option<String> {
@@ -34,7 +34,7 @@
     })
 }
 
-/// Shrinks a failing case while a smaller one fails too.
+/// Shrinks a failing case for as long as a smaller one fails too.
 fn shrink<T: Arbitrary + Debug>(mut case: T, check: &impl Fn(&T) -> Result<(), String>) -> T {
     while let Some(smaller) = case.shrink().find(|c| check(c).is_err()) {
         case = smaller;
@@ -42,13 +42,13 @@
     case
 }
 
-/// A key that stands for the number.
+/// A block key derived from a number.
 pub fn key(number: u64) -> BlockKey {
     let spread = number.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     BlockKey(u128::from(spread ^ (spread >> 31)) << 64)
 }
 
-/// A chain of a preamble, a dossier and a form.
+/// A prompt made of a preamble, a dossier and a form.
 pub fn chain(team: u64, dossier: u64, blocks: u64, form: u64) -> Chain {
     let mut keys = vec![key(team)];
     keys.extend((0..blocks).map(|at| key(1_000_000 * (team + 1) + 1000 * dossier + at)));
@@ -123,7 +123,7 @@
     }
 }
 
-/// A placer that knows so many idle engines with empty caches.
+/// A placer that knows the given number of idle engines with empty caches.
 pub fn placer(engines: usize, now: Moment) -> PrefixPlacer {
     let mut placer = PrefixPlacer::builder("d0".parse().unwrap()).build();
     let fleet: Vec<_> = (0..engines).map(entry).collect();
@@ -151,10 +151,10 @@
     }
 }
 
-/// Room on every engine.
-pub struct Everywhere;
+/// Reports room on every engine.
+pub struct UnlimitedRoom;
 
-impl Room for Everywhere {
+impl Room for UnlimitedRoom {
     fn has(&self, _engine: &UpstreamId, _prefill: Tokens) -> bool {
         true
     }
