--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -1,7 +1,9 @@
-//! Cost of one placement at three fleet sizes, of one cache event, and bytes an index entry.
+//! Benchmarks of a placement at three fleet sizes, the upkeep, a cache event and an index insertion,
+//! with the memory per index entry.
 //!
-//! Load: every engine holds the blocks of four dossiers with a third of the queues busy; prompts
-//! have 18 blocks on three levels. The fleet of 1,700 is the letter's.
+//! Every engine holds the blocks of eight prompts, and about 30% of the engines have a queue.
+//! Prompts have 18 blocks and three nested prefixes. The largest fleet, 1,700 engines, is the target
+//! deployment size.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::rngs::ChaCha12Rng;
@@ -19,18 +21,19 @@
 use std::time::{Duration, Instant};
 
 const NOW: Moment = Moment(1_000_000_000);
-const DOSSIER: u64 = 16;
+const BLOCKS_PER_DOSSIER: u64 = 16;
 
-struct Everywhere;
+struct UnlimitedRoom;
 
-impl Room for Everywhere {
+impl Room for UnlimitedRoom {
     fn has(&self, _engine: &UpstreamId, _prefill: Tokens) -> bool {
         true
     }
 }
 
-fn name<T: std::str::FromStr>(text: &str) -> T {
-    text.parse().unwrap_or_else(|_| panic!("{text} is no name"))
+fn parse_name<T: std::str::FromStr>(text: &str) -> T {
+    text.parse()
+        .unwrap_or_else(|_| panic!("{text} is not a valid identifier"))
 }
 
 fn key(number: u64) -> BlockKey {
@@ -40,7 +43,7 @@
 
 fn chain(team: u64, dossier: u64, form: u64) -> Chain {
     let mut keys = vec![key(team)];
-    keys.extend((0..DOSSIER).map(|at| key(1000 + (team * 10_000 + dossier) * 100 + at)));
+    keys.extend((0..BLOCKS_PER_DOSSIER).map(|at| key(1000 + (team * 10_000 + dossier) * 100 + at)));
     keys.push(key(1000 + (team * 10_000 + dossier) * 100 + 50 + form));
     Chain {
         tokens: Tokens(keys.len() as u64 * 4096 + 900),
@@ -57,7 +60,7 @@
         waiting: 0,
         prefill: Tokens(prefill),
         capacity: 300,
-        loaded: vec![(name("model"), WeightsVersion(1))],
+        loaded: vec![(parse_name("model"), WeightsVersion(1))],
         loading: false,
         leaving: false,
         fence: None,
@@ -65,21 +68,21 @@
 }
 
 fn engine(at: u64) -> UpstreamId {
-    name(&format!("worker-{at}"))
+    parse_name(&format!("worker-{at}"))
 }
 
-/// Teams and dossiers grow with the fleet, as traffic does.
+/// Number of teams, in proportion to the fleet, as traffic grows with it.
 fn teams(engines: u64) -> u64 {
     engines / 2
 }
 
 fn fleet(engines: u64) -> PrefixPlacer {
     let mut rng = ChaCha12Rng::seed_from_u64(1);
-    let mut placer = PrefixPlacer::builder(name("d0")).build();
+    let mut placer = PrefixPlacer::builder(parse_name("d0")).build();
     let entries: Vec<EngineEntry> = (0..engines)
         .map(|at| EngineEntry {
             id: engine(at),
-            domain: name(&format!("d{}", at % 4)),
+            domain: parse_name(&format!("d{}", at % 4)),
             leaving: false,
         })
         .collect();
@@ -124,11 +127,11 @@
             placer: fleet(engines),
             chains,
             request: RequestId {
-                vm: name("vm"),
+                vm: parse_name("vm"),
                 incarnation: Incarnation(1),
                 seq: 1,
             },
-            model: name("model"),
+            model: parse_name("model"),
             class: ClassSpec {
                 priority: 1,
                 deadline: Duration::from_secs(8),
@@ -144,7 +147,7 @@
     }
 
     fn place(&mut self, at: usize) {
-        // A router of the letter's size takes some 53 requests a second.
+        // In a deployment of the target size, one router gets about 53 requests per second.
         self.now = self.now + Duration::from_millis(19);
         let ask = Ask {
             request: &self.request,
@@ -156,7 +159,7 @@
         };
         let placed = self
             .placer
-            .place(&ask, &Everywhere, self.now, &mut self.rng);
+            .place(&ask, &UnlimitedRoom, self.now, &mut self.rng);
         black_box(placed);
     }
 }
@@ -189,7 +192,7 @@
     group.finish();
 }
 
-/// What is learned anew over the whole fleet once a second, with the digest for peers.
+/// The recomputation over the whole fleet that runs once per second, with the digest for peers.
 fn upkeep(c: &mut Criterion) {
     let mut placer = fleet(1700);
     let mut now = NOW;
@@ -203,7 +206,7 @@
     });
 }
 
-/// One event stores a block and evicts another, in a full index of a daemon's share.
+/// Cache events that alternately store a block and evict it.
 fn event(c: &mut Criterion) {
     let mut placer = fleet(12);
     let mut number = 1_000_000_u64;
@@ -233,7 +236,8 @@
     });
 }
 
-/// Bytes an entry, counted from the tables' capacity, while the index fills to a daemon's share.
+/// Memory per entry, computed from the tables' capacity, while the index fills to a daemon's share,
+/// and the time of an insertion.
 fn bytes(c: &mut Criterion) {
     let mut index = Index::new(530_000);
     let slots: Vec<_> = (0..8).filter_map(|_| index.open()).collect();
@@ -248,7 +252,7 @@
         }
     }
     let each = index.bytes() as f64 / index.len() as f64;
-    println!("index: {least:.1} to {most:.1} bytes an entry, {each:.1} when full");
+    println!("index: {least:.1} to {most:.1} bytes per entry, {each:.1} when full");
     c.bench_function("index store", |b| {
         let mut number = 0;
         b.iter(|| {
