--- a/crates/sesamegap-policy/src/placing/candidates.rs
+++ b/crates/sesamegap-policy/src/placing/candidates.rs
@@ -141,7 +141,7 @@
 
     fn add_random(&mut self, ring: &Ring, engines: &Engines, draws: (u64, u64)) {
         for draw in [draws.0, draws.1] {
-            if let Some(no) = ring.pick_beside(&self.barred, draw) {
+            if let Some(no) = ring.pick_excluding(&self.barred, draw) {
                 self.add(no, engines);
             }
         }
--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -312,7 +312,7 @@
     }
 
     /// Recomputes the typical speed and eviction age.
-    pub fn tend(&mut self, index: &Index, now: Moment) {
+    pub fn update_typical(&mut self, index: &Index, now: Moment) {
         let all = self.all.iter().flatten();
         self.typical = speed::typical(all.clone().map(|e| &e.speed), now);
         let (mut sum, mut count) = (0.0, 0.0);
--- a/crates/sesamegap-policy/src/placing/heat.rs
+++ b/crates/sesamegap-policy/src/placing/heat.rs
@@ -97,7 +97,7 @@
     }
 
     /// Halves the counts and removes timed-out peers once per half-life.
-    pub fn tend(&mut self, now: Moment) {
+    pub fn decay(&mut self, now: Moment) {
         if now < self.last_halved + HALF_LIFE {
             return;
         }
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -6,7 +6,7 @@
 //! truncated to 64 bits: the index is only a hint, so a collision costs one recomputation.
 //!
 //! Each holding records its last use by this router, in coarse ticks, and whether the engine has
-//! confirmed it. An entry made when a request is sent counts for [`EXPECT`] only, unless an event
+//! confirmed it. An entry made when a request is sent counts for [`UNCONFIRMED_TTL`] only, unless an event
 //! or an answer confirms it. Where events were lost, a holding counts while it is younger than the
 //! engine's learned eviction age.
 //!
@@ -20,7 +20,7 @@
 
 /// How long an unconfirmed block counts as held: the time that a long prompt spends in an engine's
 /// queue, plus the delay of its cache event.
-pub const EXPECT: Duration = Duration::from_secs(10);
+pub const UNCONFIRMED_TTL: Duration = Duration::from_secs(10);
 
 /// Number of shards. One is swept at a time, so the longest pause is about a microsecond at a
 /// daemon's share of 353,000 blocks.
@@ -226,7 +226,7 @@
     }
 
     /// Sweeps the next shard if it is due; must be called often.
-    pub fn tend(&mut self, now: Moment) {
+    pub fn sweep(&mut self, now: Moment) {
         if now < self.next {
             return;
         }
@@ -351,7 +351,7 @@
         }
         let age = ticks_since(now, holding.tick());
         if !holding.confirmed() {
-            return seconds(age) < EXPECT.as_secs_f64();
+            return seconds(age) < UNCONFIRMED_TTL.as_secs_f64();
         }
         let doubted = slot_state
             .doubt
@@ -370,7 +370,7 @@
                 holding.confirmed(),
             );
         }
-        live && (holding.confirmed() || seconds(age) < EXPECT.as_secs_f64())
+        live && (holding.confirmed() || seconds(age) < UNCONFIRMED_TTL.as_secs_f64())
     }
 
     fn free_swept_slots(&mut self) {
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -30,7 +30,7 @@
 mod ticks;
 
 pub use builder::PrefixBuilder;
-pub use prefix::{BLOCK, PrefixPlacer};
+pub use prefix::{DEFAULT_BLOCK_SIZE, PrefixPlacer};
 
 use rand::Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
--- a/crates/sesamegap-policy/src/placing/peers.rs
+++ b/crates/sesamegap-policy/src/placing/peers.rs
@@ -46,7 +46,7 @@
     }
 
     /// Removes peers that have timed out; returns the engines whose sum changed.
-    pub fn tend(&mut self, now: Moment) -> Vec<EngineNo> {
+    pub fn expire(&mut self, now: Moment) -> Vec<EngineNo> {
         let silent = self
             .peers
             .iter()
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 /// Block size of a model that the settings do not list.
-pub const BLOCK: Tokens = Tokens(4096);
+pub const DEFAULT_BLOCK_SIZE: Tokens = Tokens(4096);
 
 /// Interval at which values learned over the whole fleet are recomputed.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
@@ -79,18 +79,21 @@
 
     /// Block size of a model.
     pub fn block(&self, model: &ModelId) -> Tokens {
-        self.blocks.get(model).copied().unwrap_or(BLOCK)
+        self.blocks
+            .get(model)
+            .copied()
+            .unwrap_or(DEFAULT_BLOCK_SIZE)
     }
 
-    fn tend(&mut self, now: Moment) {
-        self.index.tend(now);
+    fn maintain(&mut self, now: Moment) {
+        self.index.sweep(now);
         if now < self.last_refresh + REFRESH_INTERVAL {
             return;
         }
         self.last_refresh = now;
-        self.heat.tend(now);
-        self.engines.tend(&self.index, now);
-        for engine in self.peers.tend(now) {
+        self.heat.decay(now);
+        self.engines.update_typical(&self.index, now);
+        for engine in self.peers.expire(now) {
             self.update_peer_backlog(engine, now);
         }
     }
@@ -159,7 +162,7 @@
         for gone in self.engines.list(engines, &mut self.index) {
             self.in_flight.drop_engine(gone);
         }
-        self.tend(now);
+        self.maintain(now);
     }
 
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
@@ -167,11 +170,11 @@
             self.engines.report(no, report, now, &mut self.index);
             self.update_peer_backlog(no, now);
         }
-        self.tend(now);
+        self.maintain(now);
     }
 
     fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
-        self.tend(now);
+        self.maintain(now);
         let Some(no) = self.engines.number(engine) else {
             return Need::Nothing;
         };
@@ -212,7 +215,7 @@
 
     fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed {
         // Maintenance whose cost grows with the fleet runs on reports and digests instead.
-        self.index.tend(now);
+        self.index.sweep(now);
         let known = self.candidates.gather(
             ask,
             &self.engines,
@@ -354,7 +357,7 @@
     }
 
     fn digest(&mut self, digest: &mut Digest, now: Moment) {
-        self.tend(now);
+        self.maintain(now);
         digest.heat = self.heat.hottest();
         let waiting = self.engines.iter().map(|(_, e)| (e.backlog.own(), &e.id));
         let mut waiting: Vec<_> = waiting.filter(|(tokens, _)| tokens.0 > 0).collect();
--- a/crates/sesamegap-policy/src/placing/ring.rs
+++ b/crates/sesamegap-policy/src/placing/ring.rs
@@ -59,7 +59,7 @@
 }
 
 /// Position on the ring of a key's `nth` probe.
-pub fn place(key: BlockKey, nth: u64) -> u64 {
+pub fn probe_position(key: BlockKey, nth: u64) -> u64 {
     let upper = u64::try_from(key.0 >> 64).unwrap_or(0);
     mix(upper.wrapping_add((nth + 1).wrapping_mul(WEYL_STEP)))
 }
@@ -147,7 +147,7 @@
     /// Returns the member at a random position, or the next one after it that is not in `barred`.
     ///
     /// A request excludes only the few engines that it was sent to before, so few are skipped.
-    pub fn pick_beside(&self, barred: &[EngineNo], draw: u64) -> Option<EngineNo> {
+    pub fn pick_excluding(&self, barred: &[EngineNo], draw: u64) -> Option<EngineNo> {
         let len = u64::try_from(self.members.len()).unwrap_or(1).max(1);
         let at = usize::try_from(draw % len).unwrap_or(0);
         let (before, from) = self.members.split_at_checked(at)?;
@@ -161,7 +161,7 @@
         let mut misses = 0;
         let mut probes = 0;
         while found.len() < most && misses < MAX_REPEATED_PROBES {
-            let no = self.successor(place(key, probes));
+            let no = self.successor(probe_position(key, probes));
             probes += 1;
             if found.contains(&no) {
                 misses += 1;
@@ -172,11 +172,15 @@
         }
     }
 
-    fn successor(&self, place: u64) -> EngineNo {
-        let part = place >> (64 - self.starts.len().ilog2());
+    fn successor(&self, position: u64) -> EngineNo {
+        let part = position >> (64 - self.starts.len().ilog2());
         let start = self.starts[usize::try_from(part).unwrap_or(0)];
         let mut at = usize::try_from(start).unwrap_or(0);
-        while self.points.get(at).is_some_and(|(point, _)| *point < place) {
+        while self
+            .points
+            .get(at)
+            .is_some_and(|(point, _)| *point < position)
+        {
             at += 1;
         }
         self.points[at % self.points.len()].1
--- a/crates/sesamegap-policy/tests/testsuite/placing/homes.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/homes.rs
@@ -3,7 +3,7 @@
 use super::support::{chain, engine, first_failure, key};
 use sesamegap_policy::placing::heat::Heat;
 use sesamegap_policy::placing::homes::{Homes, score};
-use sesamegap_policy::placing::ring::{EngineNo, Ring, place};
+use sesamegap_policy::placing::ring::{EngineNo, Ring, probe_position};
 use sesamegap_wire::{BlockKey, Moment};
 
 fn seed(no: EngineNo) -> u64 {
@@ -23,7 +23,7 @@
 fn naive_walk(ring: &Ring, key: BlockKey, most: usize) -> Vec<EngineNo> {
     let mut found = Vec::new();
     for nth in 0..10_000 {
-        let at = place(key, nth);
+        let at = probe_position(key, nth);
         let points = ring.points().iter();
         let (_, no) = points
             .min_by_key(|(point, _)| point.wrapping_sub(at))
@@ -162,10 +162,10 @@
     }
     let hot = size(&heat);
     assert!(hot > cold, "{hot} and {cold}");
-    heat.tend(Moment(15_000_000));
+    heat.decay(Moment(15_000_000));
     assert!(size(&heat) > cold, "a set does not shrink at once");
     for second in 1..20 {
-        heat.tend(Moment(second * 15_000_000));
+        heat.decay(Moment(second * 15_000_000));
     }
     assert_eq!(size(&heat), cold);
 }
--- a/crates/sesamegap-policy/tests/testsuite/placing/index.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/index.rs
@@ -2,7 +2,7 @@
 
 use super::support::{first_failure, key};
 use quickcheck::{Arbitrary, Gen};
-use sesamegap_policy::placing::index::{EXPECT, Index, Slot};
+use sesamegap_policy::placing::index::{Index, Slot, UNCONFIRMED_TTL};
 use sesamegap_wire::{BlockKey, Moment};
 use std::collections::HashMap;
 
@@ -76,7 +76,7 @@
         };
         let age = (now - used) as f64 / 1e6;
         if !confirmed {
-            return age < EXPECT.as_secs_f64();
+            return age < UNCONFIRMED_TTL.as_secs_f64();
         }
         let doubted = self.doubt.is_some_and(|since| used <= since);
         !doubted || age < self.age.unwrap_or(30.0)
@@ -147,7 +147,7 @@
         }
         // Several calls for each operation, so that sweeps complete within the simulated time.
         for _ in 0..40 {
-            tested.index.tend(Moment(now));
+            tested.index.sweep(Moment(now));
         }
         compare(&tested, &reference, now).map_err(|fault| format!("{fault} after {op:?}"))?;
     }
@@ -223,6 +223,6 @@
         index.stored(slot, key(life % 7), now);
         index.close(slot);
         now = Moment(now.0 + 20_000);
-        index.tend(now);
+        index.sweep(now);
     }
 }
