--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::placing::ring::EngineNo;
-use sesamegap_policy::{Ask, Need, Placed, Placement, Placer, Room};
+use sesamegap_policy::{Need, Placed, Placement, PlacementRequest, Placer, Room};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::engine::{CacheBatch, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::{Digest, Warmth};
@@ -64,7 +64,13 @@
 }
 
 impl Baseline {
-    fn choice(&self, no: EngineNo, order: u64, ask: &Ask<'_>, now: Moment) -> Option<Choice> {
+    fn choice(
+        &self,
+        no: EngineNo,
+        order: u64,
+        ask: &PlacementRequest<'_>,
+        now: Moment,
+    ) -> Option<Choice> {
         let engine = self.inner.engines().get(no)?;
         if ask.barred.contains(&engine.id) {
             return None;
@@ -103,7 +109,7 @@
     }
 
     /// All engines that serve the model, in the order that the policy first asks them.
-    fn ordered(&mut self, ask: &Ask<'_>, rng: &mut dyn Rng) -> Vec<EngineNo> {
+    fn ordered(&mut self, ask: &PlacementRequest<'_>, rng: &mut dyn Rng) -> Vec<EngineNo> {
         let Some(members) = self.inner.engines().ring(ask.model, ask.version) else {
             return Vec::new();
         };
@@ -124,7 +130,13 @@
 }
 
 impl Placer for Baseline {
-    fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed {
+    fn place(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        room: &dyn Room,
+        now: Moment,
+        rng: &mut dyn Rng,
+    ) -> Placed {
         let all = self.ordered(ask, rng);
         let choices = all.iter().zip(0..);
         let choices: Vec<Choice> = choices
@@ -162,7 +174,7 @@
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
         self.inner.listing(engine, listing, now);
     }
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, now: Moment) {
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment) {
         self.inner.sent(ask, at, now);
     }
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment) {
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -6,7 +6,7 @@
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::{
-    Ask, Decider, DeciderBuilder, Decision, Observation, Placed, Placer, Room, Work,
+    Decider, DeciderBuilder, Decision, Observation, Placed, PlacementRequest, Placer, Room, Work,
 };
 use sesamegap_wire::engine::Listing;
 use sesamegap_wire::{Incarnation, Moment, Tokens, UpstreamId};
@@ -67,7 +67,7 @@
 
 fn place(placer: &mut PrefixPlacer, work: &Work, now: Moment, rng: &mut ChaCha12Rng) {
     let class = fleet::class();
-    let ask = Ask {
+    let ask = PlacementRequest {
         request: &work.request,
         model: &work.model,
         version: work.version,
--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::placing::index::Index;
-use sesamegap_policy::{Ask, Placer, Room};
+use sesamegap_policy::{PlacementRequest, Placer, Room};
 use sesamegap_settings::ClassSpec;
 use sesamegap_wire::engine::{CacheBatch, CacheEvent, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::Digest;
@@ -149,7 +149,7 @@
     fn place(&mut self, at: usize) {
         // In a deployment of the target size, one router gets about 53 requests per second.
         self.now = self.now + Duration::from_millis(19);
-        let ask = Ask {
+        let ask = PlacementRequest {
             request: &self.request,
             model: &self.model,
             version: WeightsVersion(1),
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -5,7 +5,7 @@
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
 use crate::load::queue::{ANSWER_COST, Item, Offer, Rank};
-use crate::placing::{Ask, Placed, Placement, Placer};
+use crate::placing::{Placed, Placement, PlacementRequest, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
 use sesamegap_wire::{Moment, RequestId};
@@ -88,7 +88,13 @@
         Offer::Dropped
     }
 
-    fn book(&mut self, ask: &Ask<'_>, item: &Item, at: &Placement, hedge: Option<Moment>) {
+    fn book(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        item: &Item,
+        at: &Placement,
+        hedge: Option<Moment>,
+    ) {
         let (work, rank) = (&item.work, item.rank);
         self.placer.sent(ask, at, self.now);
         let missing = work.chain.tokens - at.cached;
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -23,7 +23,7 @@
 use crate::load::limits::{Comebacks, RetryBudget, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::Signal;
-use crate::placing::{Ask, Need, Placer};
+use crate::placing::{Need, PlacementRequest, Placer};
 use flights::Flights;
 use outlook::Outlook;
 use rand::rngs::ChaCha12Rng;
@@ -232,8 +232,8 @@
 }
 
 /// What a placer is asked for a request.
-fn ask<'a>(work: &'a Work, class: &'a ClassSpec) -> Ask<'a> {
-    Ask {
+fn ask<'a>(work: &'a Work, class: &'a ClassSpec) -> PlacementRequest<'a> {
+    PlacementRequest {
         request: &work.request,
         model: &work.model,
         version: work.version,
--- a/crates/sesamegap-policy/src/placing/candidates.rs
+++ b/crates/sesamegap-policy/src/placing/candidates.rs
@@ -5,7 +5,7 @@
 //! four picked the excluded engine twice, and a streamed answer whose engine had crashed ended
 //! early although the other engine was idle.
 
-use super::Ask;
+use super::PlacementRequest;
 use super::engines::Engines;
 use super::heat::Heat;
 use super::homes::Homes;
@@ -49,7 +49,7 @@
     /// Selects candidates for a request; returns `false` if no permitted engine has its weights loaded.
     pub fn gather(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         engines: &Engines,
         index: &Index,
         heat: &Heat,
--- a/crates/sesamegap-policy/src/placing/choose.rs
+++ b/crates/sesamegap-policy/src/placing/choose.rs
@@ -5,7 +5,7 @@
 use super::engines::Engine;
 use super::prefix::PrefixPlacer;
 use super::ring::EngineNo;
-use super::{Ask, Placed, Placement, Room};
+use super::{Placed, Placement, PlacementRequest, Room};
 use rand::Rng;
 use sesamegap_wire::{Moment, Tokens};
 use std::time::Duration;
@@ -56,13 +56,13 @@
 }
 
 impl PrefixPlacer {
-    pub(super) fn is_cold(&self, ask: &Ask<'_>, missing: Tokens) -> bool {
+    pub(super) fn is_cold(&self, ask: &PlacementRequest<'_>, missing: Tokens) -> bool {
         missing.0 >= MIN_COLD_BLOCKS * self.block(ask.model).0
     }
 
     pub(super) fn estimate(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         engine: &Engine,
         found: Candidate,
         now: Moment,
@@ -96,7 +96,7 @@
     /// one only if `allow_excess_cold` is set.
     pub(super) fn weigh(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         room: &dyn Room,
         now: Moment,
         allow_excess_cold: bool,
@@ -136,7 +136,7 @@
     /// the engine that holds it makes no progress.
     pub(super) fn choose(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         scored: &ScoredCandidates,
         now: Moment,
         rng: &mut dyn Rng,
@@ -160,7 +160,7 @@
 
     fn placement(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         no: EngineNo,
         estimate: &CostEstimate,
         now: Moment,
--- a/crates/sesamegap-policy/src/placing/import.rs
+++ b/crates/sesamegap-policy/src/placing/import.rs
@@ -5,7 +5,7 @@
 //! The source is only a hint: an engine computes any block that is missing at the source or that
 //! was computed with other weights.
 
-use super::Ask;
+use super::PlacementRequest;
 use super::candidates::Candidate;
 use super::cost::CostEstimate;
 use super::engines::Engine;
@@ -26,7 +26,7 @@
     /// The kept-KV store holds blocks that all engines evicted, but does not report which.
     pub(super) fn import(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         chosen: EngineNo,
         estimate: &CostEstimate,
         now: Moment,
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -44,7 +44,7 @@
 
 /// Input to the placement of one request.
 #[derive(Debug)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// The request.
     pub request: &'a RequestId,
     /// Requested model.
@@ -128,10 +128,16 @@
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment);
 
     /// Picks an engine; the request is not counted until [`Placer::sent`] is called.
-    fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed;
+    fn place(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        room: &dyn Room,
+        now: Moment,
+        rng: &mut dyn Rng,
+    ) -> Placed;
 
     /// Counts a request that has been sent to an engine.
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, now: Moment);
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment);
 
     /// Records the number of cached tokens that the engine reported when it accepted the request.
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment);
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -16,7 +16,7 @@
 use super::peers::Peers;
 use super::priority_waits::PriorityWaits;
 use super::ring::EngineNo;
-use super::{Ask, Need, Placed, Placement, Placer, PrefixBuilder, Room};
+use super::{Need, Placed, Placement, PlacementRequest, Placer, PrefixBuilder, Room};
 use rand::Rng;
 use rustc_hash::FxHashMap;
 use sesamegap_settings::Catalogue;
@@ -106,7 +106,7 @@
     }
 
     /// Cost in seconds of the latest placed request on any given engine; for tests and explanations.
-    pub fn cost(&self, ask: &Ask<'_>, id: &UpstreamId, now: Moment) -> Option<f64> {
+    pub fn cost(&self, ask: &PlacementRequest<'_>, id: &UpstreamId, now: Moment) -> Option<f64> {
         let no = self.engines.number(id)?;
         let found = self.candidates.describe(no, &self.engines)?;
         let estimate = self.estimate(ask, self.engines.get(no)?, found, now);
@@ -213,7 +213,13 @@
         }
     }
 
-    fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed {
+    fn place(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        room: &dyn Room,
+        now: Moment,
+        rng: &mut dyn Rng,
+    ) -> Placed {
         // Maintenance whose cost grows with the fleet runs on reports and digests instead.
         self.index.sweep(now);
         let known = self.candidates.gather(
@@ -235,7 +241,7 @@
         self.choose(ask, &over, now, rng)
     }
 
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, now: Moment) {
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment) {
         let Some(no) = self.engines.number(&at.engine) else {
             return;
         };
--- a/crates/sesamegap-policy/tests/testsuite/placing/barred.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/barred.rs
@@ -12,7 +12,7 @@
 };
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::{Ask, Placed, Placer};
+use sesamegap_policy::{Placed, PlacementRequest, Placer};
 use sesamegap_wire::{Chain, Moment, Tokens, UpstreamId};
 
 const NOW: Moment = Moment(1_000_000_000);
@@ -42,7 +42,7 @@
             placer.sent(&ask, &at, NOW);
         }
     }
-    let again = Ask { barred, ..ask };
+    let again = PlacementRequest { barred, ..ask };
     placer.place(&again, &UnlimitedRoom, NOW, &mut rng)
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
@@ -8,7 +8,7 @@
 use rand::rngs::ChaCha12Rng;
 use rand::{Rng, RngExt};
 use sesamegap_policy::placing::PrefixPlacer;
-use sesamegap_policy::{Ask, Placed, Placer};
+use sesamegap_policy::{Placed, PlacementRequest, Placer};
 use sesamegap_wire::{Moment, UpstreamId};
 
 const NOW: Moment = Moment(1_000_000_000);
@@ -41,14 +41,14 @@
     placer
 }
 
-fn cost(placer: &PrefixPlacer, id: &UpstreamId, ask: &Ask<'_>) -> f64 {
+fn cost(placer: &PrefixPlacer, id: &UpstreamId, ask: &PlacementRequest<'_>) -> f64 {
     placer.cost(ask, id, NOW).unwrap()
 }
 
 /// Mean ratio of the chosen engine's cost to the lowest cost of all engines.
 fn ratio(
     seed: u64,
-    choose: impl Fn(&mut PrefixPlacer, &Ask<'_>, &mut ChaCha12Rng) -> UpstreamId,
+    choose: impl Fn(&mut PrefixPlacer, &PlacementRequest<'_>, &mut ChaCha12Rng) -> UpstreamId,
 ) -> f64 {
     let engines = 12 + usize::try_from(seed % 60).unwrap();
     let mut placer = fleet(seed, engines);
@@ -67,7 +67,11 @@
     sum / REQUESTS_PER_CASE as f64
 }
 
-fn place(placer: &mut PrefixPlacer, ask: &Ask<'_>, rng: &mut ChaCha12Rng) -> UpstreamId {
+fn place(
+    placer: &mut PrefixPlacer,
+    ask: &PlacementRequest<'_>,
+    rng: &mut ChaCha12Rng,
+) -> UpstreamId {
     match placer.place(ask, &UnlimitedRoom, NOW, rng) {
         Placed::At(at) => at.engine,
         other => panic!("{other:?}"),
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 use sesamegap_policy::placing::PrefixPlacer;
-use sesamegap_policy::{Ask, Placer, Room};
+use sesamegap_policy::{PlacementRequest, Placer, Room};
 use sesamegap_settings::ClassSpec;
 use sesamegap_wire::engine::{EngineEntry, Listing, LoadReport};
 use sesamegap_wire::{
@@ -140,8 +140,8 @@
     model: &'a ModelId,
     chain: &'a Chain,
     class: &'a ClassSpec,
-) -> Ask<'a> {
-    Ask {
+) -> PlacementRequest<'a> {
+    PlacementRequest {
         request,
         model,
         version: VERSION,
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -1,7 +1,7 @@
 //! A placer that knows load and nothing of caches, so that tests of load depend on load alone.
 
 use rand::Rng;
-use sesamegap_policy::placing::{Ask, Need, Placed, Placement, Placer, Room};
+use sesamegap_policy::placing::{Need, Placed, Placement, PlacementRequest, Placer, Room};
 use sesamegap_wire::engine::{CacheBatch, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::{Digest, Warmth};
 use sesamegap_wire::{Moment, RequestId, Tokens, UpstreamId};
@@ -43,7 +43,7 @@
 
     fn place(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         room: &dyn Room,
         _now: Moment,
         _rng: &mut dyn Rng,
@@ -73,7 +73,7 @@
         })
     }
 
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, _now: Moment) {
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, _now: Moment) {
         let booked = (at.engine.clone(), ask.chain.tokens.0);
         self.sent.insert(ask.request.clone(), booked);
     }
