--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -168,8 +168,8 @@
     fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
         self.inner.cache(engine, batch, now)
     }
-    fn wants(&mut self, now: Moment) -> Option<UpstreamId> {
-        self.inner.wants(now)
+    fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
+        self.inner.next_listing(now)
     }
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
         self.inner.listing(engine, listing, now);
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -106,7 +106,7 @@
         self.hedge(now);
         let queue = &self.queue;
         self.outlook.tick(|model| queue.cost(model), now);
-        while let Some(engine) = self.placer.wants(now) {
+        while let Some(engine) = self.placer.next_listing(now) {
             self.ready.push(Decision::List { engine });
         }
         std::mem::take(&mut self.ready)
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -75,7 +75,7 @@
     /// When all routers restart together, none knows the engines' caches, and dossiers that engines
     /// hold would be computed again. Listings are therefore requested as soon as an engine has
     /// reported: small ones at once, large ones one after another.
-    pub fn wants(&mut self, engines: &mut Engines, now: Moment) -> Option<UpstreamId> {
+    pub fn next_listing(&mut self, engines: &mut Engines, now: Moment) -> Option<UpstreamId> {
         if now < self.next {
             return None;
         }
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -120,7 +120,7 @@
     fn store(&mut self, _store: Option<UpstreamId>) {}
 
     /// Returns an engine from which a listing should be requested now, independently of its events.
-    fn wants(&mut self, _now: Moment) -> Option<UpstreamId> {
+    fn next_listing(&mut self, _now: Moment) -> Option<UpstreamId> {
         None
     }
 
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -186,8 +186,8 @@
         self.store = store;
     }
 
-    fn wants(&mut self, now: Moment) -> Option<UpstreamId> {
-        self.feed.wants(&mut self.engines, now)
+    fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
+        self.feed.next_listing(&mut self.engines, now)
     }
 
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
