--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -165,8 +165,8 @@
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         self.inner.report(engine, report, now);
     }
-    fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
-        self.inner.cache(engine, batch, now)
+    fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
+        self.inner.apply_cache_events(engine, batch, now)
     }
     fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
         self.inner.next_listing(now)
--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -231,7 +231,7 @@
                 newest,
             };
             let now = Moment(NOW.0 + newest * 340);
-            black_box(placer.cache(&worker, &batch, now));
+            black_box(placer.apply_cache_events(&worker, &batch, now));
         });
     });
 }
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -170,7 +170,7 @@
     }
 
     fn cache(&mut self, engine: UpstreamId, batch: &CacheBatch, now: Moment) {
-        if self.placer.cache(&engine, batch, now) == Need::Listing {
+        if self.placer.apply_cache_events(&engine, batch, now) == Need::Listing {
             self.ready.push(Decision::List { engine });
         }
     }
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -114,7 +114,7 @@
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
 
     /// Applies an engine's cache events and returns what is needed before its entries can be trusted.
-    fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need;
+    fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need;
 
     /// Sets the kept-KV store, if there is one.
     fn store(&mut self, _store: Option<UpstreamId>) {}
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -173,7 +173,7 @@
         self.maintain(now);
     }
 
-    fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
+    fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
         self.maintain(now);
         let Some(no) = self.engines.number(engine) else {
             return Need::Nothing;
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -94,7 +94,9 @@
         events: Vec::new(),
         newest: 0,
     };
-    simulation.placer.cache(&engine(0), &batch, now);
+    simulation
+        .placer
+        .apply_cache_events(&engine(0), &batch, now);
     for seq in 0..50 {
         let Placed::At(at) = simulation.place(&chain(seq, seq, 3, 0)) else {
             panic!("the other engine is eligible");
@@ -157,11 +159,11 @@
     };
     let need = simulation
         .placer
-        .cache(&engine(0), &late, Moment(simulation.now));
+        .apply_cache_events(&engine(0), &late, Moment(simulation.now));
     assert_eq!(need, Need::Listing);
     let again = simulation
         .placer
-        .cache(&engine(0), &late, Moment(simulation.now));
+        .apply_cache_events(&engine(0), &late, Moment(simulation.now));
     assert_eq!(again, Need::Nothing, "listing requests are rate-limited");
     let truth = listing(1, 9, vec![prompt.keys[0]]);
     simulation
--- a/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
@@ -190,7 +190,7 @@
             events: vec![(engine_state.events, CacheEvent::Stored { keys })],
             newest: engine_state.events,
         };
-        self.placer.cache(&engine(worker), &batch, now);
+        self.placer.apply_cache_events(&engine(worker), &batch, now);
     }
 }
 
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -35,7 +35,12 @@
         self.engines.insert(engine.clone(), Some(report.clone()));
     }
 
-    fn cache(&mut self, _engine: &UpstreamId, _batch: &CacheBatch, _now: Moment) -> Need {
+    fn apply_cache_events(
+        &mut self,
+        _engine: &UpstreamId,
+        _batch: &CacheBatch,
+        _now: Moment,
+    ) -> Need {
         Need::Nothing
     }
 
