--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -180,8 +180,8 @@
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment) {
         self.inner.started(request, cached, now);
     }
-    fn first(&mut self, request: &RequestId, now: Moment) {
-        self.inner.first(request, now);
+    fn first_token(&mut self, request: &RequestId, now: Moment) {
+        self.inner.first_token(request, now);
     }
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment) {
         self.inner.finished(request, whole, now);
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -80,7 +80,7 @@
     };
     placer.sent(&ask, &at, now);
     placer.started(&work.request, at.cached, now);
-    placer.first(&work.request, now + at.wait);
+    placer.first_token(&work.request, now + at.wait);
     placer.finished(&work.request, true, now + at.wait);
 }
 
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -176,7 +176,7 @@
     }
 
     fn first(&mut self, request: &RequestId, now: Moment) {
-        self.placer.first(request, now);
+        self.placer.first_token(request, now);
         let Some(flight) = self.flights.first(request) else {
             return;
         };
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -143,7 +143,7 @@
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment);
 
     /// Records that the first token of an answer has arrived.
-    fn first(&mut self, request: &RequestId, now: Moment);
+    fn first_token(&mut self, request: &RequestId, now: Moment);
 
     /// Records that a request has left its engine; `whole` tells whether its answer is complete.
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment);
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -314,7 +314,7 @@
         }
     }
 
-    fn first(&mut self, request: &RequestId, now: Moment) {
+    fn first_token(&mut self, request: &RequestId, now: Moment) {
         let Some(in_flight_request) = self.in_flight.get_mut(request) else {
             return;
         };
--- a/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
@@ -171,7 +171,7 @@
             match pending {
                 Event::Started(id, cached) => self.placer.started(&id, cached, now),
                 Event::First(id) => {
-                    self.placer.first(&id, now);
+                    self.placer.first_token(&id, now);
                     self.placer.finished(&id, true, now);
                 }
                 Event::Stored(worker, keys) => self.stored(worker, keys, now),
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -85,7 +85,7 @@
 
     fn started(&mut self, _request: &RequestId, _cached: Tokens, _now: Moment) {}
 
-    fn first(&mut self, request: &RequestId, _now: Moment) {
+    fn first_token(&mut self, request: &RequestId, _now: Moment) {
         if let Some((_, tokens)) = self.sent.get_mut(request) {
             *tokens = 500;
         }
