--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -189,8 +189,8 @@
     fn failed(&mut self, engine: &UpstreamId, now: Moment) {
         self.inner.failed(engine, now);
     }
-    fn peer(&mut self, from: &str, digest: &Digest, now: Moment) {
-        self.inner.peer(from, digest, now);
+    fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment) {
+        self.inner.apply_digest(from, digest, now);
     }
     fn digest(&mut self, digest: &mut Digest, now: Moment) {
         self.inner.digest(digest, now);
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -214,7 +214,7 @@
     }
 
     fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
-        self.placer.peer(vm.as_str(), digest, now);
+        self.placer.apply_digest(vm.as_str(), digest, now);
         self.teams.peer(vm, digest, now);
         self.windows.routers(self.teams.shared_by());
     }
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -152,7 +152,7 @@
     fn failed(&mut self, engine: &UpstreamId, now: Moment);
 
     /// Applies a peer's digest; a peer that sends none for a while is treated as gone.
-    fn peer(&mut self, from: &str, digest: &Digest, now: Moment);
+    fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment);
 
     /// Fills in this placer's part of the digest sent to peers.
     fn digest(&mut self, digest: &mut Digest, now: Moment);
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -350,7 +350,7 @@
         }
     }
 
-    fn peer(&mut self, from: &str, digest: &Digest, now: Moment) {
+    fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment) {
         self.heat.peer(from, &digest.heat, now);
         let waiting = digest.prefill.iter().take(MAX_DIGEST_ENGINES);
         let waiting = waiting
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -131,7 +131,7 @@
         }],
         ..Digest::default()
     };
-    simulation.placer.peer("vm-2", &digest, now);
+    simulation.placer.apply_digest("vm-2", &digest, now);
     let Placed::At(at) = simulation.place(&prompt) else {
         panic!("the engine is eligible");
     };
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -99,7 +99,7 @@
         self.engines.insert(engine.clone(), None);
     }
 
-    fn peer(&mut self, _from: &str, _digest: &Digest, _now: Moment) {}
+    fn apply_digest(&mut self, _from: &str, _digest: &Digest, _now: Moment) {}
 
     fn digest(&mut self, _digest: &mut Digest, _now: Moment) {}
 
