--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -195,8 +195,8 @@
     fn digest(&mut self, digest: &mut Digest, now: Moment) {
         self.inner.digest(digest, now);
     }
-    fn warm(&mut self, warmth: &Warmth, now: Moment) {
-        self.inner.warm(warmth, now);
+    fn apply_warmth(&mut self, warmth: &Warmth, now: Moment) {
+        self.inner.apply_warmth(warmth, now);
     }
     fn warmth(&self, now: Moment) -> Warmth {
         self.inner.warmth(now)
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -86,7 +86,7 @@
                 self.windows.routers(self.teams.shared_by());
             }
             Observation::Peer(vm, digest) => self.peer(vm, &digest, now),
-            Observation::Warm(warmth) => self.placer.warm(&warmth, now),
+            Observation::Warm(warmth) => self.placer.apply_warmth(&warmth, now),
         }
     }
 
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -158,7 +158,7 @@
     fn digest(&mut self, digest: &mut Digest, now: Moment);
 
     /// Applies a peer's view of the caches, where this placer knows nothing newer.
-    fn warm(&mut self, warmth: &Warmth, now: Moment);
+    fn apply_warmth(&mut self, warmth: &Warmth, now: Moment);
 
     /// Returns this placer's view of the caches, for a peer that has just started.
     fn warmth(&self, now: Moment) -> Warmth;
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -386,7 +386,7 @@
         digest.cold = cold.collect();
     }
 
-    fn warm(&mut self, warmth: &Warmth, now: Moment) {
+    fn apply_warmth(&mut self, warmth: &Warmth, now: Moment) {
         for cache in &warmth.engines {
             if let Some(no) = self.engines.number(&cache.engine) {
                 Feed::warm(no, cache, &mut self.engines, &mut self.index, now);
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -103,7 +103,7 @@
 
     fn digest(&mut self, _digest: &mut Digest, _now: Moment) {}
 
-    fn warm(&mut self, _warmth: &Warmth, _now: Moment) {}
+    fn apply_warmth(&mut self, _warmth: &Warmth, _now: Moment) {}
 
     fn warmth(&self, _now: Moment) -> Warmth {
         Warmth::default()
