--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -159,8 +159,8 @@
     fn settings(&mut self, catalogue: &Catalogue) {
         self.inner.settings(catalogue);
     }
-    fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
-        self.inner.fleet(engines, now);
+    fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
+        self.inner.set_engines(engines, now);
     }
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         self.inner.report(engine, report, now);
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -47,7 +47,7 @@
     let mut rows = Rows::new("placing", "engines");
     for size in sizes {
         let mut placer = PrefixPlacer::builder(id("domain-0")).build();
-        placer.fleet(&fleet::entries(*size), START);
+        placer.set_engines(&fleet::entries(*size), START);
         for at in 0..*size {
             placer.report(&fleet::engine(at), &fleet::report(), START);
             placer.listing(&fleet::engine(at), &listing(), START);
--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -86,7 +86,7 @@
             leaving: false,
         })
         .collect();
-    placer.fleet(&entries, NOW);
+    placer.set_engines(&entries, NOW);
     for at in 0..engines {
         let queued = if rng.random_bool(0.3) { 20_000 } else { 0 };
         placer.report(&engine(at), &report(queued), NOW);
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -163,7 +163,7 @@
     }
 
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
-        self.placer.fleet(engines, now);
+        self.placer.set_engines(engines, now);
         let known: rustc_hash::FxHashSet<_> = engines.iter().map(|entry| &entry.id).collect();
         self.windows.keep(|id| known.contains(id));
         self.queue.room();
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -108,7 +108,7 @@
     fn settings(&mut self, _catalogue: &Catalogue) {}
 
     /// Replaces the list of engines in use.
-    fn fleet(&mut self, engines: &[EngineEntry], now: Moment);
+    fn set_engines(&mut self, engines: &[EngineEntry], now: Moment);
 
     /// Applies an engine's load report.
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -158,7 +158,7 @@
             .collect();
     }
 
-    fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
+    fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
         for gone in self.engines.list(engines, &mut self.index) {
             self.in_flight.drop_engine(gone);
         }
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -183,7 +183,7 @@
     let now = Moment(simulation.now);
     let mut fleet: Vec<_> = (0..4).map(entry).collect();
     fleet[0].leaving = true;
-    simulation.placer.fleet(&fleet, now);
+    simulation.placer.set_engines(&fleet, now);
     let mut other = report(1, 0);
     other.loaded[0].1 = WeightsVersion(2);
     simulation.placer.report(&engine(1), &other, now);
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -127,7 +127,7 @@
 pub fn placer(engines: usize, now: Moment) -> PrefixPlacer {
     let mut placer = PrefixPlacer::builder("d0".parse().unwrap()).build();
     let fleet: Vec<_> = (0..engines).map(entry).collect();
-    placer.fleet(&fleet, now);
+    placer.set_engines(&fleet, now);
     for at in 0..engines {
         placer.report(&engine(at), &report(1, 0), now);
         placer.listing(&engine(at), &listing(1, 0, Vec::new()), now);
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -24,7 +24,7 @@
 }
 
 impl Placer for LeastPlacer {
-    fn fleet(&mut self, engines: &[EngineEntry], _now: Moment) {
+    fn set_engines(&mut self, engines: &[EngineEntry], _now: Moment) {
         self.engines = engines
             .iter()
             .map(|entry| (entry.id.clone(), None))
