--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -143,7 +143,7 @@
             .filter_map(|(no, order)| self.choice(*no, order, ask, now))
             .collect();
         if choices.is_empty() {
-            return Placed::Nowhere;
+            return Placed::NoEngine;
         }
         if let Some(wait) = self.waits(&choices, room) {
             return Placed::Full(wait);
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -53,7 +53,7 @@
         let placed = self.placer.place(&ask, &room, self.now, self.rng);
         drop(room);
         match placed {
-            Placed::Nowhere => self.drop(item, RefusalCode::NoEngine),
+            Placed::NoEngine => self.drop(item, RefusalCode::NoEngine),
             Placed::Full(wait) => {
                 let again = self.now + wait.clamp(RETRY.0, RETRY.1);
                 self.retry = Some(self.retry.map_or(again, |at| at.min(again)));
--- a/crates/sesamegap-policy/src/placing/choose.rs
+++ b/crates/sesamegap-policy/src/placing/choose.rs
@@ -154,7 +154,7 @@
         let mut ties = ties;
         match ties.nth(draw) {
             Some((_, no, estimate)) => self.placement(ask, *no, estimate, now),
-            None => Placed::Nowhere,
+            None => Placed::NoEngine,
         }
     }
 
@@ -166,7 +166,7 @@
         now: Moment,
     ) -> Placed {
         let Some(engine) = self.engines.get(no) else {
-            return Placed::Nowhere;
+            return Placed::NoEngine;
         };
         Placed::At(Placement {
             engine: engine.id.clone(),
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -83,7 +83,7 @@
     /// estimated wait for room.
     Full(Duration),
     /// No eligible engine has this version of the model loaded.
-    Nowhere,
+    NoEngine,
 }
 
 /// What a placer needs before it can trust an engine's index entries again.
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -231,7 +231,7 @@
             (rng.next_u64(), rng.next_u64()),
         );
         if !known {
-            return Placed::Nowhere;
+            return Placed::NoEngine;
         }
         let within = self.weigh(ask, room, now, false);
         if !within.is_empty() {
--- a/crates/sesamegap-policy/tests/testsuite/placing/barred.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/barred.rs
@@ -74,7 +74,7 @@
     };
     let placed = place(engines, &barred, &prompt, case.2);
     match placed {
-        Placed::Nowhere if barred.len() == engines && strict => Ok(()),
+        Placed::NoEngine if barred.len() == engines && strict => Ok(()),
         Placed::At(at) if !barred.contains(&at.engine) => Ok(()),
         other => Err(format!("{engines} engines, excluded {barred:?}: {other:?}")),
     }
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -195,7 +195,7 @@
         assert_eq!(at.engine, engine(3));
     }
     simulation.placer.failed(&engine(3), now);
-    assert_eq!(simulation.place(&chain(0, 0, 3, 0)), Placed::Nowhere);
+    assert_eq!(simulation.place(&chain(0, 0, 3, 0)), Placed::NoEngine);
 }
 
 /// An engine restarts empty and idle. If all cold dossiers went there at once, each would wait for
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -61,7 +61,7 @@
             .filter_map(|(id, report)| Some((id, report.as_ref()?)))
             .collect();
         if live.is_empty() {
-            return Placed::Nowhere;
+            return Placed::NoEngine;
         }
         let free = live
             .into_iter()
