--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::placing::ring::EngineNo;
-use sesamegap_policy::{Need, Placed, Placement, PlacementRequest, Placer, Room};
+use sesamegap_policy::{Need, Placement, PlacementOutcome, PlacementRequest, Placer, Room};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::engine::{CacheBatch, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::{Digest, Warmth};
@@ -136,24 +136,26 @@
         room: &dyn Room,
         now: Moment,
         rng: &mut dyn Rng,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         let all = self.ordered(ask, rng);
         let choices = all.iter().zip(0..);
         let choices: Vec<Choice> = choices
             .filter_map(|(no, order)| self.choice(*no, order, ask, now))
             .collect();
         if choices.is_empty() {
-            return Placed::NoEngine;
+            return PlacementOutcome::NoEngine;
         }
         if let Some(wait) = self.waits(&choices, room) {
-            return Placed::Full(wait);
+            return PlacementOutcome::Full(wait);
         }
         let shortest = choices.iter().map(|c| c.at.wait).min().unwrap_or_default();
         let free = choices
             .into_iter()
             .filter(|c| room.has(&c.at.engine, c.missing));
         let best = free.min_by_key(|c| c.order);
-        best.map_or(Placed::Full(shortest), |c| Placed::At(c.at))
+        best.map_or(PlacementOutcome::Full(shortest), |c| {
+            PlacementOutcome::At(c.at)
+        })
     }
 
     fn settings(&mut self, catalogue: &Catalogue) {
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -6,7 +6,8 @@
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::{
-    Decider, DeciderBuilder, Decision, Observation, Placed, PlacementRequest, Placer, Room, Work,
+    Decider, DeciderBuilder, Decision, Observation, PlacementOutcome, PlacementRequest, Placer,
+    Room, Work,
 };
 use sesamegap_wire::engine::Listing;
 use sesamegap_wire::{Incarnation, Moment, Tokens, UpstreamId};
@@ -75,7 +76,7 @@
         class: &class,
         barred: &[],
     };
-    let Placed::At(at) = placer.place(&ask, &Everywhere, now, rng) else {
+    let PlacementOutcome::At(at) = placer.place(&ask, &Everywhere, now, rng) else {
         return;
     };
     placer.sent(&ask, &at, now);
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -5,7 +5,7 @@
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
 use crate::load::queue::{ANSWER_COST, Item, Offer, Rank};
-use crate::placing::{Placed, Placement, PlacementRequest, Placer};
+use crate::placing::{Placement, PlacementOutcome, PlacementRequest, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
 use sesamegap_wire::{Moment, RequestId};
@@ -53,14 +53,16 @@
         let placed = self.placer.place(&ask, &room, self.now, self.rng);
         drop(room);
         match placed {
-            Placed::NoEngine => self.drop(item, RefusalCode::NoEngine),
-            Placed::Full(wait) => {
+            PlacementOutcome::NoEngine => self.drop(item, RefusalCode::NoEngine),
+            PlacementOutcome::Full(wait) => {
                 let again = self.now + wait.clamp(RETRY.0, RETRY.1);
                 self.retry = Some(self.retry.map_or(again, |at| at.min(again)));
                 Offer::Full
             }
-            Placed::At(at) if self.comes_late(item, &at) => self.drop(item, RefusalCode::Deadline),
-            Placed::At(at) => {
+            PlacementOutcome::At(at) if self.comes_late(item, &at) => {
+                self.drop(item, RefusalCode::Deadline)
+            }
+            PlacementOutcome::At(at) => {
                 let hedge = hedge.filter(|_| class.hedge);
                 self.book(&ask, item, &at, hedge);
                 let missing = (item.work.chain.tokens - at.cached).0;
@@ -185,7 +187,7 @@
         let room = self.windows.room(highest);
         let placed = self.placer.place(&ask, &room, now, &mut self.rng);
         drop(room);
-        let Placed::At(at) = placed else {
+        let PlacementOutcome::At(at) = placed else {
             self.budget.refund();
             return;
         };
--- a/crates/sesamegap-policy/src/lib.rs
+++ b/crates/sesamegap-policy/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod shifting;
 
 pub use decider::{Decider, DeciderBuilder, Decision, Observation, Refusal, RefusalCode, Work};
-pub use placing::{Need, Placed, Placement, PlacementRequest, Placer, Room};
+pub use placing::{Need, Placement, PlacementOutcome, PlacementRequest, Placer, Room};
--- a/crates/sesamegap-policy/src/placing/choose.rs
+++ b/crates/sesamegap-policy/src/placing/choose.rs
@@ -5,7 +5,7 @@
 use super::engines::Engine;
 use super::prefix::PrefixPlacer;
 use super::ring::EngineNo;
-use super::{Placed, Placement, PlacementRequest, Room};
+use super::{Placement, PlacementOutcome, PlacementRequest, Room};
 use rand::Rng;
 use sesamegap_wire::{Moment, Tokens};
 use std::time::Duration;
@@ -140,9 +140,9 @@
         scored: &ScoredCandidates,
         now: Moment,
         rng: &mut dyn Rng,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         if scored.lowest_full + MIN_SAVED_SECONDS < scored.lowest_available {
-            return Placed::Full(Duration::from_secs_f64(scored.wait.min(MAX_ROOM_WAIT)));
+            return PlacementOutcome::Full(Duration::from_secs_f64(scored.wait.min(MAX_ROOM_WAIT)));
         }
         let limit = tie_limit(scored.lowest_available);
         let ties = scored
@@ -154,7 +154,7 @@
         let mut ties = ties;
         match ties.nth(draw) {
             Some((_, no, estimate)) => self.placement(ask, *no, estimate, now),
-            None => Placed::NoEngine,
+            None => PlacementOutcome::NoEngine,
         }
     }
 
@@ -164,11 +164,11 @@
         no: EngineNo,
         estimate: &CostEstimate,
         now: Moment,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         let Some(engine) = self.engines.get(no) else {
-            return Placed::NoEngine;
+            return PlacementOutcome::NoEngine;
         };
-        Placed::At(Placement {
+        PlacementOutcome::At(Placement {
             engine: engine.id.clone(),
             incarnation: engine.incarnation,
             cached: ask.chain.tokens - estimate.missing,
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -76,7 +76,7 @@
 
 /// Outcome of a placement.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Placed {
+pub enum PlacementOutcome {
     /// An engine with room was chosen.
     At(Placement),
     /// Engines with the model loaded have no room now; contains the shortest
@@ -134,7 +134,7 @@
         room: &dyn Room,
         now: Moment,
         rng: &mut dyn Rng,
-    ) -> Placed;
+    ) -> PlacementOutcome;
 
     /// Counts a request that has been sent to an engine.
     fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment);
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -16,7 +16,7 @@
 use super::peers::Peers;
 use super::priority_waits::PriorityWaits;
 use super::ring::EngineNo;
-use super::{Need, Placed, Placement, PlacementRequest, Placer, PrefixBuilder, Room};
+use super::{Need, Placement, PlacementOutcome, PlacementRequest, Placer, PrefixBuilder, Room};
 use rand::Rng;
 use rustc_hash::FxHashMap;
 use sesamegap_settings::Catalogue;
@@ -219,7 +219,7 @@
         room: &dyn Room,
         now: Moment,
         rng: &mut dyn Rng,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         // Maintenance whose cost grows with the fleet runs on reports and digests instead.
         self.index.sweep(now);
         let known = self.candidates.gather(
@@ -231,7 +231,7 @@
             (rng.next_u64(), rng.next_u64()),
         );
         if !known {
-            return Placed::NoEngine;
+            return PlacementOutcome::NoEngine;
         }
         let within = self.weigh(ask, room, now, false);
         if !within.is_empty() {
--- a/crates/sesamegap-policy/tests/testsuite/placing/barred.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/barred.rs
@@ -12,7 +12,7 @@
 };
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
-use sesamegap_policy::{Placed, PlacementRequest, Placer};
+use sesamegap_policy::{PlacementOutcome, PlacementRequest, Placer};
 use sesamegap_wire::{Chain, Moment, Tokens, UpstreamId};
 
 const NOW: Moment = Moment(1_000_000_000);
@@ -30,7 +30,7 @@
 }
 
 /// Places a prompt on a fleet of idle engines of which some are excluded.
-fn place(engines: usize, barred: &[UpstreamId], chain: &Chain, draw: u64) -> Placed {
+fn place(engines: usize, barred: &[UpstreamId], chain: &Chain, draw: u64) -> PlacementOutcome {
     let mut placer = placer(engines, NOW);
     // Earlier requests make some engines holders of the prompt, and thereby another kind of candidate.
     let (id, model, class) = (request(0), model(), class());
@@ -38,7 +38,7 @@
     assert_eq!(ask.version, VERSION);
     let mut rng = ChaCha12Rng::seed_from_u64(draw);
     for _ in 0..draw % 4 {
-        if let Placed::At(at) = placer.place(&ask, &UnlimitedRoom, NOW, &mut rng) {
+        if let PlacementOutcome::At(at) = placer.place(&ask, &UnlimitedRoom, NOW, &mut rng) {
             placer.sent(&ask, &at, NOW);
         }
     }
@@ -50,7 +50,7 @@
 fn the_other_engine_of_two_is_found_at_every_draw() {
     let barred = [engine(1)];
     for draw in 0..DRAWS {
-        let Placed::At(at) = place(2, &barred, &short(), draw) else {
+        let PlacementOutcome::At(at) = place(2, &barred, &short(), draw) else {
             panic!("draw {draw}: the idle engine was not chosen");
         };
         assert_eq!(at.engine, engine(0));
@@ -74,8 +74,8 @@
     };
     let placed = place(engines, &barred, &prompt, case.2);
     match placed {
-        Placed::NoEngine if barred.len() == engines && strict => Ok(()),
-        Placed::At(at) if !barred.contains(&at.engine) => Ok(()),
+        PlacementOutcome::NoEngine if barred.len() == engines && strict => Ok(()),
+        PlacementOutcome::At(at) if !barred.contains(&at.engine) => Ok(()),
         other => Err(format!("{engines} engines, excluded {barred:?}: {other:?}")),
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -2,7 +2,7 @@
 
 use super::simulation::{Simulation, quantile};
 use super::support::{chain, engine, entry, listing, report, request};
-use sesamegap_policy::{Need, Placed, Placer};
+use sesamegap_policy::{Need, PlacementOutcome, Placer};
 use sesamegap_wire::engine::{CacheBatch, CacheEvent};
 use sesamegap_wire::peer::{ColdPrompt, Digest};
 use sesamegap_wire::{Incarnation, Moment, Tokens, WeightsVersion};
@@ -98,14 +98,14 @@
         .placer
         .apply_cache_events(&engine(0), &batch, now);
     for seq in 0..50 {
-        let Placed::At(at) = simulation.place(&chain(seq, seq, 3, 0)) else {
+        let PlacementOutcome::At(at) = simulation.place(&chain(seq, seq, 3, 0)) else {
             panic!("the other engine is eligible");
         };
         assert_eq!(at.engine, engine(1));
     }
     simulation.placer.report(&engine(0), &report(2, 0), now);
     let again = (0..50).filter(|seq| match simulation.place(&chain(*seq, *seq, 3, 0)) {
-        Placed::At(at) => at.engine == engine(0) && at.incarnation == Incarnation(2),
+        PlacementOutcome::At(at) => at.engine == engine(0) && at.incarnation == Incarnation(2),
         _ => false,
     });
     assert!(again.count() > 0);
@@ -132,7 +132,7 @@
         ..Digest::default()
     };
     simulation.placer.apply_digest("vm-2", &digest, now);
-    let Placed::At(at) = simulation.place(&prompt) else {
+    let PlacementOutcome::At(at) = simulation.place(&prompt) else {
         panic!("the engine is eligible");
     };
     assert_eq!((at.incarnation, at.cached), (Incarnation(2), Tokens(0)));
@@ -169,7 +169,7 @@
     simulation
         .placer
         .listing(&engine(0), &truth, Moment(simulation.now));
-    let Placed::At(at) = simulation.place(&prompt) else {
+    let PlacementOutcome::At(at) = simulation.place(&prompt) else {
         panic!("the engine is eligible");
     };
     assert_eq!(at.cached.0, 4096);
@@ -189,13 +189,16 @@
     simulation.placer.report(&engine(1), &other, now);
     simulation.placer.failed(&engine(2), now);
     for seq in 0..200 {
-        let Placed::At(at) = simulation.place(&chain(seq % 9, seq, 3, 0)) else {
+        let PlacementOutcome::At(at) = simulation.place(&chain(seq % 9, seq, 3, 0)) else {
             panic!("one engine is eligible");
         };
         assert_eq!(at.engine, engine(3));
     }
     simulation.placer.failed(&engine(3), now);
-    assert_eq!(simulation.place(&chain(0, 0, 3, 0)), Placed::NoEngine);
+    assert_eq!(
+        simulation.place(&chain(0, 0, 3, 0)),
+        PlacementOutcome::NoEngine
+    );
 }
 
 /// An engine restarts empty and idle. If all cold dossiers went there at once, each would wait for
--- a/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
@@ -8,7 +8,7 @@
 use rand::rngs::ChaCha12Rng;
 use rand::{Rng, RngExt};
 use sesamegap_policy::placing::PrefixPlacer;
-use sesamegap_policy::{Placed, PlacementRequest, Placer};
+use sesamegap_policy::{PlacementOutcome, PlacementRequest, Placer};
 use sesamegap_wire::{Moment, UpstreamId};
 
 const NOW: Moment = Moment(1_000_000_000);
@@ -73,7 +73,7 @@
     rng: &mut ChaCha12Rng,
 ) -> UpstreamId {
     match placer.place(ask, &UnlimitedRoom, NOW, rng) {
-        Placed::At(at) => at.engine,
+        PlacementOutcome::At(at) => at.engine,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::placing::PrefixPlacer;
-use sesamegap_policy::{Placed, Placement, Placer};
+use sesamegap_policy::{Placement, PlacementOutcome, Placer};
 use sesamegap_wire::engine::{CacheBatch, CacheEvent};
 use sesamegap_wire::{BlockKey, Chain, Incarnation, Moment, RequestId, Tokens, UpstreamId};
 use std::collections::{BTreeMap, HashSet};
@@ -91,7 +91,7 @@
         }
     }
 
-    pub fn place(&mut self, chain: &Chain) -> Placed {
+    pub fn place(&mut self, chain: &Chain) -> PlacementOutcome {
         let (id, model, class) = (request(self.count), model(), class());
         let ask = ask(&id, &model, chain, &class);
         let now = Moment(self.now);
@@ -100,7 +100,7 @@
 
     /// Places a request and computes it on the chosen engine.
     pub fn ask(&mut self, chain: &Chain) -> Outcome {
-        let Placed::At(at) = self.place(chain) else {
+        let PlacementOutcome::At(at) = self.place(chain) else {
             panic!("no engine was found");
         };
         self.send(chain, &at)
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -1,7 +1,9 @@
 //! A placer that knows load and nothing of caches, so that tests of load depend on load alone.
 
 use rand::Rng;
-use sesamegap_policy::placing::{Need, Placed, Placement, PlacementRequest, Placer, Room};
+use sesamegap_policy::placing::{
+    Need, Placement, PlacementOutcome, PlacementRequest, Placer, Room,
+};
 use sesamegap_wire::engine::{CacheBatch, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::{Digest, Warmth};
 use sesamegap_wire::{Moment, RequestId, Tokens, UpstreamId};
@@ -52,7 +54,7 @@
         room: &dyn Room,
         _now: Moment,
         _rng: &mut dyn Rng,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         let live = self
             .engines
             .iter()
@@ -61,21 +63,24 @@
             .filter_map(|(id, report)| Some((id, report.as_ref()?)))
             .collect();
         if live.is_empty() {
-            return Placed::NoEngine;
+            return PlacementOutcome::NoEngine;
         }
         let free = live
             .into_iter()
             .filter(|(id, _)| room.has(id, ask.chain.tokens));
         let best = free.min_by_key(|(id, report)| self.load(id, report));
-        best.map_or(Placed::Full(Duration::from_millis(50)), |(id, report)| {
-            Placed::At(Placement {
-                engine: id.clone(),
-                incarnation: report.incarnation,
-                cached: Tokens(0),
-                wait: Duration::ZERO,
-                import: None,
-            })
-        })
+        best.map_or(
+            PlacementOutcome::Full(Duration::from_millis(50)),
+            |(id, report)| {
+                PlacementOutcome::At(Placement {
+                    engine: id.clone(),
+                    incarnation: report.incarnation,
+                    cached: Tokens(0),
+                    wait: Duration::ZERO,
+                    import: None,
+                })
+            },
+        )
     }
 
     fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, _now: Moment) {
