--- a/crates/sesamegap-policy/src/placing/backlog.rs
+++ b/crates/sesamegap-policy/src/placing/backlog.rs
@@ -90,7 +90,7 @@
     }
 
     /// Sets the tokens that all peers together have waiting on the engine.
-    pub fn peers(&mut self, tokens: f64, now: Moment) {
+    pub fn set_peers(&mut self, tokens: f64, now: Moment) {
         self.peers = tokens.max(0.0);
         self.peers_at = now;
     }
--- a/crates/sesamegap-policy/src/placing/choose.rs
+++ b/crates/sesamegap-policy/src/placing/choose.rs
@@ -23,7 +23,7 @@
 /// enough for smaller differences.
 const MIN_SAVED_SECONDS: f64 = 0.05;
 
-/// Longest wait for room returned to the caller of the placer, in seconds.
+/// Longest wait for room that is returned at a time, in seconds.
 const MAX_ROOM_WAIT: f64 = 1.0;
 
 /// Candidates with their estimated costs.
@@ -86,7 +86,7 @@
             missing: ask.chain.tokens - held,
             per_token,
             eviction_fraction: evicted as f64 / stored.max(1) as f64,
-            pressure: self.engines.pressure(self.index.age(engine.slot)),
+            pressure: self.engines.pressure(self.index.eviction_age(engine.slot)),
             rank: found.rank,
             cross_domain: engine.domain != self.domain,
         }
@@ -108,7 +108,7 @@
             };
             let estimate = self.estimate(ask, engine, *found, now);
             if !allow_excess_cold
-                && engine.cold >= MAX_COLD_PREFILLS
+                && engine.cold_prefills >= MAX_COLD_PREFILLS
                 && self.is_cold(ask, estimate.missing)
             {
                 continue;
@@ -129,7 +129,7 @@
         scored
     }
 
-    /// Picks the cheapest candidate, with ties broken at random, or asks the caller to wait.
+    /// Picks the cheapest candidate, with ties broken at random, or returns a wait for room.
     ///
     /// If the engine that holds a dossier has a full window for a moment, waiting for it can be cheaper
     /// than computing the whole dossier again on an engine with room. The request then waits, unless
--- a/crates/sesamegap-policy/src/placing/dump.rs
+++ b/crates/sesamegap-policy/src/placing/dump.rs
@@ -31,11 +31,11 @@
         "leaving": engine.leaving,
         "suspect": engine.suspect,
         "reported": engine.report.is_some(),
-        "newest_event": engine.newest,
+        "newest_event": engine.newest_event,
         "wants_listing": engine.needs_listing,
         "wait_ms": engine.backlog.wait(now, per_token).as_millis(),
         "us_per_token": per_token * 1e6,
-        "eviction_age_s": placer.index.age(engine.slot),
-        "cold_prefills": engine.cold,
+        "eviction_age_s": placer.index.eviction_age(engine.slot),
+        "cold_prefills": engine.cold_prefills,
     })
 }
--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -51,13 +51,13 @@
     /// Whether a failure was seen since its latest report.
     pub suspect: bool,
     /// Sequence number of the latest cache event applied.
-    pub newest: Option<u64>,
+    pub newest_event: Option<u64>,
     /// When a listing was last requested.
     pub listing_requested: Option<Moment>,
     /// Whether index entries are in doubt until a listing arrives.
     pub needs_listing: bool,
     /// Number of this router's cold prefills in progress.
-    pub cold: u32,
+    pub cold_prefills: u32,
     /// Number of this router's requests being computed.
     pub computing: u32,
     /// Recent rate at which its cache held less than predicted.
@@ -219,7 +219,7 @@
         // The models loaded by the previous incarnation may not be loaded now.
         engine.report = None;
         engine.speed = Speed::default();
-        engine.newest = None;
+        engine.newest_event = None;
         engine.needs_listing = false;
         if let Some(slot) = index.open() {
             index.close(engine.slot);
@@ -317,7 +317,7 @@
         self.typical = speed::typical(all.clone().map(|e| &e.speed), now);
         let (mut sum, mut count) = (0.0, 0.0);
         for engine in all {
-            sum += index.age(engine.slot);
+            sum += index.eviction_age(engine.slot);
             count += 1.0;
         }
         if count > 0.0 {
@@ -339,10 +339,10 @@
             report: None,
             incarnation: Incarnation(0),
             suspect: false,
-            newest: None,
+            newest_event: None,
             listing_requested: None,
             needs_listing: false,
-            cold: 0,
+            cold_prefills: 0,
             computing: 0,
             mistakes: 0.0,
             last_progress: Moment(0),
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -26,7 +26,8 @@
 /// Applies cache events and listings, and limits the rate of listing requests.
 #[derive(Debug, Default)]
 pub struct Feed {
-    next: Moment,
+    /// Earliest time of the next listing request, or of the next scan for an engine that needs one.
+    next_request: Moment,
 }
 
 impl Feed {
@@ -46,21 +47,21 @@
         if batch.incarnation < engine.incarnation {
             return Need::Nothing;
         }
-        if engine.newest.is_none() && batch.newest == 0 {
-            engine.newest = Some(0);
+        if engine.newest_event.is_none() && batch.newest == 0 {
+            engine.newest_event = Some(0);
         }
         for (number, event) in &batch.events {
-            if engine.newest.is_some_and(|newest| *number <= newest) {
+            if engine.newest_event.is_some_and(|newest| *number <= newest) {
                 continue;
             }
             // The first event of an incarnation is number 0 or 1; a higher number means that events were
             // missed.
-            let next = engine.newest.map_or(1, |newest| newest + 1);
+            let next = engine.newest_event.map_or(1, |newest| newest + 1);
             if *number > next {
                 engine.needs_listing = true;
                 index.doubt(engine.slot, now);
             }
-            engine.newest = Some(*number);
+            engine.newest_event = Some(*number);
             apply(event, engine.slot, index, now);
         }
         if self.due(engine, now) {
@@ -76,13 +77,13 @@
     /// hold would be computed again. Listings are therefore requested as soon as an engine has
     /// reported: small ones at once, large ones one after another.
     pub fn next_listing(&mut self, engines: &mut Engines, now: Moment) -> Option<UpstreamId> {
-        if now < self.next {
+        if now < self.next_request {
             return None;
         }
         let due = engines.iter().find(|(_, e)| self.due(e, now));
         let no = due.map(|(no, _)| no);
         if no.is_none() {
-            self.next = now + SCAN_INTERVAL;
+            self.next_request = now + SCAN_INTERVAL;
         }
         let engine = engines.get_mut(no?)?;
         self.ask(engine, now);
@@ -90,18 +91,19 @@
     }
 
     fn due(&self, engine: &Engine, now: Moment) -> bool {
-        let unknown = engine.needs_listing || engine.newest.is_none();
+        let unknown = engine.needs_listing || engine.newest_event.is_none();
         let reports = engine.report.is_some() && !engine.suspect;
         let waits = engine
             .listing_requested
             .is_some_and(|at| now < at + MIN_LISTING_INTERVAL);
-        unknown && reports && !waits && now >= self.next
+        unknown && reports && !waits && now >= self.next_request
     }
 
     fn ask(&mut self, engine: &mut Engine, now: Moment) {
         engine.listing_requested = Some(now);
         let seconds = engine.capacity() as f64 / LISTING_KEYS_PER_SECOND;
-        self.next = now + Duration::from_secs_f64(seconds.min(MIN_LISTING_INTERVAL.as_secs_f64()));
+        self.next_request =
+            now + Duration::from_secs_f64(seconds.min(MIN_LISTING_INTERVAL.as_secs_f64()));
     }
 
     /// Applies a listing; returns `false` if it is older than the known state.
@@ -116,11 +118,13 @@
         let Some(engine) = engines.get_mut(no) else {
             return false;
         };
-        let older = engine.newest.is_some_and(|newest| listing.newest < newest);
+        let older = engine
+            .newest_event
+            .is_some_and(|newest| listing.newest < newest);
         if listing.incarnation < engine.incarnation || older {
             return false;
         }
-        engine.newest = Some(listing.newest);
+        engine.newest_event = Some(listing.newest);
         engine.needs_listing = false;
         let slot = index.relist(engine.slot, &listing.keys, now);
         engines.reslot(no, slot);
@@ -139,10 +143,10 @@
         let Some(engine) = engines.get_mut(no) else {
             return;
         };
-        if cache.incarnation < engine.incarnation || engine.newest.is_some() {
+        if cache.incarnation < engine.incarnation || engine.newest_event.is_some() {
             return;
         }
-        engine.newest = Some(cache.newest);
+        engine.newest_event = Some(cache.newest);
         engine.needs_listing = false;
         for key in &cache.keys {
             index.stored(engine.slot, *key, now);
--- a/crates/sesamegap-policy/src/placing/heat.rs
+++ b/crates/sesamegap-policy/src/placing/heat.rs
@@ -86,7 +86,7 @@
     }
 
     /// Updates the learned service time with one request's seconds of engine time.
-    pub fn took(&mut self, seconds: f64) {
+    pub fn record_service_time(&mut self, seconds: f64) {
         self.service_seconds += (seconds - self.service_seconds) * SERVICE_TIME_GAIN;
     }
 
--- a/crates/sesamegap-policy/src/placing/in_flight.rs
+++ b/crates/sesamegap-policy/src/placing/in_flight.rs
@@ -57,9 +57,9 @@
     pub fn insert(
         &mut self,
         request: &RequestId,
-        in_flight_request: InFlightRequest,
+        entry: InFlightRequest,
     ) -> Option<InFlightRequest> {
-        self.all.insert(request.clone(), in_flight_request)
+        self.all.insert(request.clone(), entry)
     }
 
     /// Returns a request's entry, mutably.
@@ -74,8 +74,7 @@
 
     /// Removes all requests of an engine that was removed.
     pub fn drop_engine(&mut self, engine: EngineNo) {
-        self.all
-            .retain(|_, in_flight_request| in_flight_request.engine != engine);
+        self.all.retain(|_, entry| entry.engine != engine);
     }
 
     /// Iterates over the requests on one engine.
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -58,7 +58,7 @@
     /// Holdings last used at or before this tick are in doubt.
     doubt: Option<u16>,
     /// Learned time from last use to eviction, in seconds.
-    age: f64,
+    eviction_age: f64,
     /// Number of blocks recorded for the slot.
     held: u32,
 }
@@ -73,7 +73,7 @@
     free: Vec<u16>,
     cursor: usize,
     sweeps_done: u64,
-    next: Moment,
+    next_sweep: Moment,
 }
 
 /// Number of leading blocks of a prompt that a slot holds.
@@ -99,7 +99,7 @@
             free: Vec::new(),
             cursor: 0,
             sweeps_done: 0,
-            next: Moment(0),
+            next_sweep: Moment(0),
         }
     }
 
@@ -111,7 +111,7 @@
             live: true,
             closed_in_sweep: 0,
             doubt: None,
-            age: INITIAL_EVICTION_AGE.as_secs_f64(),
+            eviction_age: INITIAL_EVICTION_AGE.as_secs_f64(),
             held: 0,
         };
         if let Some(number) = self.free.pop() {
@@ -137,7 +137,7 @@
     /// Opens a new slot with the listed blocks and closes the old one.
     pub fn relist(&mut self, old: Slot, keys: &[BlockKey], now: Moment) -> Slot {
         let Some(new) = self.open() else { return old };
-        self.slots[usize::from(new.0)].age = self.slots[usize::from(old.0)].age;
+        self.slots[usize::from(new.0)].eviction_age = self.slots[usize::from(old.0)].eviction_age;
         for key in keys {
             let last_used = self.last_used(old, *key).unwrap_or(tick(now));
             self.put(new, *key, last_used, true);
@@ -164,7 +164,7 @@
         if holding.confirmed() {
             let age = seconds(ticks_since(tick(now), holding.tick()));
             let slot_state = self.slot_state(slot);
-            slot_state.age += (age - slot_state.age) * EVICTION_AGE_GAIN;
+            slot_state.eviction_age += (age - slot_state.eviction_age) * EVICTION_AGE_GAIN;
         }
         let shard = self.shard(key);
         let Some(holders) = shard.get_mut(&short_key(key)) else {
@@ -227,10 +227,10 @@
 
     /// Sweeps the next shard if it is due; must be called often.
     pub fn sweep(&mut self, now: Moment) {
-        if now < self.next {
+        if now < self.next_sweep {
             return;
         }
-        self.next = now + SWEEP_INTERVAL / u32::try_from(SHARDS).unwrap_or(1);
+        self.next_sweep = now + SWEEP_INTERVAL / u32::try_from(SHARDS).unwrap_or(1);
         let mut shard = std::mem::take(&mut self.shards[self.cursor]);
         let tick = tick(now);
         shard.retain(|_, holders| {
@@ -273,8 +273,8 @@
     }
 
     /// Learned time from last use to eviction, in seconds.
-    pub fn age(&self, slot: Slot) -> f64 {
-        self.slots[slot.at()].age
+    pub fn eviction_age(&self, slot: Slot) -> f64 {
+        self.slots[slot.at()].eviction_age
     }
 
     /// Number of blocks recorded for a slot.
@@ -356,7 +356,7 @@
         let doubted = slot_state
             .doubt
             .is_some_and(|since| age >= ticks_since(now, since));
-        !doubted || seconds(age) < slot_state.age
+        !doubted || seconds(age) < slot_state.eviction_age
     }
 
     /// Whether the sweep keeps a holding; clips its age before ticks wrap around.
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -101,7 +101,7 @@
     fn update_peer_backlog(&mut self, no: EngineNo, now: Moment) {
         let sum = self.peers.sum(no);
         if let Some(engine) = self.engines.get_mut(no) {
-            engine.backlog.peers(sum, now);
+            engine.backlog.set_peers(sum, now);
         }
     }
 
@@ -133,18 +133,18 @@
     }
 
     /// Removes a request's tokens from its engine's backlog and counters.
-    fn settle(&mut self, in_flight_request: &InFlightRequest) {
-        let Some(engine) = self.engines.get_mut(in_flight_request.engine) else {
+    fn settle(&mut self, entry: &InFlightRequest) {
+        let Some(engine) = self.engines.get_mut(entry.engine) else {
             return;
         };
-        if in_flight_request.stage == Stage::Answering {
+        if entry.stage == Stage::Answering {
             return;
         }
-        engine.backlog.settle(in_flight_request.missing);
-        if in_flight_request.cold {
-            engine.cold = engine.cold.saturating_sub(1);
+        engine.backlog.settle(entry.missing);
+        if entry.cold {
+            engine.cold_prefills = engine.cold_prefills.saturating_sub(1);
         }
-        if matches!(in_flight_request.stage, Stage::Started { .. }) {
+        if matches!(entry.stage, Stage::Started { .. }) {
             engine.computing = engine.computing.saturating_sub(1);
         }
     }
@@ -206,8 +206,8 @@
             .in_flight
             .on_engine(no)
             .filter(|f| f.incarnation == life);
-        for in_flight_request in here {
-            for key in in_flight_request.keys.iter() {
+        for entry in here {
+            for key in entry.keys.iter() {
                 self.index.expect(slot, *key, now);
             }
         }
@@ -257,13 +257,13 @@
         }
         let backlog = engine.backlog.wait(now, per_token).as_secs_f64();
         engine.backlog.send(missing, now, per_token);
-        engine.cold += u32::from(cold);
+        engine.cold_prefills += u32::from(cold);
         let slot = engine.slot;
         for key in ask.chain.keys.iter() {
             self.index.expect(slot, *key, now);
         }
         self.heat.count_prefixes(ask.chain);
-        let in_flight_request = InFlightRequest {
+        let entry = InFlightRequest {
             engine: no,
             incarnation: at.incarnation,
             block: self.block(ask.model),
@@ -275,51 +275,50 @@
             cold,
             stage: Stage::Sent,
         };
-        if let Some(former) = self.in_flight.insert(ask.request, in_flight_request) {
+        if let Some(former) = self.in_flight.insert(ask.request, entry) {
             self.settle(&former);
         }
     }
 
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment) {
-        let Some(in_flight_request) = self.in_flight.get_mut(request) else {
+        let Some(entry) = self.in_flight.get_mut(request) else {
             return;
         };
-        let Some(engine) = self.engines.get_mut(in_flight_request.engine) else {
+        let Some(engine) = self.engines.get_mut(entry.engine) else {
             return;
         };
-        if in_flight_request.stage != Stage::Sent {
+        if entry.stage != Stage::Sent {
             return;
         }
         engine.last_progress = now;
-        let found = in_flight_request.prompt - cached;
-        engine.backlog.correct(in_flight_request.missing, found);
-        let overestimated =
-            found.0 >= in_flight_request.missing.0 + MIN_COLD_BLOCKS * in_flight_request.block.0;
+        let found = entry.prompt - cached;
+        engine.backlog.correct(entry.missing, found);
+        let overestimated = found.0 >= entry.missing.0 + MIN_COLD_BLOCKS * entry.block.0;
         engine.record_prediction(overestimated);
-        in_flight_request.missing = found;
+        entry.missing = found;
         engine.computing += 1;
         let alone = engine.computing == 1;
-        in_flight_request.stage = Stage::Started { at: now, alone };
+        entry.stage = Stage::Started { at: now, alone };
         if engine.take_mistaken() {
             engine.needs_listing = true;
             self.index.doubt(engine.slot, now);
         }
-        if engine.incarnation != in_flight_request.incarnation {
+        if engine.incarnation != entry.incarnation {
             // The request was sent to a previous incarnation, whose cached blocks are gone.
             return;
         }
-        let blocks = usize::try_from(cached.0 / in_flight_request.block.0).unwrap_or(usize::MAX);
-        for key in in_flight_request.keys.iter().take(blocks) {
+        let blocks = usize::try_from(cached.0 / entry.block.0).unwrap_or(usize::MAX);
+        for key in entry.keys.iter().take(blocks) {
             self.index.stored(engine.slot, *key, now);
         }
     }
 
     fn first_token(&mut self, request: &RequestId, now: Moment) {
-        let Some(in_flight_request) = self.in_flight.get_mut(request) else {
+        let Some(entry) = self.in_flight.get_mut(request) else {
             return;
         };
-        let before = in_flight_request.clone();
-        in_flight_request.stage = Stage::Answering;
+        let before = entry.clone();
+        entry.stage = Stage::Answering;
         self.settle(&before);
         let typical = self.engines.typical;
         let Some(engine) = self.engines.get_mut(before.engine) else {
@@ -334,13 +333,13 @@
         if let Stage::Started { at, alone: true } = before.stage {
             let took = now.since(at);
             engine.speed.learn(before.missing, took, typical, now);
-            self.heat.took(took.as_secs_f64());
+            self.heat.record_service_time(took.as_secs_f64());
         }
     }
 
     fn finished(&mut self, request: &RequestId, _whole: bool, _now: Moment) {
-        if let Some(in_flight_request) = self.in_flight.remove(request) {
-            self.settle(&in_flight_request);
+        if let Some(entry) = self.in_flight.remove(request) {
+            self.settle(&entry);
         }
     }
 
@@ -371,16 +370,11 @@
         let named = waiting.into_iter().take(MAX_DIGEST_ENGINES);
         digest.prefill = named.map(|(tokens, id)| (id.clone(), tokens)).collect();
         let cold = self.in_flight.cold().take(MAX_COLD_PROMPTS);
-        let cold = cold.filter_map(|in_flight_request| {
+        let cold = cold.filter_map(|entry| {
             Some(ColdPrompt {
-                engine: self.engines.get(in_flight_request.engine)?.id.clone(),
-                incarnation: in_flight_request.incarnation,
-                keys: in_flight_request
-                    .keys
-                    .iter()
-                    .take(MAX_COLD_KEYS)
-                    .copied()
-                    .collect(),
+                engine: self.engines.get(entry.engine)?.id.clone(),
+                incarnation: entry.incarnation,
+                keys: entry.keys.iter().take(MAX_COLD_KEYS).copied().collect(),
             })
         });
         digest.cold = cold.collect();
@@ -396,7 +390,10 @@
 
     fn warmth(&self, now: Moment) -> Warmth {
         let mut left = MAX_WARM_KEYS;
-        let engines = self.engines.iter().filter(|(_, e)| e.newest.is_some());
+        let engines = self
+            .engines
+            .iter()
+            .filter(|(_, e)| e.newest_event.is_some());
         let caches = engines.map(|(_, engine)| {
             let mut keys = self.index.keys(engine.slot, now);
             keys.truncate(left);
@@ -404,7 +401,7 @@
             EngineCache {
                 engine: engine.id.clone(),
                 incarnation: engine.incarnation,
-                newest: engine.newest.unwrap_or(0),
+                newest: engine.newest_event.unwrap_or(0),
                 keys,
             }
         });
--- a/crates/sesamegap-policy/src/placing/priority_waits.rs
+++ b/crates/sesamegap-policy/src/placing/priority_waits.rs
@@ -29,24 +29,25 @@
 /// Learned fraction of the backlog that requests of each priority wait for.
 #[derive(Debug, Default)]
 pub struct PriorityWaits {
-    seen: FxHashMap<u8, Observed>,
+    observed: FxHashMap<u8, Observed>,
 }
 
 impl PriorityWaits {
     /// Updates a priority with the actual and the predicted wait of one answer, in seconds.
     pub fn learn(&mut self, priority: u8, waited: f64, predicted: f64) {
-        if self.seen.len() >= MAX_PRIORITIES && !self.seen.contains_key(&priority) {
+        if self.observed.len() >= MAX_PRIORITIES && !self.observed.contains_key(&priority) {
             return;
         }
-        let seen = self.seen.entry(priority).or_default();
-        seen.waited = seen.waited * DECAY + waited.max(0.0);
-        seen.predicted = seen.predicted * DECAY + predicted.max(0.0);
+        let observed = self.observed.entry(priority).or_default();
+        observed.waited = observed.waited * DECAY + waited.max(0.0);
+        observed.predicted = observed.predicted * DECAY + predicted.max(0.0);
     }
 
     /// Fraction of the backlog that requests of a priority wait for.
     pub fn wait_fraction(&self, priority: u8) -> f64 {
-        let seen = self.seen.get(&priority).copied().unwrap_or_default();
-        let wait_fraction = (seen.waited + PRIOR_SECONDS) / (seen.predicted + PRIOR_SECONDS);
+        let observed = self.observed.get(&priority).copied().unwrap_or_default();
+        let wait_fraction =
+            (observed.waited + PRIOR_SECONDS) / (observed.predicted + PRIOR_SECONDS);
         wait_fraction.clamp(FRACTION_BOUNDS.0, FRACTION_BOUNDS.1)
     }
 }
