--- a/crates/sesamegap-policy/src/placing/candidates.rs
+++ b/crates/sesamegap-policy/src/placing/candidates.rs
@@ -1,7 +1,7 @@
 //! Selects the few engines that are compared for one request.
 //!
 //! Excluded engines are filtered out during selection, so that they do not use up candidate slots.
-//! When they were removed after selection, no candidate could remain: with two engines, one draw in
+//! If they were removed after selection, no candidate might remain: with two engines, one draw in
 //! four picked the excluded engine twice, and a streamed answer whose engine had crashed ended
 //! early although the other engine was idle.
 
