--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::placing::ring::EngineNo;
-use sesamegap_policy::{Ask, Need, Placed, Placement, Placer, Room};
+use sesamegap_policy::{Need, Placement, PlacementOutcome, PlacementRequest, Placer, Room};
 use sesamegap_settings::Catalogue;
 use sesamegap_wire::engine::{CacheBatch, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::{Digest, Warmth};
@@ -64,7 +64,13 @@
 }
 
 impl Baseline {
-    fn choice(&self, no: EngineNo, order: u64, ask: &Ask<'_>, now: Moment) -> Option<Choice> {
+    fn choice(
+        &self,
+        no: EngineNo,
+        order: u64,
+        ask: &PlacementRequest<'_>,
+        now: Moment,
+    ) -> Option<Choice> {
         let engine = self.inner.engines().get(no)?;
         if ask.barred.contains(&engine.id) {
             return None;
@@ -103,7 +109,7 @@
     }
 
     /// All engines that serve the model, in the order that the policy first asks them.
-    fn ordered(&mut self, ask: &Ask<'_>, rng: &mut dyn Rng) -> Vec<EngineNo> {
+    fn ordered(&mut self, ask: &PlacementRequest<'_>, rng: &mut dyn Rng) -> Vec<EngineNo> {
         let Some(members) = self.inner.engines().ring(ask.model, ask.version) else {
             return Vec::new();
         };
@@ -124,52 +130,60 @@
 }
 
 impl Placer for Baseline {
-    fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed {
+    fn place(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        room: &dyn Room,
+        now: Moment,
+        rng: &mut dyn Rng,
+    ) -> PlacementOutcome {
         let all = self.ordered(ask, rng);
         let choices = all.iter().zip(0..);
         let choices: Vec<Choice> = choices
             .filter_map(|(no, order)| self.choice(*no, order, ask, now))
             .collect();
         if choices.is_empty() {
-            return Placed::Nowhere;
+            return PlacementOutcome::NoEngine;
         }
         if let Some(wait) = self.waits(&choices, room) {
-            return Placed::Full(wait);
+            return PlacementOutcome::Full(wait);
         }
         let shortest = choices.iter().map(|c| c.at.wait).min().unwrap_or_default();
         let free = choices
             .into_iter()
             .filter(|c| room.has(&c.at.engine, c.missing));
         let best = free.min_by_key(|c| c.order);
-        best.map_or(Placed::Full(shortest), |c| Placed::At(c.at))
+        best.map_or(PlacementOutcome::Full(shortest), |c| {
+            PlacementOutcome::At(c.at)
+        })
     }
 
     fn settings(&mut self, catalogue: &Catalogue) {
         self.inner.settings(catalogue);
     }
-    fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
-        self.inner.fleet(engines, now);
+    fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
+        self.inner.set_engines(engines, now);
     }
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         self.inner.report(engine, report, now);
     }
-    fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
-        self.inner.cache(engine, batch, now)
+    fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
+        self.inner.apply_cache_events(engine, batch, now)
     }
-    fn wants(&mut self, now: Moment) -> Option<UpstreamId> {
-        self.inner.wants(now)
+    fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
+        self.inner.next_listing(now)
     }
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
         self.inner.listing(engine, listing, now);
     }
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, now: Moment) {
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment) {
         self.inner.sent(ask, at, now);
     }
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment) {
         self.inner.started(request, cached, now);
     }
-    fn first(&mut self, request: &RequestId, now: Moment) {
-        self.inner.first(request, now);
+    fn first_token(&mut self, request: &RequestId, now: Moment) {
+        self.inner.first_token(request, now);
     }
     fn finished(&mut self, request: &RequestId, whole: bool, now: Moment) {
         self.inner.finished(request, whole, now);
@@ -177,14 +191,14 @@
     fn failed(&mut self, engine: &UpstreamId, now: Moment) {
         self.inner.failed(engine, now);
     }
-    fn peer(&mut self, from: &str, digest: &Digest, now: Moment) {
-        self.inner.peer(from, digest, now);
+    fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment) {
+        self.inner.apply_digest(from, digest, now);
     }
     fn digest(&mut self, digest: &mut Digest, now: Moment) {
         self.inner.digest(digest, now);
     }
-    fn warm(&mut self, warmth: &Warmth, now: Moment) {
-        self.inner.warm(warmth, now);
+    fn apply_warmth(&mut self, warmth: &Warmth, now: Moment) {
+        self.inner.apply_warmth(warmth, now);
     }
     fn warmth(&self, now: Moment) -> Warmth {
         self.inner.warmth(now)
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -6,7 +6,8 @@
 use rand::rngs::ChaCha12Rng;
 use sesamegap_policy::placing::PrefixPlacer;
 use sesamegap_policy::{
-    Ask, Decider, DeciderBuilder, Decision, Observation, Placed, Placer, Room, Work,
+    Decider, DeciderBuilder, Decision, Observation, PlacementOutcome, PlacementRequest, Placer,
+    Room, Work,
 };
 use sesamegap_wire::engine::Listing;
 use sesamegap_wire::{Incarnation, Moment, Tokens, UpstreamId};
@@ -47,7 +48,7 @@
     let mut rows = Rows::new("placing", "engines");
     for size in sizes {
         let mut placer = PrefixPlacer::builder(id("domain-0")).build();
-        placer.fleet(&fleet::entries(*size), START);
+        placer.set_engines(&fleet::entries(*size), START);
         for at in 0..*size {
             placer.report(&fleet::engine(at), &fleet::report(), START);
             placer.listing(&fleet::engine(at), &listing(), START);
@@ -67,7 +68,7 @@
 
 fn place(placer: &mut PrefixPlacer, work: &Work, now: Moment, rng: &mut ChaCha12Rng) {
     let class = fleet::class();
-    let ask = Ask {
+    let ask = PlacementRequest {
         request: &work.request,
         model: &work.model,
         version: work.version,
@@ -75,12 +76,12 @@
         class: &class,
         barred: &[],
     };
-    let Placed::At(at) = placer.place(&ask, &Everywhere, now, rng) else {
+    let PlacementOutcome::At(at) = placer.place(&ask, &Everywhere, now, rng) else {
         return;
     };
     placer.sent(&ask, &at, now);
     placer.started(&work.request, at.cached, now);
-    placer.first(&work.request, now + at.wait);
+    placer.first_token(&work.request, now + at.wait);
     placer.finished(&work.request, true, now + at.wait);
 }
 
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -5,7 +5,7 @@
 use super::{Decider, Decision, RefusalCode, Work, ask};
 use crate::load::Windows;
 use crate::load::queue::{DispatchOutcome, OUTPUT_TOKEN_COST, QueuedRequest, Rank};
-use crate::placing::{Ask, Placed, Placement, Placer};
+use crate::placing::{Placement, PlacementOutcome, PlacementRequest, Placer};
 use rand::rngs::ChaCha12Rng;
 use sesamegap_settings::{Catalogue, ClassSpec};
 use sesamegap_wire::{Moment, RequestId};
@@ -55,16 +55,16 @@
         let placed = self.placer.place(&ask, &room, self.now, self.rng);
         drop(room);
         match placed {
-            Placed::Nowhere => self.drop_item(item, RefusalCode::NoEngine),
-            Placed::Full(wait) => {
+            PlacementOutcome::NoEngine => self.drop_item(item, RefusalCode::NoEngine),
+            PlacementOutcome::Full(wait) => {
                 let again = self.now + wait.clamp(ROOM_CHECK_BOUNDS.0, ROOM_CHECK_BOUNDS.1);
                 self.recheck_at = Some(self.recheck_at.map_or(again, |at| at.min(again)));
                 DispatchOutcome::Full
             }
-            Placed::At(at) if self.misses_deadline(item, &at) => {
+            PlacementOutcome::At(at) if self.misses_deadline(item, &at) => {
                 self.drop_item(item, RefusalCode::Deadline)
             }
-            Placed::At(at) => {
+            PlacementOutcome::At(at) => {
                 let hedge = hedge.filter(|_| class.hedge);
                 self.start_attempt(&ask, item, &at, hedge);
                 let missing = (item.work.chain.tokens - at.cached).0;
@@ -96,7 +96,7 @@
 
     fn start_attempt(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         item: &QueuedRequest,
         at: &Placement,
         hedge: Option<Moment>,
@@ -194,7 +194,7 @@
         let room = self.windows.room(is_highest);
         let placed = self.placer.place(&ask, &room, now, &mut self.rng);
         drop(room);
-        let Placed::At(at) = placed else {
+        let PlacementOutcome::At(at) = placed else {
             self.budget.refund();
             return;
         };
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -25,7 +25,7 @@
 use crate::load::limits::{RetryBudget, RetrySchedule, Shares, TeamLimits};
 use crate::load::queue::Queue;
 use crate::load::windows::Signal;
-use crate::placing::{Ask, Need, Placer};
+use crate::placing::{Need, PlacementRequest, Placer};
 use attempts::AttemptTable;
 use estimator::WaitEstimator;
 use rand::rngs::ChaCha12Rng;
@@ -89,7 +89,7 @@
                 self.windows.set_routers(self.teams.shared_by());
             }
             Observation::Peer(vm, digest) => self.peer(vm, &digest, now),
-            Observation::Warm(warmth) => self.placer.warm(&warmth, now),
+            Observation::Warm(warmth) => self.placer.apply_warmth(&warmth, now),
         }
     }
 
@@ -109,7 +109,7 @@
         self.send_due_hedges(now);
         let queue = &self.queue;
         self.estimator.sample(|model| queue.cost(model), now);
-        while let Some(engine) = self.placer.wants(now) {
+        while let Some(engine) = self.placer.next_listing(now) {
             self.decisions.push(Decision::List { engine });
         }
         std::mem::take(&mut self.decisions)
@@ -166,20 +166,20 @@
     }
 
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
-        self.placer.fleet(engines, now);
+        self.placer.set_engines(engines, now);
         let known: rustc_hash::FxHashSet<_> = engines.iter().map(|entry| &entry.id).collect();
         self.windows.keep(|id| known.contains(id));
         self.queue.notify_room();
     }
 
     fn cache(&mut self, engine: UpstreamId, batch: &CacheBatch, now: Moment) {
-        if self.placer.cache(&engine, batch, now) == Need::Listing {
+        if self.placer.apply_cache_events(&engine, batch, now) == Need::Listing {
             self.decisions.push(Decision::List { engine });
         }
     }
 
     fn first(&mut self, request: &RequestId, now: Moment) {
-        self.placer.first(request, now);
+        self.placer.first_token(request, now);
         let Some(attempt) = self.attempts.record_first_token(request) else {
             return;
         };
@@ -219,7 +219,7 @@
     }
 
     fn peer(&mut self, vm: VmId, digest: &Digest, now: Moment) {
-        self.placer.peer(vm.as_str(), digest, now);
+        self.placer.apply_digest(vm.as_str(), digest, now);
         self.teams.record_digest(vm, digest, now);
         self.windows.set_routers(self.teams.shared_by());
     }
@@ -237,8 +237,8 @@
 }
 
 /// Builds the placement query for a request.
-fn ask<'a>(work: &'a Work, class: &'a ClassSpec) -> Ask<'a> {
-    Ask {
+fn ask<'a>(work: &'a Work, class: &'a ClassSpec) -> PlacementRequest<'a> {
+    PlacementRequest {
         request: &work.request,
         model: &work.model,
         version: work.version,
--- a/crates/sesamegap-policy/src/lib.rs
+++ b/crates/sesamegap-policy/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod shifting;
 
 pub use decider::{Decider, DeciderBuilder, Decision, Observation, Refusal, RefusalCode, Work};
-pub use placing::{Ask, Need, Placed, Placement, Placer, Room};
+pub use placing::{Need, Placement, PlacementOutcome, PlacementRequest, Placer, Room};
--- a/crates/sesamegap-policy/src/placing/builder.rs
+++ b/crates/sesamegap-policy/src/placing/builder.rs
@@ -1,22 +1,22 @@
-//! Builds the placer that routers use.
+//! Builder for the placer that routers use.
 
 use super::candidates::Candidates;
 use super::engines::Engines;
 use super::feed::Feed;
-use super::flights::Flights;
 use super::heat::Heat;
+use super::in_flight::InFlightRequests;
 use super::index::Index;
 use super::peers::Peers;
 use super::prefix::PrefixPlacer;
-use super::turns::Turns;
+use super::priority_waits::PriorityWaits;
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{DomainId, Moment};
 
-/// Blocks remembered at most: a daemon's share of 120 million blocks over 340 daemons, and half
-/// as many again for an uneven share; at 57 bytes each that is 30 MB.
-const BLOCKS: usize = 530_000;
+/// Default limit on indexed blocks: one daemon's share of 120 million blocks over 340 daemons, plus
+/// half as many again for uneven shares. At 57 bytes per block this takes 30 MB.
+const DEFAULT_MAX_BLOCKS: usize = 530_000;
 
-/// Gathers what a placer needs.
+/// Builder for [`PrefixPlacer`].
 #[derive(Debug)]
 pub struct PrefixBuilder {
     domain: DomainId,
@@ -24,35 +24,35 @@
 }
 
 impl PrefixBuilder {
-    /// Starts with the router's failure domain.
+    /// Creates a builder for a router in the given failure domain.
     pub fn new(domain: DomainId) -> Self {
         Self {
             domain,
-            blocks: BLOCKS,
+            blocks: DEFAULT_MAX_BLOCKS,
         }
     }
 
-    /// Sets how many blocks are remembered at most.
+    /// Sets the maximum number of blocks in the index.
     #[must_use]
     pub fn blocks(mut self, most: usize) -> Self {
         self.blocks = most;
         self
     }
 
-    /// Makes the placer.
+    /// Builds the placer.
     pub fn build(self) -> PrefixPlacer {
         PrefixPlacer {
             domain: self.domain,
             engines: Engines::default(),
             index: Index::new(self.blocks),
             heat: Heat::default(),
-            flights: Flights::default(),
+            in_flight: InFlightRequests::default(),
             peers: Peers::default(),
-            turns: Turns::default(),
+            priority_waits: PriorityWaits::default(),
             feed: Feed::default(),
             candidates: Candidates::default(),
             blocks: FxHashMap::default(),
-            tended: Moment(0),
+            last_refresh: Moment(0),
             store: None,
         }
     }
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -1,8 +1,9 @@
-//! Cache events and listings, taken into the index.
+//! Applies engines' cache events and listings to the index.
 //!
-//! Events of one life of an engine are numbered. A jump means that some were lost, which would
-//! show as requests placed on blocks that are gone; the engine's entries are then in doubt, and a
-//! listing is asked for. Listings are long, so they are asked for at a limited rate, per engine and in all.
+//! The events of one incarnation are numbered. A gap means that events were lost, and requests
+//! could be placed on blocks that were evicted; the engine's entries are then in doubt and a
+//! listing is requested. Listings are large, so requests for them are rate-limited, per engine and
+//! in total.
 
 use super::Need;
 use super::engines::{Engine, Engines};
@@ -13,23 +14,24 @@
 use sesamegap_wire::{Moment, UpstreamId};
 use std::time::Duration;
 
-/// Time between two listings of one engine: a few times an event's delay.
-const PER_ENGINE: Duration = Duration::from_secs(3);
+/// Minimum time between two listings of one engine: a few times the delay of a cache event.
+const MIN_LISTING_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Keys taken in a second, by which listings are spaced: an index takes ten times as many in.
-const KEYS_A_SECOND: f64 = 500_000.0;
+/// Rate of listed keys by which listings are spaced; the index can insert ten times as many.
+const LISTING_KEYS_PER_SECOND: f64 = 500_000.0;
 
-/// Time between two looks for engines of which nothing is known.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between scans for engines whose cache contents are unknown.
+const SCAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Takes in what engines tell of their caches.
+/// Applies cache events and listings, and limits the rate of listing requests.
 #[derive(Debug, Default)]
 pub struct Feed {
-    next: Moment,
+    /// Earliest time of the next listing request, or of the next scan for an engine that needs one.
+    next_request: Moment,
 }
 
 impl Feed {
-    /// Takes in a batch of events and says what is needed to trust the entries.
+    /// Applies a batch of events and returns what is needed before the entries can be trusted.
     pub fn events(
         &mut self,
         no: EngineNo,
@@ -38,27 +40,28 @@
         index: &mut Index,
         now: Moment,
     ) -> Need {
-        engines.live(no, batch.incarnation, index);
+        engines.observe_incarnation(no, batch.incarnation, index);
         let Some(engine) = engines.get_mut(no) else {
             return Need::Nothing;
         };
         if batch.incarnation < engine.incarnation {
             return Need::Nothing;
         }
-        if engine.newest.is_none() && batch.newest == 0 {
-            engine.newest = Some(0);
+        if engine.newest_event.is_none() && batch.newest == 0 {
+            engine.newest_event = Some(0);
         }
         for (number, event) in &batch.events {
-            if engine.newest.is_some_and(|newest| *number <= newest) {
+            if engine.newest_event.is_some_and(|newest| *number <= newest) {
                 continue;
             }
-            // The first event of a life is number 1 or 0; any later one comes after others.
-            let next = engine.newest.map_or(1, |newest| newest + 1);
+            // The first event of an incarnation is number 0 or 1; a higher number means that events were
+            // missed.
+            let next = engine.newest_event.map_or(1, |newest| newest + 1);
             if *number > next {
-                engine.unlisted = true;
+                engine.needs_listing = true;
                 index.doubt(engine.slot, now);
             }
-            engine.newest = Some(*number);
+            engine.newest_event = Some(*number);
             apply(event, engine.slot, index, now);
         }
         if self.due(engine, now) {
@@ -68,19 +71,19 @@
         Need::Nothing
     }
 
-    /// An engine of which a listing is wanted now, noted as asked.
+    /// Picks an engine to request a listing from now, and records the request.
     ///
-    /// Load: all routers restart together and know no cache. Harm prevented: dossiers computed
-    /// again that engines hold; so listings are asked for as soon as an engine has reported, the
-    /// small ones at once and the large ones one after another.
-    pub fn wants(&mut self, engines: &mut Engines, now: Moment) -> Option<UpstreamId> {
-        if now < self.next {
+    /// When all routers restart together, none knows the engines' caches, and dossiers that engines
+    /// hold would be computed again. Listings are therefore requested as soon as an engine has
+    /// reported: small ones at once, large ones one after another.
+    pub fn next_listing(&mut self, engines: &mut Engines, now: Moment) -> Option<UpstreamId> {
+        if now < self.next_request {
             return None;
         }
         let due = engines.iter().find(|(_, e)| self.due(e, now));
         let no = due.map(|(no, _)| no);
         if no.is_none() {
-            self.next = now + LOOK;
+            self.next_request = now + SCAN_INTERVAL;
         }
         let engine = engines.get_mut(no?)?;
         self.ask(engine, now);
@@ -88,19 +91,22 @@
     }
 
     fn due(&self, engine: &Engine, now: Moment) -> bool {
-        let unknown = engine.unlisted || engine.newest.is_none();
+        let unknown = engine.needs_listing || engine.newest_event.is_none();
         let reports = engine.report.is_some() && !engine.suspect;
-        let waits = engine.asked.is_some_and(|at| now < at + PER_ENGINE);
-        unknown && reports && !waits && now >= self.next
+        let waits = engine
+            .listing_requested
+            .is_some_and(|at| now < at + MIN_LISTING_INTERVAL);
+        unknown && reports && !waits && now >= self.next_request
     }
 
     fn ask(&mut self, engine: &mut Engine, now: Moment) {
-        engine.asked = Some(now);
-        let seconds = engine.capacity() as f64 / KEYS_A_SECOND;
-        self.next = now + Duration::from_secs_f64(seconds.min(PER_ENGINE.as_secs_f64()));
+        engine.listing_requested = Some(now);
+        let seconds = engine.capacity() as f64 / LISTING_KEYS_PER_SECOND;
+        self.next_request =
+            now + Duration::from_secs_f64(seconds.min(MIN_LISTING_INTERVAL.as_secs_f64()));
     }
 
-    /// Takes in a listing; `false` if it tells less than is known.
+    /// Applies a listing; returns `false` if it is older than the known state.
     pub fn listing(
         no: EngineNo,
         listing: &Listing,
@@ -108,22 +114,24 @@
         index: &mut Index,
         now: Moment,
     ) -> bool {
-        engines.live(no, listing.incarnation, index);
+        engines.observe_incarnation(no, listing.incarnation, index);
         let Some(engine) = engines.get_mut(no) else {
             return false;
         };
-        let older = engine.newest.is_some_and(|newest| listing.newest < newest);
+        let older = engine
+            .newest_event
+            .is_some_and(|newest| listing.newest < newest);
         if listing.incarnation < engine.incarnation || older {
             return false;
         }
-        engine.newest = Some(listing.newest);
-        engine.unlisted = false;
+        engine.newest_event = Some(listing.newest);
+        engine.needs_listing = false;
         let slot = index.relist(engine.slot, &listing.keys, now);
         engines.reslot(no, slot);
         true
     }
 
-    /// Takes over what a peer believes of an engine of which nothing was heard.
+    /// Applies a peer's view of an engine's cache, unless this router has its own.
     pub fn warm(
         no: EngineNo,
         cache: &EngineCache,
@@ -131,15 +139,15 @@
         index: &mut Index,
         now: Moment,
     ) {
-        engines.live(no, cache.incarnation, index);
+        engines.observe_incarnation(no, cache.incarnation, index);
         let Some(engine) = engines.get_mut(no) else {
             return;
         };
-        if cache.incarnation < engine.incarnation || engine.newest.is_some() {
+        if cache.incarnation < engine.incarnation || engine.newest_event.is_some() {
             return;
         }
-        engine.newest = Some(cache.newest);
-        engine.unlisted = false;
+        engine.newest_event = Some(cache.newest);
+        engine.needs_listing = false;
         for key in &cache.keys {
             index.stored(engine.slot, *key, now);
         }
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -1,195 +1,195 @@
-//! Which engine is believed to hold which block.
+//! Index of which engine is believed to hold which block.
 //!
-//! An engine's entries hang on a *slot*, a small number that it gets anew with each incarnation
-//! and each listing; forgetting all that an engine held is then one step, and the entries left
-//! behind are swept up later, a shard at a time, before the slot is given out again. A key is cut
-//! to 64 bits: the index is a hint for speed, so a collision costs one recomputation and no more.
+//! The entries of an engine refer to a *slot*, a small number that is replaced with each
+//! incarnation and each listing. Forgetting all entries of an engine then takes constant time; a
+//! sweep later removes the stale ones, a shard at a time, before the slot is reused. Keys are
+//! truncated to 64 bits: the index is only a hint, so a collision costs one recomputation.
 //!
-//! Each holding has the time of its last use by this router, in coarse ticks, and whether an
-//! engine confirmed it. One entered when a request was sent counts for [`EXPECT`] only, unless an
-//! event or an answer confirms it. Where events were lost, a holding counts while it is younger
-//! than the age at which the engine was seen to evict.
+//! Each holding records its last use by this router, in coarse ticks, and whether the engine has
+//! confirmed it. An entry made when a request is sent counts for [`UNCONFIRMED_TTL`] only, unless an event
+//! or an answer confirms it. Where events were lost, a holding counts while it is younger than the
+//! engine's learned eviction age.
 //!
-//! Memory is bounded: a shard that is full forgets the quarter of its blocks unused the longest.
+//! Memory is bounded: a full shard removes its least recently used quarter of blocks.
 
-use super::holders::{Entered, Holders, Holding};
-use super::ticks::{TICKS, seconds, tick, ticks_since};
+use super::holders::{Holders, Holding, PutResult};
+use super::ticks::{TICK_MASK, seconds, tick, ticks_since};
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{BlockKey, Moment};
 use std::time::Duration;
 
-/// How long a block counts as held that was sent to an engine but not confirmed: a long prompt's
-/// time in an engine's queue, with its event's delay.
-pub const EXPECT: Duration = Duration::from_secs(10);
+/// How long an unconfirmed block counts as held: the time that a long prompt spends in an engine's
+/// queue, plus the delay of its cache event.
+pub const UNCONFIRMED_TTL: Duration = Duration::from_secs(10);
 
-/// Shards: one is swept at a time, which keeps the longest pause to about a microsecond at a
+/// Number of shards. One is swept at a time, so the longest pause is about a microsecond at a
 /// daemon's share of 353,000 blocks.
 const SHARDS: usize = 2048;
 
-/// Time for a sweep over all shards; the slots of dead engines come free after two.
-const SWEEP: Duration = Duration::from_mins(1);
+/// Time for a sweep over all shards; a closed slot can be reused after two sweeps.
+const SWEEP_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Ages beyond this are clipped by the sweep, before the ticks wrap.
-const OLDEST: u16 = TICKS / 2;
+/// Maximum age, to which the sweep clips older ones before ticks wrap around.
+const MAX_AGE_TICKS: u16 = TICK_MASK / 2;
 
-/// Eviction age assumed until one was seen.
-const AGE_AT_FIRST: Duration = Duration::from_secs(30);
+/// Eviction age assumed until an eviction has been seen.
+const INITIAL_EVICTION_AGE: Duration = Duration::from_secs(30);
 
-/// Weight of a new eviction in the learned age: about the last 30 count.
-const AGE_GAIN: f64 = 1.0 / 32.0;
+/// Weight of a new sample in the learned eviction age, which covers about the last 30 evictions.
+const EVICTION_AGE_GAIN: f64 = 1.0 / 32.0;
 
-/// A number under which one life of an engine's cache is entered.
+/// Identifies one generation of an engine's cache in the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot(pub(super) u16);
 
 impl Slot {
-    /// The number as an index.
+    /// The slot number as an array index.
     pub fn at(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// What is known of a slot.
+/// State of a slot.
 #[derive(Debug, Clone)]
-struct Life {
+struct SlotState {
     live: bool,
-    /// Sweeps completed when the slot died.
-    died: u64,
-    /// Holdings not confirmed since this tick are in doubt.
+    /// Number of completed sweeps when the slot was closed.
+    closed_in_sweep: u64,
+    /// Holdings last used at or before this tick are in doubt.
     doubt: Option<u16>,
-    /// Seconds from last use to eviction, learned.
-    age: f64,
-    /// Blocks entered.
+    /// Learned time from last use to eviction, in seconds.
+    eviction_age: f64,
+    /// Number of blocks recorded for the slot.
     held: u32,
 }
 
-/// Who holds which block, as far as known.
+/// Index from blocks to the engines believed to hold them.
 #[derive(Debug)]
 pub struct Index {
     shards: Vec<FxHashMap<u64, Holders>>,
-    /// Most blocks in one shard.
+    /// Maximum number of blocks in one shard.
     limit: usize,
-    lives: Vec<Life>,
+    slots: Vec<SlotState>,
     free: Vec<u16>,
     cursor: usize,
-    swept: u64,
-    next: Moment,
+    sweeps_done: u64,
+    next_sweep: Moment,
 }
 
-/// How many leading blocks a slot holds.
+/// Number of leading blocks of a prompt that a slot holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Depth {
     /// The slot.
     pub slot: Slot,
-    /// Leading blocks believed to be held.
+    /// Number of leading blocks believed to be held.
     pub blocks: u16,
 }
 
-fn short(key: BlockKey) -> u64 {
+fn short_key(key: BlockKey) -> u64 {
     u64::try_from(key.0 >> 64).unwrap_or(0)
 }
 
 impl Index {
-    /// Makes an index that keeps at most about so many blocks.
+    /// Creates an index for approximately `most` blocks at the most.
     pub fn new(most: usize) -> Self {
         Self {
             shards: (0..SHARDS).map(|_| FxHashMap::default()).collect(),
             limit: (most / SHARDS).max(4),
-            lives: Vec::new(),
+            slots: Vec::new(),
             free: Vec::new(),
             cursor: 0,
-            swept: 0,
-            next: Moment(0),
+            sweeps_done: 0,
+            next_sweep: Moment(0),
         }
     }
 
-    /// Opens a slot for an engine's cache of which nothing is known.
+    /// Opens an empty slot for an engine's cache.
     ///
-    /// `None` if all numbers are taken by lives that are not yet swept.
+    /// Returns `None` if all slot numbers are in use or not yet swept.
     pub fn open(&mut self) -> Option<Slot> {
-        let life = Life {
+        let slot_state = SlotState {
             live: true,
-            died: 0,
+            closed_in_sweep: 0,
             doubt: None,
-            age: AGE_AT_FIRST.as_secs_f64(),
+            eviction_age: INITIAL_EVICTION_AGE.as_secs_f64(),
             held: 0,
         };
         if let Some(number) = self.free.pop() {
-            self.lives[usize::from(number)] = life;
+            self.slots[usize::from(number)] = slot_state;
             return Some(Slot(number));
         }
-        let number = u16::try_from(self.lives.len()).ok()?;
+        let number = u16::try_from(self.slots.len()).ok()?;
         if number == Holding::NONE {
             return None;
         }
-        self.lives.push(life);
+        self.slots.push(slot_state);
         Some(Slot(number))
     }
 
-    /// Forgets all that a slot holds.
+    /// Closes a slot and forgets its holdings.
     pub fn close(&mut self, slot: Slot) {
-        let swept = self.swept;
-        let life = self.life(slot);
-        life.live = false;
-        life.died = swept;
+        let sweeps_done = self.sweeps_done;
+        let slot_state = self.slot_state(slot);
+        slot_state.live = false;
+        slot_state.closed_in_sweep = sweeps_done;
     }
 
-    /// Moves to a new slot what a listing says is held, and forgets the rest.
+    /// Opens a new slot with the listed blocks and closes the old one.
     pub fn relist(&mut self, old: Slot, keys: &[BlockKey], now: Moment) -> Slot {
         let Some(new) = self.open() else { return old };
-        self.lives[usize::from(new.0)].age = self.lives[usize::from(old.0)].age;
+        self.slots[usize::from(new.0)].eviction_age = self.slots[usize::from(old.0)].eviction_age;
         for key in keys {
-            let used = self.used(old, *key).unwrap_or(tick(now));
-            self.put(new, *key, used, true);
+            let last_used = self.last_used(old, *key).unwrap_or(tick(now));
+            self.put(new, *key, last_used, true);
         }
         self.close(old);
         new
     }
 
-    /// Notes that an engine told of a block it holds.
+    /// Records a block that an engine reported as held.
     pub fn stored(&mut self, slot: Slot, key: BlockKey, now: Moment) {
         self.put(slot, key, tick(now), true);
     }
 
-    /// Notes that a block is used by a request sent to the engine, which will hold it then.
+    /// Records a block of a request sent to the engine, which will hold it once computed.
     pub fn expect(&mut self, slot: Slot, key: BlockKey, now: Moment) {
         self.put(slot, key, tick(now), false);
     }
 
-    /// Notes that an engine evicted a block, and learns its eviction age.
+    /// Removes a block that an engine evicted, and updates its learned eviction age.
     pub fn evicted(&mut self, slot: Slot, key: BlockKey, now: Moment) {
         let Some(holding) = self.holders(key).and_then(|h| h.find(slot.0)) else {
             return;
         };
         if holding.confirmed() {
             let age = seconds(ticks_since(tick(now), holding.tick()));
-            let life = self.life(slot);
-            life.age += (age - life.age) * AGE_GAIN;
+            let slot_state = self.slot_state(slot);
+            slot_state.eviction_age += (age - slot_state.eviction_age) * EVICTION_AGE_GAIN;
         }
         let shard = self.shard(key);
-        let Some(holders) = shard.get_mut(&short(key)) else {
+        let Some(holders) = shard.get_mut(&short_key(key)) else {
             return;
         };
         holders.remove(slot.0);
         if holders.is_empty() {
-            shard.remove(&short(key));
+            shard.remove(&short_key(key));
         }
-        self.lose(slot.0);
+        self.decrement_held(slot.0);
     }
 
-    /// Marks what a slot holds now as doubtful.
+    /// Marks the current holdings of a slot as in doubt.
     pub fn doubt(&mut self, slot: Slot, now: Moment) {
-        self.life(slot).doubt = Some(tick(now));
+        self.slot_state(slot).doubt = Some(tick(now));
     }
 
-    /// Gives for each slot that holds the first block how many leading ones it holds.
+    /// Computes, for each slot that holds the first block, the number of leading blocks it holds.
     pub fn depths(&self, keys: &[BlockKey], now: Moment, found: &mut Vec<Depth>) {
         found.clear();
         let Some(first) = keys.first().and_then(|key| self.holders(*key)) else {
             return;
         };
         let now = tick(now);
-        let believed = first.iter().filter(|h| self.believes(**h, now));
+        let believed = first.iter().filter(|h| self.is_believed(**h, now));
         found.extend(believed.map(|h| Depth {
             slot: Slot(h.slot),
             blocks: 1,
@@ -202,7 +202,7 @@
             for depth in found.iter_mut().filter(|d| usize::from(d.blocks) == at) {
                 if holders
                     .find(depth.slot.0)
-                    .is_some_and(|h| self.believes(h, now))
+                    .is_some_and(|h| self.is_believed(h, now))
                 {
                     depth.blocks += 1;
                     alive = true;
@@ -214,56 +214,56 @@
         }
     }
 
-    /// How many leading blocks one slot holds.
+    /// Returns the number of leading blocks that one slot holds.
     pub fn depth(&self, slot: Slot, keys: &[BlockKey], now: Moment) -> u16 {
         let now = tick(now);
         let held = keys.iter().take_while(|key| {
             self.holders(**key)
                 .and_then(|h| h.find(slot.0))
-                .is_some_and(|h| self.believes(h, now))
+                .is_some_and(|h| self.is_believed(h, now))
         });
         u16::try_from(held.count()).unwrap_or(u16::MAX)
     }
 
-    /// Sweeps one shard if it is time; to be called often.
-    pub fn tend(&mut self, now: Moment) {
-        if now < self.next {
+    /// Sweeps the next shard if it is due; must be called often.
+    pub fn sweep(&mut self, now: Moment) {
+        if now < self.next_sweep {
             return;
         }
-        self.next = now + SWEEP / u32::try_from(SHARDS).unwrap_or(1);
+        self.next_sweep = now + SWEEP_INTERVAL / u32::try_from(SHARDS).unwrap_or(1);
         let mut shard = std::mem::take(&mut self.shards[self.cursor]);
         let tick = tick(now);
         shard.retain(|_, holders| {
             holders.retain(|h| {
-                let keeps = self.keeps(h, tick);
-                if !keeps {
-                    self.lose(h.slot);
+                let retain_holding = self.retain_holding(h, tick);
+                if !retain_holding {
+                    self.decrement_held(h.slot);
                 }
-                keeps
+                retain_holding
             });
             !holders.is_empty()
         });
         self.shards[self.cursor] = shard;
         self.cursor = (self.cursor + 1) % SHARDS;
         if self.cursor == 0 {
-            self.swept += 1;
-            self.recycle();
+            self.sweeps_done += 1;
+            self.free_swept_slots();
         }
     }
 
-    /// Blocks that anyone is believed to hold.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
         self.shards.iter().map(FxHashMap::len).sum()
     }
 
-    /// Whether nothing is known.
+    /// Whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.shards.iter().all(FxHashMap::is_empty)
     }
 
-    /// Bytes taken by the tables, counted from their capacity.
+    /// Memory used by the tables in bytes, computed from their capacity.
     pub fn bytes(&self) -> usize {
-        // A bucket has one byte of control data, and at most seven in eight are filled.
+        // The hash table has one control byte per bucket and a maximum load factor of 7/8.
         let bucket = size_of::<(u64, Holders)>() + 1;
         let tables = self.shards.iter().map(|shard| {
             let many = shard.values().map(Holders::heap_bytes).sum::<usize>();
@@ -272,22 +272,22 @@
         tables.sum()
     }
 
-    /// Seconds from last use to eviction, learned.
-    pub fn age(&self, slot: Slot) -> f64 {
-        self.lives[slot.at()].age
+    /// Learned time from last use to eviction, in seconds.
+    pub fn eviction_age(&self, slot: Slot) -> f64 {
+        self.slots[slot.at()].eviction_age
     }
 
-    /// Blocks entered for a slot.
+    /// Number of blocks recorded for a slot.
     pub fn held(&self, slot: Slot) -> u64 {
-        u64::from(self.lives[slot.at()].held)
+        u64::from(self.slots[slot.at()].held)
     }
 
-    /// Keys a slot holds, the most recently used first; only their upper halves are known.
+    /// Keys that a slot holds, most recently used first. Only the upper half of each key is stored.
     pub fn keys(&self, slot: Slot, now: Moment) -> Vec<BlockKey> {
         let now = tick(now);
         let mut held: Vec<(u16, u64)> = Vec::new();
         for (key, holders) in self.shards.iter().flatten() {
-            if let Some(holding) = holders.find(slot.0).filter(|h| self.believes(*h, now)) {
+            if let Some(holding) = holders.find(slot.0).filter(|h| self.is_believed(*h, now)) {
                 held.push((ticks_since(now, holding.tick()), *key));
             }
         }
@@ -298,98 +298,101 @@
     }
 
     fn shard(&mut self, key: BlockKey) -> &mut FxHashMap<u64, Holders> {
-        &mut self.shards[Self::place(key)]
+        &mut self.shards[Self::shard_index(key)]
     }
 
-    fn place(key: BlockKey) -> usize {
+    fn shard_index(key: BlockKey) -> usize {
         usize::try_from(key.0 >> 112).unwrap_or(0) % SHARDS
     }
 
     fn holders(&self, key: BlockKey) -> Option<&Holders> {
-        self.shards[Self::place(key)].get(&short(key))
+        self.shards[Self::shard_index(key)].get(&short_key(key))
     }
 
-    fn life(&mut self, slot: Slot) -> &mut Life {
-        &mut self.lives[slot.at()]
+    fn slot_state(&mut self, slot: Slot) -> &mut SlotState {
+        &mut self.slots[slot.at()]
     }
 
-    /// Last use of a block whose holding was confirmed.
-    fn used(&self, slot: Slot, key: BlockKey) -> Option<u16> {
+    /// Tick of the last use of a block if its holding is confirmed.
+    fn last_used(&self, slot: Slot, key: BlockKey) -> Option<u16> {
         let holding = self.holders(key)?.find(slot.0)?;
         holding.confirmed().then_some(holding.tick())
     }
 
-    fn put(&mut self, slot: Slot, key: BlockKey, used: u16, confirmed: bool) {
+    fn put(&mut self, slot: Slot, key: BlockKey, last_used: u16, confirmed: bool) {
         let limit = self.limit;
         let shard = self.shard(key);
         let mut dropped = Vec::new();
-        if shard.len() >= limit && !shard.contains_key(&short(key)) {
-            dropped = forget_oldest(shard, used);
+        if shard.len() >= limit && !shard.contains_key(&short_key(key)) {
+            dropped = forget_oldest(shard, last_used);
         }
-        let holding = Holding::new(slot.0, used, confirmed);
-        let entered = shard.entry(short(key)).or_default().put(holding);
-        if let Entered::Instead(old) = entered {
-            self.lose(old);
+        let holding = Holding::new(slot.0, last_used, confirmed);
+        let outcome = shard.entry(short_key(key)).or_default().put(holding);
+        if let PutResult::Replaced(old) = outcome {
+            self.decrement_held(old);
         }
-        if entered != Entered::Renewed {
-            self.life(slot).held += 1;
+        if outcome != PutResult::Refreshed {
+            self.slot_state(slot).held += 1;
         }
         for holding in dropped.iter().flat_map(Holders::iter) {
-            self.lose(holding.slot);
+            self.decrement_held(holding.slot);
         }
     }
 
-    fn lose(&mut self, slot: u16) {
-        let life = &mut self.lives[usize::from(slot)];
-        life.held = life.held.saturating_sub(1);
+    fn decrement_held(&mut self, slot: u16) {
+        let slot_state = &mut self.slots[usize::from(slot)];
+        slot_state.held = slot_state.held.saturating_sub(1);
     }
 
-    fn believes(&self, holding: Holding, now: u16) -> bool {
-        let life = &self.lives[usize::from(holding.slot)];
-        if !life.live {
+    fn is_believed(&self, holding: Holding, now: u16) -> bool {
+        let slot_state = &self.slots[usize::from(holding.slot)];
+        if !slot_state.live {
             return false;
         }
         let age = ticks_since(now, holding.tick());
         if !holding.confirmed() {
-            return seconds(age) < EXPECT.as_secs_f64();
+            return seconds(age) < UNCONFIRMED_TTL.as_secs_f64();
         }
-        let doubted = life
+        let doubted = slot_state
             .doubt
             .is_some_and(|since| age >= ticks_since(now, since));
-        !doubted || seconds(age) < life.age
+        !doubted || seconds(age) < slot_state.eviction_age
     }
 
-    /// Whether the sweep leaves a holding, whose age it clips before the ticks wrap.
-    fn keeps(&self, holding: &mut Holding, now: u16) -> bool {
-        let live = self.lives[usize::from(holding.slot)].live;
+    /// Whether the sweep keeps a holding; clips its age before ticks wrap around.
+    fn retain_holding(&self, holding: &mut Holding, now: u16) -> bool {
+        let live = self.slots[usize::from(holding.slot)].live;
         let age = ticks_since(now, holding.tick());
-        if age > OLDEST {
+        if age > MAX_AGE_TICKS {
             *holding = Holding::new(
                 holding.slot,
-                now.wrapping_sub(OLDEST) & TICKS,
+                now.wrapping_sub(MAX_AGE_TICKS) & TICK_MASK,
                 holding.confirmed(),
             );
         }
-        live && (holding.confirmed() || seconds(age) < EXPECT.as_secs_f64())
+        live && (holding.confirmed() || seconds(age) < UNCONFIRMED_TTL.as_secs_f64())
     }
 
-    fn recycle(&mut self) {
-        for (number, life) in self.lives.iter_mut().enumerate() {
-            if life.live || life.died == u64::MAX || self.swept < life.died + 2 {
+    fn free_swept_slots(&mut self) {
+        for (number, slot_state) in self.slots.iter_mut().enumerate() {
+            if slot_state.live
+                || slot_state.closed_in_sweep == u64::MAX
+                || self.sweeps_done < slot_state.closed_in_sweep + 2
+            {
                 continue;
             }
-            life.died = u64::MAX;
+            slot_state.closed_in_sweep = u64::MAX;
             self.free.push(u16::try_from(number).unwrap_or(u16::MAX));
         }
     }
 }
 
-/// Drops the quarter of a shard's blocks that were unused the longest, so that each drop pays for
+/// Removes the least recently used quarter of a shard's blocks, so that the cost is amortized over
 /// many insertions.
 fn forget_oldest(shard: &mut FxHashMap<u64, Holders>, now: u16) -> Vec<Holders> {
     let age = |holders: &Holders| {
         let youngest = holders.iter().map(|h| ticks_since(now, h.tick())).min();
-        youngest.unwrap_or(TICKS)
+        youngest.unwrap_or(TICK_MASK)
     };
     let mut ages: Vec<(u16, u64)> = shard.iter().map(|(key, h)| (age(h), *key)).collect();
     let kept = ages.len() * 3 / 4;
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -1,22 +1,22 @@
 //! The placer that routers use.
 //!
-//! For each request a handful of engines is weighed, whatever the number of all: those believed
-//! to hold the most of its prefix, its home set, and two drawn at random, which find an idle
-//! engine when all the others are busy. The cheapest wins; near ties are drawn at random,
-//! so that routers with the same late reports do not all pile onto one engine. What is sent is
-//! booked at once on the engine's backlog and in the index, long before reports and events tell.
+//! Each request is compared on a few engines, whatever the size of the fleet: those believed to hold
+//! the most of its prefix, its home set, and two drawn at random, which can find an idle engine when
+//! the others are busy. The cheapest is picked. Near ties are broken at random, so that routers with
+//! the same delayed reports do not all send to one engine. A dispatch is added at once to the
+//! engine's backlog and to the index, long before reports and events show it.
 
 use super::candidates::Candidates;
-use super::choose::COLD_BLOCKS;
+use super::choose::MIN_COLD_BLOCKS;
 use super::engines::Engines;
 use super::feed::Feed;
-use super::flights::{Flight, Flights, Stage};
 use super::heat::Heat;
+use super::in_flight::{InFlightRequest, InFlightRequests, Stage};
 use super::index::Index;
 use super::peers::Peers;
+use super::priority_waits::PriorityWaits;
 use super::ring::EngineNo;
-use super::turns::Turns;
-use super::{Ask, Need, Placed, Placement, Placer, PrefixBuilder, Room};
+use super::{Need, Placement, PlacementOutcome, PlacementRequest, Placer, PrefixBuilder, Room};
 use rand::Rng;
 use rustc_hash::FxHashMap;
 use sesamegap_settings::Catalogue;
@@ -26,121 +26,125 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Block size of a model that settings do not tell.
-pub const BLOCK: Tokens = Tokens(4096);
+/// Block size of a model that the settings do not list.
+pub const DEFAULT_BLOCK_SIZE: Tokens = Tokens(4096);
 
-/// Pace of what is learned over the whole fleet.
-const TEND: Duration = Duration::from_secs(1);
+/// Interval at which values learned over the whole fleet are recomputed.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Engines named in a digest at most, those with the most waiting.
-const NAMED: usize = 64;
+/// Maximum number of engines in a digest; those with the most waiting tokens are included.
+const MAX_DIGEST_ENGINES: usize = 64;
 
-/// Long prompts under way named in a digest, and blocks of each: a few kilobytes at the most.
-const COLD_NAMED: usize = 8;
-const COLD_KEYS: usize = 64;
+/// Maximum numbers of cold prefills in a digest and of block keys for each, which limit their size to
+/// a few kilobytes.
+const MAX_COLD_PROMPTS: usize = 8;
+const MAX_COLD_KEYS: usize = 64;
 
-/// Keys handed to a peer that starts, which keeps the message under its largest size.
-const WARM_KEYS: usize = 300_000;
+/// Maximum number of keys sent to a starting peer, which keeps the message within its size limit.
+const MAX_WARM_KEYS: usize = 300_000;
 
-/// Places by prefix, load and home set.
+/// Places requests by cached prefix, load and home set.
 #[derive(Debug)]
 pub struct PrefixPlacer {
     pub(super) domain: DomainId,
     pub(super) engines: Engines,
     pub(super) index: Index,
     pub(super) heat: Heat,
-    pub(super) flights: Flights,
+    pub(super) in_flight: InFlightRequests,
     pub(super) peers: Peers,
-    pub(super) turns: Turns,
+    pub(super) priority_waits: PriorityWaits,
     pub(super) feed: Feed,
     pub(super) candidates: Candidates,
     pub(super) blocks: FxHashMap<ModelId, Tokens>,
-    pub(super) tended: Moment,
-    /// The kept-KV store.
+    pub(super) last_refresh: Moment,
+    /// The kept-KV store, if any.
     pub(super) store: Option<UpstreamId>,
 }
 
 impl PrefixPlacer {
-    /// Starts to build a placer for a router in a failure domain.
+    /// Creates a builder for a router in the given failure domain.
     pub fn builder(domain: DomainId) -> PrefixBuilder {
         PrefixBuilder::new(domain)
     }
 
-    /// The engines as this placer knows them.
+    /// The engines known to this placer.
     pub fn engines(&self) -> &Engines {
         &self.engines
     }
 
-    /// What this placer believes of the engines' caches.
+    /// The index of the engines' caches.
     pub fn index(&self) -> &Index {
         &self.index
     }
 
     /// Block size of a model.
     pub fn block(&self, model: &ModelId) -> Tokens {
-        self.blocks.get(model).copied().unwrap_or(BLOCK)
+        self.blocks
+            .get(model)
+            .copied()
+            .unwrap_or(DEFAULT_BLOCK_SIZE)
     }
 
-    fn tend(&mut self, now: Moment) {
-        self.index.tend(now);
-        if now < self.tended + TEND {
+    fn maintain(&mut self, now: Moment) {
+        self.index.sweep(now);
+        if now < self.last_refresh + REFRESH_INTERVAL {
             return;
         }
-        self.tended = now;
-        self.heat.tend(now);
-        self.engines.tend(&self.index, now);
-        for engine in self.peers.tend(now) {
-            self.note_peers(engine, now);
+        self.last_refresh = now;
+        self.heat.decay(now);
+        self.engines.update_typical(&self.index, now);
+        for engine in self.peers.expire(now) {
+            self.update_peer_backlog(engine, now);
         }
     }
 
-    fn note_peers(&mut self, no: EngineNo, now: Moment) {
+    fn update_peer_backlog(&mut self, no: EngineNo, now: Moment) {
         let sum = self.peers.sum(no);
         if let Some(engine) = self.engines.get_mut(no) {
-            engine.backlog.peers(sum, now);
+            engine.backlog.set_peers(sum, now);
         }
     }
 
-    /// Cost in seconds of the request placed last, on any engine; for tests and explanations.
-    pub fn cost(&self, ask: &Ask<'_>, id: &UpstreamId, now: Moment) -> Option<f64> {
+    /// Cost in seconds of the latest placed request on any given engine; for tests and explanations.
+    pub fn cost(&self, ask: &PlacementRequest<'_>, id: &UpstreamId, now: Moment) -> Option<f64> {
         let no = self.engines.number(id)?;
         let found = self.candidates.describe(no, &self.engines)?;
-        let offer = self.offer(ask, self.engines.get(no)?, found, now);
-        Some(offer.cost(ask.class.thrift))
+        let estimate = self.estimate(ask, self.engines.get(no)?, found, now);
+        Some(estimate.cost(ask.class.thrift))
     }
 
-    /// Enters what engines are computing for a peer.
+    /// Records the blocks that engines are computing for a peer.
     ///
-    /// Load: a dossier is lost with its engine, and requests for it come to several routers.
-    /// Harm prevented: each router has it computed on an engine of its own choice, because the
-    /// event that tells of the first comes only when that is done, seconds later.
-    fn expect_cold(&mut self, digest: &Digest, now: Moment) {
-        for cold in digest.cold.iter().take(COLD_NAMED) {
+    /// When a dossier is lost with its engine, requests for it may reach several routers at once.
+    /// The cache event of the first prefill arrives only when it is done, seconds later; until then
+    /// each router would have the dossier computed on an engine of its own choice.
+    fn expect_peer_prefills(&mut self, digest: &Digest, now: Moment) {
+        for cold in digest.cold.iter().take(MAX_COLD_PROMPTS) {
             let number = self.engines.number(&cold.engine);
             let engine = number.and_then(|no| self.engines.get(no));
             let engine = engine.filter(|e| !e.suspect && e.incarnation == cold.incarnation);
             let Some(slot) = engine.map(|e| e.slot) else {
                 continue;
             };
-            for key in cold.keys.iter().take(COLD_KEYS) {
+            for key in cold.keys.iter().take(MAX_COLD_KEYS) {
                 self.index.expect(slot, *key, now);
             }
         }
     }
 
-    /// Takes a request's booking off its engine's books.
-    fn settle(&mut self, flight: &Flight) {
-        let Some(engine) = self.engines.get_mut(flight.engine) else {
+    /// Removes a request's tokens from its engine's backlog and counters.
+    fn settle(&mut self, entry: &InFlightRequest) {
+        let Some(engine) = self.engines.get_mut(entry.engine) else {
             return;
         };
-        if flight.stage == Stage::Answering {
+        if entry.stage == Stage::Answering {
             return;
         }
-        engine.backlog.settle(flight.missing);
-        if flight.cold {
-            engine.cold = engine.cold.saturating_sub(1);
+        engine.backlog.settle(entry.missing);
+        if entry.cold {
+            engine.cold_prefills = engine.cold_prefills.saturating_sub(1);
         }
-        if matches!(flight.stage, Stage::Started { .. }) {
+        if matches!(entry.stage, Stage::Started { .. }) {
             engine.computing = engine.computing.saturating_sub(1);
         }
     }
@@ -154,23 +158,23 @@
             .collect();
     }
 
-    fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
+    fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
         for gone in self.engines.list(engines, &mut self.index) {
-            self.flights.drop_engine(gone);
+            self.in_flight.drop_engine(gone);
         }
-        self.tend(now);
+        self.maintain(now);
     }
 
     fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         if let Some(no) = self.engines.number(engine) {
             self.engines.report(no, report, now, &mut self.index);
-            self.note_peers(no, now);
+            self.update_peer_backlog(no, now);
         }
-        self.tend(now);
+        self.maintain(now);
     }
 
-    fn cache(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
-        self.tend(now);
+    fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
+        self.maintain(now);
         let Some(no) = self.engines.number(engine) else {
             return Need::Nothing;
         };
@@ -182,8 +186,8 @@
         self.store = store;
     }
 
-    fn wants(&mut self, now: Moment) -> Option<UpstreamId> {
-        self.feed.wants(&mut self.engines, now)
+    fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
+        self.feed.next_listing(&mut self.engines, now)
     }
 
     fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
@@ -193,22 +197,31 @@
         if !Feed::listing(no, listing, &mut self.engines, &mut self.index, now) {
             return;
         }
-        // Blocks of requests under way are not in a listing yet; without this the next request
-        // for the same prefix would be sent elsewhere and computed twice.
+        // A listing does not include the blocks of requests in flight. Without this, the next request
+        // for the same prefix could go to another engine and be computed twice.
         let Some((slot, life)) = self.engines.get(no).map(|e| (e.slot, e.incarnation)) else {
             return;
         };
-        let here = self.flights.on(no).filter(|f| f.incarnation == life);
-        for flight in here {
-            for key in flight.keys.iter() {
+        let here = self
+            .in_flight
+            .on_engine(no)
+            .filter(|f| f.incarnation == life);
+        for entry in here {
+            for key in entry.keys.iter() {
                 self.index.expect(slot, *key, now);
             }
         }
     }
 
-    fn place(&mut self, ask: &Ask<'_>, room: &dyn Room, now: Moment, rng: &mut dyn Rng) -> Placed {
-        // Upkeep that grows with the fleet is left to reports and digests.
-        self.index.tend(now);
+    fn place(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        room: &dyn Room,
+        now: Moment,
+        rng: &mut dyn Rng,
+    ) -> PlacementOutcome {
+        // Maintenance whose cost grows with the fleet runs on reports and digests instead.
+        self.index.sweep(now);
         let known = self.candidates.gather(
             ask,
             &self.engines,
@@ -218,7 +231,7 @@
             (rng.next_u64(), rng.next_u64()),
         );
         if !known {
-            return Placed::Nowhere;
+            return PlacementOutcome::NoEngine;
         }
         let within = self.weigh(ask, room, now, false);
         if !within.is_empty() {
@@ -228,7 +241,7 @@
         self.choose(ask, &over, now, rng)
     }
 
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, now: Moment) {
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment) {
         let Some(no) = self.engines.number(&at.engine) else {
             return;
         };
@@ -240,17 +253,17 @@
         };
         let per_token = engine.speed.per_token(typical, now);
         if engine.backlog.own().0 == 0 {
-            engine.heard = now;
+            engine.last_progress = now;
         }
         let backlog = engine.backlog.wait(now, per_token).as_secs_f64();
         engine.backlog.send(missing, now, per_token);
-        engine.cold += u32::from(cold);
+        engine.cold_prefills += u32::from(cold);
         let slot = engine.slot;
         for key in ask.chain.keys.iter() {
             self.index.expect(slot, *key, now);
         }
-        self.heat.count_levels(ask.chain);
-        let flight = Flight {
+        self.heat.count_prefixes(ask.chain);
+        let entry = InFlightRequest {
             engine: no,
             incarnation: at.incarnation,
             block: self.block(ask.model),
@@ -262,111 +275,112 @@
             cold,
             stage: Stage::Sent,
         };
-        if let Some(former) = self.flights.enter(ask.request, flight) {
+        if let Some(former) = self.in_flight.insert(ask.request, entry) {
             self.settle(&former);
         }
     }
 
     fn started(&mut self, request: &RequestId, cached: Tokens, now: Moment) {
-        let Some(flight) = self.flights.get_mut(request) else {
+        let Some(entry) = self.in_flight.get_mut(request) else {
             return;
         };
-        let Some(engine) = self.engines.get_mut(flight.engine) else {
+        let Some(engine) = self.engines.get_mut(entry.engine) else {
             return;
         };
-        if flight.stage != Stage::Sent {
+        if entry.stage != Stage::Sent {
             return;
         }
-        engine.heard = now;
-        let found = flight.prompt - cached;
-        engine.backlog.correct(flight.missing, found);
-        let overrated = found.0 >= flight.missing.0 + COLD_BLOCKS * flight.block.0;
-        engine.note_belief(overrated);
-        flight.missing = found;
+        engine.last_progress = now;
+        let found = entry.prompt - cached;
+        engine.backlog.correct(entry.missing, found);
+        let overestimated = found.0 >= entry.missing.0 + MIN_COLD_BLOCKS * entry.block.0;
+        engine.record_prediction(overestimated);
+        entry.missing = found;
         engine.computing += 1;
         let alone = engine.computing == 1;
-        flight.stage = Stage::Started { at: now, alone };
-        if engine.mistaken() {
-            engine.unlisted = true;
+        entry.stage = Stage::Started { at: now, alone };
+        if engine.take_mistaken() {
+            engine.needs_listing = true;
             self.index.doubt(engine.slot, now);
         }
-        if engine.incarnation != flight.incarnation {
-            // The answer overtook the news of a restart: what was cached then is gone.
+        if engine.incarnation != entry.incarnation {
+            // The request was sent to a previous incarnation, whose cached blocks are gone.
             return;
         }
-        let blocks = usize::try_from(cached.0 / flight.block.0).unwrap_or(usize::MAX);
-        for key in flight.keys.iter().take(blocks) {
+        let blocks = usize::try_from(cached.0 / entry.block.0).unwrap_or(usize::MAX);
+        for key in entry.keys.iter().take(blocks) {
             self.index.stored(engine.slot, *key, now);
         }
     }
 
-    fn first(&mut self, request: &RequestId, now: Moment) {
-        let Some(flight) = self.flights.get_mut(request) else {
+    fn first_token(&mut self, request: &RequestId, now: Moment) {
+        let Some(entry) = self.in_flight.get_mut(request) else {
             return;
         };
-        let before = flight.clone();
-        flight.stage = Stage::Answering;
+        let before = entry.clone();
+        entry.stage = Stage::Answering;
         self.settle(&before);
         let typical = self.engines.typical;
         let Some(engine) = self.engines.get_mut(before.engine) else {
             return;
         };
-        engine.heard = now;
+        engine.last_progress = now;
         let compute = before.missing.0 as f64 * engine.speed.per_token(typical, now);
-        let (sent, foretold) = before.sent;
+        let (sent, predicted) = before.sent;
         let waited = now.since(sent).as_secs_f64() - compute;
-        self.turns.learn(before.priority, waited, foretold);
+        self.priority_waits
+            .learn(before.priority, waited, predicted);
         if let Stage::Started { at, alone: true } = before.stage {
             let took = now.since(at);
             engine.speed.learn(before.missing, took, typical, now);
-            self.heat.took(took.as_secs_f64());
+            self.heat.record_service_time(took.as_secs_f64());
         }
     }
 
     fn finished(&mut self, request: &RequestId, _whole: bool, _now: Moment) {
-        if let Some(flight) = self.flights.leave(request) {
-            self.settle(&flight);
+        if let Some(entry) = self.in_flight.remove(request) {
+            self.settle(&entry);
         }
     }
 
     fn failed(&mut self, engine: &UpstreamId, _now: Moment) {
         if let Some(no) = self.engines.number(engine) {
-            self.engines.fail(no);
+            self.engines.mark_failed(no);
         }
     }
 
-    fn peer(&mut self, from: &str, digest: &Digest, now: Moment) {
+    fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment) {
         self.heat.peer(from, &digest.heat, now);
-        let waiting = digest.prefill.iter().take(NAMED);
+        let waiting = digest.prefill.iter().take(MAX_DIGEST_ENGINES);
         let waiting = waiting
             .filter_map(|(id, tokens)| Some((self.engines.number(id)?, tokens.0 as f64)))
             .collect();
-        for engine in self.peers.hear(from, waiting, now) {
-            self.note_peers(engine, now);
+        for engine in self.peers.update(from, waiting, now) {
+            self.update_peer_backlog(engine, now);
         }
-        self.expect_cold(digest, now);
+        self.expect_peer_prefills(digest, now);
     }
 
     fn digest(&mut self, digest: &mut Digest, now: Moment) {
-        self.tend(now);
+        self.maintain(now);
         digest.heat = self.heat.hottest();
         let waiting = self.engines.iter().map(|(_, e)| (e.backlog.own(), &e.id));
         let mut waiting: Vec<_> = waiting.filter(|(tokens, _)| tokens.0 > 0).collect();
         waiting.sort_unstable_by(|a, b| b.cmp(a));
-        let named = waiting.into_iter().take(NAMED);
+        let named = waiting.into_iter().take(MAX_DIGEST_ENGINES);
         digest.prefill = named.map(|(tokens, id)| (id.clone(), tokens)).collect();
-        let cold = self.flights.cold().take(COLD_NAMED);
-        let cold = cold.filter_map(|flight| {
+        let cold = self.in_flight.cold().take(MAX_COLD_PROMPTS);
+        let cold = cold.filter_map(|entry| {
             Some(ColdPrompt {
-                engine: self.engines.get(flight.engine)?.id.clone(),
-                incarnation: flight.incarnation,
-                keys: flight.keys.iter().take(COLD_KEYS).copied().collect(),
+                engine: self.engines.get(entry.engine)?.id.clone(),
+                incarnation: entry.incarnation,
+                keys: entry.keys.iter().take(MAX_COLD_KEYS).copied().collect(),
             })
         });
         digest.cold = cold.collect();
     }
 
-    fn warm(&mut self, warmth: &Warmth, now: Moment) {
+    fn apply_warmth(&mut self, warmth: &Warmth, now: Moment) {
         for cache in &warmth.engines {
             if let Some(no) = self.engines.number(&cache.engine) {
                 Feed::warm(no, cache, &mut self.engines, &mut self.index, now);
@@ -375,8 +389,11 @@
     }
 
     fn warmth(&self, now: Moment) -> Warmth {
-        let mut left = WARM_KEYS;
-        let engines = self.engines.iter().filter(|(_, e)| e.newest.is_some());
+        let mut left = MAX_WARM_KEYS;
+        let engines = self
+            .engines
+            .iter()
+            .filter(|(_, e)| e.newest_event.is_some());
         let caches = engines.map(|(_, engine)| {
             let mut keys = self.index.keys(engine.slot, now);
             keys.truncate(left);
@@ -384,7 +401,7 @@
             EngineCache {
                 engine: engine.id.clone(),
                 incarnation: engine.incarnation,
-                newest: engine.newest.unwrap_or(0),
+                newest: engine.newest_event.unwrap_or(0),
                 keys,
             }
         });
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -1,7 +1,9 @@
 //! A placer that considers load but not caches, so that tests of load do not depend on cache state.
 
 use rand::Rng;
-use sesamegap_policy::placing::{Ask, Need, Placed, Placement, Placer, Room};
+use sesamegap_policy::placing::{
+    Need, Placement, PlacementOutcome, PlacementRequest, Placer, Room,
+};
 use sesamegap_wire::engine::{CacheBatch, EngineEntry, Listing, LoadReport};
 use sesamegap_wire::peer::{Digest, Warmth};
 use sesamegap_wire::{Moment, RequestId, Tokens, UpstreamId};
@@ -25,7 +27,7 @@
 }
 
 impl Placer for LeastLoadPlacer {
-    fn fleet(&mut self, engines: &[EngineEntry], _now: Moment) {
+    fn set_engines(&mut self, engines: &[EngineEntry], _now: Moment) {
         self.engines = engines
             .iter()
             .map(|entry| (entry.id.clone(), None))
@@ -36,7 +38,12 @@
         self.engines.insert(engine.clone(), Some(report.clone()));
     }
 
-    fn cache(&mut self, _engine: &UpstreamId, _batch: &CacheBatch, _now: Moment) -> Need {
+    fn apply_cache_events(
+        &mut self,
+        _engine: &UpstreamId,
+        _batch: &CacheBatch,
+        _now: Moment,
+    ) -> Need {
         Need::Nothing
     }
 
@@ -44,11 +51,11 @@
 
     fn place(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         room: &dyn Room,
         _now: Moment,
         _rng: &mut dyn Rng,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         let live = self
             .engines
             .iter()
@@ -57,31 +64,34 @@
             .filter_map(|(id, report)| Some((id, report.as_ref()?)))
             .collect();
         if live.is_empty() {
-            return Placed::Nowhere;
+            return PlacementOutcome::NoEngine;
         }
         let free = live
             .into_iter()
             .filter(|(id, _)| room.has(id, ask.chain.tokens));
         let best = free.min_by_key(|(id, report)| self.load(id, report));
-        best.map_or(Placed::Full(Duration::from_millis(50)), |(id, report)| {
-            Placed::At(Placement {
-                engine: id.clone(),
-                incarnation: report.incarnation,
-                cached: Tokens(0),
-                wait: Duration::ZERO,
-                import: None,
-            })
-        })
+        best.map_or(
+            PlacementOutcome::Full(Duration::from_millis(50)),
+            |(id, report)| {
+                PlacementOutcome::At(Placement {
+                    engine: id.clone(),
+                    incarnation: report.incarnation,
+                    cached: Tokens(0),
+                    wait: Duration::ZERO,
+                    import: None,
+                })
+            },
+        )
     }
 
-    fn sent(&mut self, ask: &Ask<'_>, at: &Placement, _now: Moment) {
+    fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, _now: Moment) {
         let booked = (at.engine.clone(), ask.chain.tokens.0);
         self.sent.insert(ask.request.clone(), booked);
     }
 
     fn started(&mut self, _request: &RequestId, _cached: Tokens, _now: Moment) {}
 
-    fn first(&mut self, request: &RequestId, _now: Moment) {
+    fn first_token(&mut self, request: &RequestId, _now: Moment) {
         if let Some((_, tokens)) = self.sent.get_mut(request) {
             *tokens = 500;
         }
@@ -95,11 +105,11 @@
         self.engines.insert(engine.clone(), None);
     }
 
-    fn peer(&mut self, _from: &str, _digest: &Digest, _now: Moment) {}
+    fn apply_digest(&mut self, _from: &str, _digest: &Digest, _now: Moment) {}
 
     fn digest(&mut self, _digest: &mut Digest, _now: Moment) {}
 
-    fn warm(&mut self, _warmth: &Warmth, _now: Moment) {}
+    fn apply_warmth(&mut self, _warmth: &Warmth, _now: Moment) {}
 
     fn warmth(&self, _now: Moment) -> Warmth {
         Warmth::default()
