--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -128,16 +128,16 @@
     }
 
     /// Whether an upstream takes work, by what this VM and others saw of it.
-    pub fn openness(&self, upstream: &Upstream, now: Moment) -> Availability {
+    pub fn availability(&self, upstream: &Upstream, now: Moment) -> Availability {
         if self.is_overdue(upstream, now) {
             // The list may be read a second later only.
             return Availability::Paused;
         }
-        match upstream.openness(now) {
+        match upstream.availability(now) {
             Availability::Open if self.silences.is_silent(upstream.life, now) => {
                 Availability::Suspect
             }
-            openness => openness,
+            availability => availability,
         }
     }
 
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -233,7 +233,7 @@
     }
 
     /// Whether it takes work, by what this VM saw of it.
-    pub(super) fn openness(&self, now: Moment) -> Availability {
+    pub(super) fn availability(&self, now: Moment) -> Availability {
         if self.is_paused(now) {
             Availability::Paused
         } else if self.is_suspect(now) {
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -101,7 +101,7 @@
         now: Moment,
     ) -> Availability {
         if shape.is_none_or(|shape| self.may_begin(upstream, shape, now)) {
-            self.openness(upstream, now)
+            self.availability(upstream, now)
         } else {
             Availability::Paused
         }
@@ -341,7 +341,7 @@
                 slots: upstream.entry.slots,
                 slowness: upstream.pace.map_or(1.0, |pace| pace / fastest),
                 faults: upstream.faults,
-                state: self.openness(upstream, now),
+                state: self.availability(upstream, now),
             })
             .collect();
         plain::choose(&views, selection.spread)
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -148,7 +148,7 @@
         .newest_of(&target.model)
         .map(|naming| naming.version);
     let done = engines().filter(|up| up.version(&target.model) >= newest);
-    let open = engines().filter(|up| fleet.openness(up, now) == Availability::Open);
+    let open = engines().filter(|up| fleet.availability(up, now) == Availability::Open);
     let held = engine.version(&target.model).unwrap_or_default();
     let overtaken = namings.superseded_at(&target.model, held);
     let left = |at: Moment| bound.saturating_sub(overtaken.map_or(Duration::ZERO, |o| at.since(o)));
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -169,7 +169,7 @@
                     .first()
                     .map_or(0, |held| held.version.0),
                 running: fleet.running(engine, now),
-                suspect: fleet.openness(engine, now) == Availability::Suspect,
+                suspect: fleet.availability(engine, now) == Availability::Suspect,
                 shut: is_shut(&fleet, engine, now),
             });
         }
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -141,7 +141,7 @@
         service: up.entry.service.to_smolstr(),
         leaving: up.entry.leaving,
         lapsed: up.belief.is_lapsed(),
-        state: smol_str::format_smolstr!("{:?}", fleet.openness(up, now)),
+        state: smol_str::format_smolstr!("{:?}", fleet.availability(up, now)),
         running: fleet.running(up, now),
         unread: fleet.unread(up),
         heard_ms_ago: clock::ms(now.since(up.heard)),
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -165,7 +165,7 @@
         assert_eq!(fleet.running(upstream, now), 0);
         assert_eq!(fleet.unread(upstream), 0);
         assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
-        assert_eq!(fleet.openness(upstream, now), Availability::Open);
+        assert_eq!(fleet.availability(upstream, now), Availability::Open);
     }
     peers::take(&core, &[out]);
     let fresh = choose(&core, &shape).unwrap();
@@ -180,7 +180,7 @@
     let upstream = fleet.get(&worker()).unwrap();
     assert_eq!(fleet.running_here(upstream), 1, "the one of this life");
     assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
-    assert_eq!(fleet.openness(upstream, clock::now()), Availability::Open);
+    assert_eq!(fleet.availability(upstream, clock::now()), Availability::Open);
 }
 
 /// A VM that rolls weights has asked an engine that started again and tells the others before the list
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -101,7 +101,7 @@
         fleet.remove(&id(0), offset(7_900), at(7_900)),
         Change::Lapsed
     );
-    let open = |fleet: &Fleet, ms| fleet.openness(fleet.get(&id(0)).unwrap(), at(ms));
+    let open = |fleet: &Fleet, ms| fleet.availability(fleet.get(&id(0)).unwrap(), at(ms));
     assert_eq!(open(&fleet, 7_950), Availability::Open);
     assert_eq!(
         open(&fleet, 8_000),
