--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether an upstream takes this request: a prompt must begin there before its weights are too old.
-    pub fn openness_for(
+    pub fn availability_for(
         &self,
         upstream: &Upstream,
         shape: Option<&PromptShape>,
@@ -133,7 +133,7 @@
         let mut flight = {
             let mut fleet = self.lock();
             let engine = fleet.get(&found.engine)?;
-            let state = fleet.openness_for(engine, selection.shape, now);
+            let state = fleet.availability_for(engine, selection.shape, now);
             let is_usable = state == Availability::Open && engine.life == found.life;
             if !is_usable || selection.tried.contains(&found.engine) {
                 return None;
@@ -270,7 +270,7 @@
                     unread: self.unread(upstream),
                     version: version.0,
                     long: long.contains(&upstream.seed),
-                    state: self.openness_for(upstream, Some(shape), now),
+                    state: self.availability_for(upstream, Some(shape), now),
                 }
             })
             .collect();
@@ -296,7 +296,7 @@
             upstream.version(&shape.model)
         };
         let usable = open.iter().filter_map(|upstream| {
-            let state = self.openness_for(upstream, selection.shape, now);
+            let state = self.availability_for(upstream, selection.shape, now);
             (state != Availability::Paused).then_some((state, *upstream))
         });
         let best = usable.min_by_key(|(state, upstream)| {
@@ -312,7 +312,7 @@
         let shape = selection.shape?;
         let long = self.for_long(selection.service, selection.stores);
         let takes = |upstream: &&Upstream| {
-            self.openness_for(upstream, Some(shape), now) == Availability::Open
+            self.availability_for(upstream, Some(shape), now) == Availability::Open
                 && !selection.tried.contains(&upstream.id)
         };
         let open = self.of(selection.service).filter(takes);
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -132,7 +132,7 @@
         let fleet = core.fleet.lock();
         let mut others = fleet.of(&self.service).filter(|up| Some(&up.id) != than);
         let shape = self.shape.as_ref();
-        let is_open = |up: &Upstream| fleet.openness_for(up, shape, now) == Availability::Open;
+        let is_open = |up: &Upstream| fleet.availability_for(up, shape, now) == Availability::Open;
         others.any(|up| is_open(up) && !self.tried.contains(&up.id))
     }
 }
