--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -120,7 +120,7 @@
         let mut fleet = self.fleet.lock();
         let version = self.weights.map_or(0, |version| version.0);
         for prefix in self.prefixes.drain(..) {
-            fleet.recall.note(prefix.hash, self.life, version, now);
+            fleet.cache_locations.note(prefix.hash, self.life, version, now);
         }
         if let Some(upstream) = fleet.in_life(&self.id, self.life) {
             upstream.hear(now);
@@ -145,7 +145,7 @@
         let own = self
             .fleet
             .lock()
-            .recall
+            .cache_locations
             .last(inner.hash, self.life, version);
         own.max(self.served)
     }
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -50,7 +50,7 @@
     /// Of those that were only heard to be removed.
     unlisted: BTreeMap<UpstreamId, Belief>,
     contact: StoreReachability,
-    pub(crate) recall: CacheLocations,
+    pub(crate) cache_locations: CacheLocations,
     pub(crate) loads: Loads,
     /// What this VM has placed for others, by who asked and the number given.
     pub(crate) placed: Placements<(SocketAddr, u64)>,
@@ -67,7 +67,7 @@
             upstreams: BTreeMap::new(),
             unlisted: BTreeMap::new(),
             contact: StoreReachability::default(),
-            recall: CacheLocations::default(),
+            cache_locations: CacheLocations::default(),
             loads: Loads::default(),
             placed: Placements::default(),
             kept: Kept::default(),
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -221,7 +221,7 @@
     /// Chooses an upstream.
     pub fn choose(&mut self, selection: &Selection<'_>, now: Moment) -> Option<Chosen> {
         if selection.shard.is_some() {
-            self.recall.set_complete();
+            self.cache_locations.set_complete();
         }
         self.pick(selection, now)
     }
@@ -275,7 +275,7 @@
             })
             .collect();
         let newest = self.namings().target_version(&shape.model, now).0;
-        let choice = engines::choose(&shape.prompt, &views, newest, &self.recall)?;
+        let choice = engines::choose(&shape.prompt, &views, newest, &self.cache_locations)?;
         Some(Chosen {
             id: open[choice.at].id.clone(),
             source: choice.source.map(|no| open[no].entry.addr),
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -50,7 +50,7 @@
     let prefixes = prefixes.unwrap_or_default();
     let served = prefixes
         .last()
-        .and_then(|inner| fleet.recall.last(inner.hash, life, version));
+        .and_then(|inner| fleet.cache_locations.last(inner.hash, life, version));
     let placement = Placement {
         life,
         tokens: ask.tokens,
@@ -98,7 +98,7 @@
             Word::Read(number) => {
                 if let Some(read) = fleet.placed.read(&(from, number)) {
                     for prefix in read.prefixes {
-                        fleet.recall.note(prefix.hash, read.life, read.version, now);
+                        fleet.cache_locations.note(prefix.hash, read.life, read.version, now);
                     }
                 }
             }
