--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -122,7 +122,7 @@
     }
 
     /// Upstreams of a service.
-    pub fn of<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Upstream> {
+    pub fn of_service<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams()
             .filter(move |upstream| upstream.entry.service == *service)
     }
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -54,7 +54,7 @@
     /// Numbers of the engines that long prompts have.
     pub fn for_long(&self, service: &ServiceId, stores: &[KvStore]) -> Vec<u64> {
         let divided: Vec<engines::EngineLocation> = self
-            .of(service)
+            .of_service(service)
             .map(|engine| engines::EngineLocation {
                 seed: engine.seed,
                 by_store: stores
@@ -142,7 +142,7 @@
                 id: found.engine,
                 source: found.source,
                 at_store: found.at_store,
-                engines: fleet.of(selection.service).count(),
+                engines: fleet.of_service(selection.service).count(),
             };
             let served = found
                 .served_ms
@@ -232,7 +232,7 @@
             shard.is_none_or(|shard| shard.division.shard(upstream.seed) == shard.number)
         };
         let open: Vec<&Upstream> = self
-            .of(selection.service)
+            .of_service(selection.service)
             .filter(in_shard)
             .filter(|upstream| !selection.tried.contains(&upstream.id))
             .collect();
@@ -280,7 +280,7 @@
             id: open[choice.at].id.clone(),
             source: choice.source.map(|no| open[no].entry.addr),
             at_store: choice.at_store,
-            engines: self.of(selection.service).count(),
+            engines: self.of_service(selection.service).count(),
         })
     }
 
@@ -315,10 +315,10 @@
             self.availability_for(upstream, Some(shape), now) == Availability::Open
                 && !selection.tried.contains(&upstream.id)
         };
-        let open = self.of(selection.service).filter(takes);
+        let open = self.of_service(selection.service).filter(takes);
         let homes = open.map(|upstream| (upstream.seed, long.contains(&upstream.seed)));
         let home = engines::inner_home(&shape.prompt, homes)?;
-        let division = Division::of(self.of(selection.service).count());
+        let division = Division::of(self.of_service(selection.service).count());
         Some(Shard {
             division,
             number: division.shard(home),
