--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -52,7 +52,7 @@
 
 impl Fleet {
     /// Numbers of the engines that long prompts have.
-    pub fn for_long(&self, service: &ServiceId, stores: &[KvStore]) -> Vec<u64> {
+    pub fn long_prompt_engines(&self, service: &ServiceId, stores: &[KvStore]) -> Vec<u64> {
         let divided: Vec<engines::EngineLocation> = self
             .of_service(service)
             .map(|engine| engines::EngineLocation {
@@ -254,7 +254,7 @@
                 engines: 0,
             });
         };
-        let long = self.for_long(selection.service, selection.stores);
+        let long = self.long_prompt_engines(selection.service, selection.stores);
         let views: Vec<engines::Engine> = open
             .iter()
             .map(|upstream| {
@@ -310,7 +310,7 @@
     /// The shard of a prompt's home among the engines that take it.
     pub fn shard_of_home(&self, selection: &Selection<'_>, now: Moment) -> Option<Shard> {
         let shape = selection.shape?;
-        let long = self.for_long(selection.service, selection.stores);
+        let long = self.long_prompt_engines(selection.service, selection.stores);
         let takes = |upstream: &&Upstream| {
             self.availability_for(upstream, Some(shape), now) == Availability::Open
                 && !selection.tried.contains(&upstream.id)
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -148,7 +148,7 @@
         let services: BTreeSet<_> = engines.iter().map(|up| &up.entry.service).collect();
         let long: BTreeSet<u64> = services
             .into_iter()
-            .flat_map(|service| fleet.for_long(service, stores))
+            .flat_map(|service| fleet.long_prompt_engines(service, stores))
             .collect();
         let mut views = Vec::new();
         let mut ids = Vec::new();
