--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -70,13 +70,13 @@
 
     /// Requests that all VMs have at an upstream, as far as is known.
     pub fn running(&self, upstream: &Upstream, now: Moment) -> u32 {
-        upstream.running_told(now).max(self.running_here(upstream))
+        upstream.running_told(now).max(self.counted_running(upstream))
     }
 
     /// Requests that all VMs have at an upstream by their own counts.
     ///
     /// Unlike what the upstream last said of itself, this falls to zero as soon as it is empty.
-    pub fn running_here(&self, upstream: &Upstream) -> u32 {
+    pub fn counted_running(&self, upstream: &Upstream) -> u32 {
         let others = self.loads.at(upstream.life).map_or(0, |held| held.running);
         upstream.running + others + self.placed.at(upstream.life).running
     }
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -155,7 +155,7 @@
     let all = engines().count();
     Some(View {
         overtaken: overtaken.map(|at| now.since(at)),
-        running: fleet.running_here(engine),
+        running: fleet.counted_running(engine),
         longest: rolls::drain(done.count(), all, left(began)),
         returns: rolls::must_return(open.count(), all, left(now)),
     })
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -178,7 +178,7 @@
     drop((served, running));
     let fleet = core.fleet.lock();
     let upstream = fleet.get(&worker()).unwrap();
-    assert_eq!(fleet.running_here(upstream), 1, "the one of this life");
+    assert_eq!(fleet.counted_running(upstream), 1, "the one of this life");
     assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
     assert_eq!(fleet.availability(upstream, clock::now()), Availability::Open);
 }
@@ -227,7 +227,7 @@
     read(&core, 2, vec![engine(100, 18, 3)]);
     let running = || {
         let fleet = core.fleet.lock();
-        fleet.running_here(fleet.get(&worker()).unwrap())
+        fleet.counted_running(fleet.get(&worker()).unwrap())
     };
     assert_eq!(running(), 1);
     drop(flights);
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -141,7 +141,7 @@
     let running = |core: &Core| {
         let fleet = core.fleet.lock();
         let engine = fleet.get(&flight.id).unwrap();
-        fleet.running_here(engine)
+        fleet.counted_running(engine)
     };
     assert_eq!(running(&owner), 1);
     flight.heard(clock::now());
@@ -150,7 +150,7 @@
     drop(flight);
     until(|| {
         let fleet = owner.fleet.lock();
-        fleet.running_here(fleet.get(&id).unwrap()) == 0
+        fleet.counted_running(fleet.get(&id).unwrap()) == 0
     })
     .await;
 }
