--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -308,7 +308,7 @@
     }
 
     /// The shard of a prompt's home among the engines that take it.
-    pub fn shard_of_home(&self, selection: &Selection<'_>, now: Moment) -> Option<Shard> {
+    pub fn home_shard(&self, selection: &Selection<'_>, now: Moment) -> Option<Shard> {
         let shape = selection.shape?;
         let long = self.long_prompt_engines(selection.service, selection.stores);
         let takes = |upstream: &&Upstream| {
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -69,7 +69,7 @@
     if roster.len() <= SMALL {
         return None;
     }
-    let shard = core.fleet.lock().shard_of_home(selection, clock::now())?;
+    let shard = core.fleet.lock().home_shard(selection, clock::now())?;
     let owner = owner(core, shard.number, &roster)?;
     Some((shard, owner))
 }
