--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Notes whether the store answers this VM; while it is away, entries lapse of themselves.
-    pub fn store(&mut self, answers: bool, now: Moment) {
+    pub fn record_store_response(&mut self, answers: bool, now: Moment) {
         self.contact.record_response(answers, now);
     }
 
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -70,7 +70,7 @@
             continue;
         }
         let outcome = step(&core, table, &mut restored).await;
-        core.fleet.lock().store(answers(&outcome), clock::now());
+        core.fleet.lock().record_store_response(answers(&outcome), clock::now());
         match outcome {
             Ok(()) => {
                 if lost {
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -69,8 +69,8 @@
     for no in 0..4 {
         fleet.apply(&id(no), beat(1), offset(0), at(0));
     }
-    fleet.store(false, at(1_000));
-    fleet.store(true, at(6_000));
+    fleet.record_store_response(false, at(1_000));
+    fleet.record_store_response(true, at(6_000));
     assert_eq!(
         fleet.remove(&id(0), offset(6_010), at(6_010)),
         Change::Lapsed
@@ -95,8 +95,8 @@
 fn what_leaves_after_the_stores_return_gets_no_time_of_its_own() {
     let mut fleet = fleet();
     fleet.apply(&id(0), beat(1), offset(0), at(0));
-    fleet.store(false, at(1_000));
-    fleet.store(true, at(6_000));
+    fleet.record_store_response(false, at(1_000));
+    fleet.record_store_response(true, at(6_000));
     assert_eq!(
         fleet.remove(&id(0), offset(7_900), at(7_900)),
         Change::Lapsed
@@ -119,15 +119,15 @@
     fleet.apply(&id(0), beat(1), offset(0), at(0));
     for ms in (1_000..9_000).step_by(300) {
         fleet.store_told(at(ms));
-        fleet.store(false, at(ms + 100));
+        fleet.record_store_response(false, at(ms + 100));
     }
-    fleet.store(true, at(9_000));
+    fleet.record_store_response(true, at(9_000));
     assert_eq!(fleet.remove(&id(0), offset(9_500), at(9_500)), Change::Gone);
     let mut alone = self::fleet();
     alone.apply(&id(0), beat(1), offset(0), at(0));
     alone.store_told(at(1_000));
-    alone.store(false, at(2_100));
-    alone.store(true, at(9_000));
+    alone.record_store_response(false, at(2_100));
+    alone.record_store_response(true, at(9_000));
     assert_eq!(
         alone.remove(&id(0), offset(9_500), at(9_500)),
         Change::Lapsed,
@@ -140,10 +140,10 @@
 fn nothing_expires_while_the_store_is_away() {
     let mut fleet = fleet();
     fleet.apply(&id(0), beat(1), offset(0), at(0));
-    fleet.store(false, at(100));
+    fleet.record_store_response(false, at(100));
     assert_eq!(fleet.remove(&id(0), offset(200), at(200)), Change::Lapsed);
     assert_eq!(fleet.expire(at(60_000)), []);
-    fleet.store(true, at(60_100));
+    fleet.record_store_response(true, at(60_100));
     assert_eq!(fleet.expire(at(60_200)), []);
     assert_eq!(fleet.expire(at(62_200)), [(id(0), Change::Gone)]);
 }
@@ -203,7 +203,7 @@
     for no in 0..3 {
         fleet.apply(&id(no), beat(1), offset(0), at(0));
     }
-    fleet.store(true, at(100));
+    fleet.record_store_response(true, at(100));
     assert_eq!(fleet.remove(&id(0), offset(1_000), at(1_000)), Change::Gone);
     assert_eq!(fleet.remove(&id(1), offset(1_500), at(1_500)), Change::Gone);
     assert_eq!(fleet.remove(&id(2), offset(1_900), at(1_900)), Change::Gone);
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -109,8 +109,8 @@
 fn a_malformed_entry_takes_the_upstream_out_right_after_an_outage_too() {
     let core = vm();
     read(&core, 0, vec![sound(1, 1), sound(2, 1)]);
-    core.fleet.lock().store(false, clock::now());
-    core.fleet.lock().store(true, clock::now());
+    core.fleet.lock().record_store_response(false, clock::now());
+    core.fleet.lock().record_store_response(true, clock::now());
     read(
         &core,
         2,
