--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -156,7 +156,7 @@
     }
 
     /// Notes that the store was restored from a copy.
-    pub fn store_restored(&mut self, now: Moment) {
+    pub fn record_store_restore(&mut self, now: Moment) {
         self.contact.restored(now);
     }
 
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -156,7 +156,7 @@
 
 /// Has a table read anew from a store that was restored; what is known of it stays in use meanwhile.
 fn begin_again(core: &Core, table: Table) {
-    core.fleet.lock().store_restored(clock::now());
+    core.fleet.lock().record_store_restore(clock::now());
     core.known(table).position().require_full_read();
 }
 
