--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -161,7 +161,7 @@
     }
 
     /// Notes that the store answers another VM.
-    pub fn store_told(&mut self, now: Moment) {
+    pub fn record_peer_store_report(&mut self, now: Moment) {
         self.contact.record_peer_report(now);
     }
 
--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -119,7 +119,7 @@
     if heard == UpdateOutcome::Missed {
         known.missed.notify_one();
     } else {
-        core.fleet.lock().store_told(now);
+        core.fleet.lock().record_peer_store_report(now);
     }
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -118,14 +118,14 @@
     let mut fleet = fleet();
     fleet.apply(&id(0), beat(1), offset(0), at(0));
     for ms in (1_000..9_000).step_by(300) {
-        fleet.store_told(at(ms));
+        fleet.record_peer_store_report(at(ms));
         fleet.record_store_response(false, at(ms + 100));
     }
     fleet.record_store_response(true, at(9_000));
     assert_eq!(fleet.remove(&id(0), offset(9_500), at(9_500)), Change::Gone);
     let mut alone = self::fleet();
     alone.apply(&id(0), beat(1), offset(0), at(0));
-    alone.store_told(at(1_000));
+    alone.record_peer_store_report(at(1_000));
     alone.record_store_response(false, at(2_100));
     alone.record_store_response(true, at(9_000));
     assert_eq!(
