--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -222,7 +222,7 @@
     }
 
     /// Takes in which life an upstream, or a VM that asked it, says that it is.
-    pub fn met(&mut self, id: &UpstreamId, born: Option<Incarnation>) -> Change {
+    pub fn observe_incarnation(&mut self, id: &UpstreamId, born: Option<Incarnation>) -> Change {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return Change::Same;
         };
@@ -236,7 +236,7 @@
 
     /// Takes in an engine's report of itself.
     pub fn reported(&mut self, id: &UpstreamId, report: &Report) -> Change {
-        let change = self.met(id, report.born);
+        let change = self.observe_incarnation(id, report.born);
         if change == Change::Restarted
             && let Some(engine) = self.upstreams.get_mut(id)
         {
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -252,7 +252,7 @@
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for piece in news {
-        match fleet.met(&piece.engine, piece.born) {
+        match fleet.observe_incarnation(&piece.engine, piece.born) {
             // A take-out, or weights, of a former life say nothing about this one.
             Change::Former => {
                 info!(event = events::DISCARDED, upstream = %piece.engine, born = piece.born.map(|born| born.0), "a peer's word is of a former life");
