--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -235,7 +235,7 @@
     }
 
     /// Takes in an engine's report of itself.
-    pub fn reported(&mut self, id: &UpstreamId, report: &Report) -> Change {
+    pub fn apply_report(&mut self, id: &UpstreamId, report: &Report) -> Change {
         let change = self.observe_incarnation(id, report.born);
         if change == Change::Restarted
             && let Some(engine) = self.upstreams.get_mut(id)
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -195,7 +195,7 @@
             }
         };
         // An engine that started again has taken no order of before, whatever it answered to one.
-        let change = core.fleet.lock().reported(&target.engine, &report);
+        let change = core.fleet.lock().apply_report(&target.engine, &report);
         if change == Change::Restarted {
             info!(event = events::UPSTREAM, upstream = %target.engine, change = ?change, born = report.born.map(|born| born.0), "its report is of a newer life");
         }
