--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -165,10 +165,10 @@
     }
 
     /// Notes that the upstream could not be reached or went silent.
-    pub fn failed(&self, now: Moment) {
+    pub fn record_failure(&self, now: Moment) {
         let mut fleet = self.fleet.lock();
         if fleet.in_life(&self.id, self.life).is_some() {
-            fleet.failed(&self.id, now);
+            fleet.record_failure(&self.id, now);
         }
     }
 
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -142,9 +142,9 @@
     }
 
     /// Notes that an upstream could not be reached or went silent.
-    pub fn failed(&mut self, id: &UpstreamId, now: Moment) {
+    pub fn record_failure(&mut self, id: &UpstreamId, now: Moment) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            let alone = upstream.fail(now);
+            let alone = upstream.record_failure(now);
             let avoided = self.silences.failed(upstream.life, alone, now);
             upstream.avoid(now + avoided);
         }
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -175,7 +175,7 @@
     /// Notes that it could not be reached or went silent.
     ///
     /// Gives how long this VM alone avoids it.
-    pub fn fail(&mut self, now: Moment) -> Duration {
+    pub fn record_failure(&mut self, now: Moment) -> Duration {
         let doublings = self.failures.min(DOUBLINGS);
         self.failures += 1;
         let avoided = AVOIDED * 2u32.pow(doublings);
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -135,18 +135,18 @@
     let exchange = match answer {
         Ok(Ok(exchange)) => exchange,
         Ok(Err(SendError::Unreached(_))) => {
-            flight.failed(clock::now());
+            flight.record_failure(clock::now());
             return Outcome::NotRun(NotRun::Unreached);
         }
         Ok(Err(SendError::Broken(why))) => {
-            flight.failed(clock::now());
+            flight.record_failure(clock::now());
             loss::broke(core, job, &mut flight, sent, false).await;
             return Outcome::Lost(why);
         }
         Err(_) => {
             BrokenAnswer::new(job, &mut flight, sent, false).silent(core);
             if flight.last_heard() < clock::now_less(patience) {
-                flight.failed(clock::now());
+                flight.record_failure(clock::now());
             }
             return Outcome::Lost("no head in time".to_owned());
         }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -295,7 +295,7 @@
                     return Err("its stream went silent".to_owned());
                 }
                 Err(_) => {
-                    live.flight.failed(clock::now());
+                    live.flight.record_failure(clock::now());
                     let loss =
                         BrokenAnswer::new(&self.job, &mut live.flight, live.sent, live.begun);
                     loss.silent(&self.core);
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -54,7 +54,7 @@
     let done = turn.is_some() && load(core, lease, outage, &mut target, addr).await;
     drop(turn);
     if !done {
-        core.fleet.lock().failed(&engine, clock::now());
+        core.fleet.lock().record_failure(&engine, clock::now());
     }
     let gone = |up: &Upstream| up.is_gone(clock::now());
     if !core.fleet.lock().get(&engine).is_some_and(gone) {
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -143,7 +143,7 @@
     let now = clock::now();
     let former = {
         let mut fleet = core.fleet.lock();
-        fleet.failed(&worker(), now);
+        fleet.record_failure(&worker(), now);
         fleet.get(&worker()).unwrap().life
     };
     let out = EngineNews {
@@ -174,7 +174,7 @@
         "it has read no prefix in this life"
     );
     running.holds(&"m".into(), WeightsVersion(3));
-    running.failed(clock::now());
+    running.record_failure(clock::now());
     drop((served, running));
     let fleet = core.fleet.lock();
     let upstream = fleet.get(&worker()).unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -185,10 +185,10 @@
     let mut fleet = fleet();
     fleet.apply(&id(1), beat(1), offset(0), at(0));
     let upstream = fleet.get_mut(&id(1)).unwrap();
-    upstream.fail(at(0));
+    upstream.record_failure(at(0));
     assert!(upstream.is_suspect(at(500)) && !upstream.is_suspect(at(700)));
-    upstream.fail(at(700));
-    upstream.fail(at(1_500));
+    upstream.record_failure(at(700));
+    upstream.record_failure(at(1_500));
     assert!(upstream.is_suspect(at(3_000)));
     upstream.hear(at(3_100));
     assert!(!upstream.is_suspect(at(3_100)));
