--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -158,9 +158,9 @@
     }
 
     /// Notes the weights that the answer told.
-    pub fn holds(&self, model: &SmolStr, version: WeightsVersion) {
+    pub fn record_version(&self, model: &SmolStr, version: WeightsVersion) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
-            upstream.holds(model, version);
+            upstream.record_version(model, version);
         }
     }
 
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -241,7 +241,7 @@
             && let Some(engine) = self.upstreams.get_mut(id)
         {
             for weights in &report.weights {
-                engine.holds(&weights.model, weights.version);
+                engine.record_version(&weights.model, weights.version);
             }
         }
         change
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -145,7 +145,7 @@
     }
 
     /// Notes the version that it says it holds.
-    pub fn holds(&mut self, model: &str, version: WeightsVersion) {
+    pub fn record_version(&mut self, model: &str, version: WeightsVersion) {
         let weights = &mut self.entry.weights;
         if let Some(held) = weights.iter_mut().find(|w| w.model == model) {
             held.version = version;
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -280,7 +280,7 @@
         if let Some(weights) = &piece.weights
             && engine.version(&weights.model) < Some(weights.version)
         {
-            engine.holds(&weights.model, weights.version);
+            engine.record_version(&weights.model, weights.version);
         }
     }
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -192,7 +192,7 @@
     }
     flight.heard(now);
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
-        flight.holds(model, version);
+        flight.record_version(model, version);
     }
     Outcome::Answered(Box::new(Answered {
         flight,
@@ -221,7 +221,7 @@
         return NotRun::Refused;
     }
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
-        flight.holds(model, version);
+        flight.record_version(model, version);
         if status == StatusCode::MISDIRECTED_REQUEST && flight.weights != Some(version) {
             return NotRun::OtherWeights;
         }
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -173,7 +173,7 @@
         fresh.last_served().is_none(),
         "it has read no prefix in this life"
     );
-    running.holds(&"m".into(), WeightsVersion(3));
+    running.record_version(&"m".into(), WeightsVersion(3));
     running.record_failure(clock::now());
     drop((served, running));
     let fleet = core.fleet.lock();
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -22,7 +22,7 @@
     let engine = engine.parse().unwrap();
     let mut fleet = process.core.fleet.lock();
     let engine = fleet.get_mut(&engine).unwrap();
-    engine.holds("m", WeightsVersion(version));
+    engine.record_version("m", WeightsVersion(version));
 }
 
 /// The VM that rolls weights dies in the middle of a roll, and for five seconds nobody orders. All prompts
