--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -151,9 +151,9 @@
     }
 
     /// Notes the load that the answer told.
-    pub fn loaded(&self, load: Load, now: Moment) {
+    pub fn record_load(&self, load: Load, now: Moment) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
-            upstream.loaded(load, now);
+            upstream.record_load(load, now);
         }
     }
 
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -153,7 +153,7 @@
     }
 
     /// Notes its load.
-    pub fn loaded(&mut self, load: Load, now: Moment) {
+    pub fn record_load(&mut self, load: Load, now: Moment) {
         self.load = Some((load, now));
         self.sent = 0;
     }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -178,7 +178,7 @@
     let status = exchange.response.status();
     let answer_head = core.ports.headers.read_answer(exchange.response.headers());
     if let Some(load) = answer_head.load {
-        flight.loaded(load, now);
+        flight.record_load(load, now);
     }
     if answer_head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Outcome::NotRun(refused(core, job, &flight, &answer_head, status));
