--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -109,7 +109,7 @@
     }
 
     /// Notes that bytes came, and on the first call that the prompt was read.
-    pub fn heard(&mut self, now: Moment) {
+    pub fn record_received(&mut self, now: Moment) {
         let unread = std::mem::take(&mut self.unread);
         self.on_way = None;
         let shared = self.asked.as_ref().filter(|_| unread > 0);
@@ -123,7 +123,7 @@
             fleet.cache_locations.note(prefix.hash, self.life, version, now);
         }
         if let Some(upstream) = fleet.in_life(&self.id, self.life) {
-            upstream.hear(now);
+            upstream.record_received(now);
             upstream.unread = upstream.unread.saturating_sub(unread);
             upstream.shared.unread = upstream.shared.unread.saturating_sub(shared);
         }
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -166,7 +166,7 @@
     }
 
     /// Notes that a byte came from it.
-    pub fn hear(&mut self, now: Moment) {
+    pub fn record_received(&mut self, now: Moment) {
         self.heard = now;
         self.failures = 0;
         self.avoided = Moment(0);
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -190,7 +190,7 @@
     if status.is_success() && !answer_head.sealed {
         return Outcome::Lost("a success without a seal".to_owned());
     }
-    flight.heard(now);
+    flight.record_received(now);
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
         flight.record_version(model, version);
     }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -302,7 +302,7 @@
                     return Err("the upstream went silent".to_owned());
                 }
             };
-            live.flight.heard(clock::now());
+            live.flight.record_received(clock::now());
             since = Instant::now();
             let Ok(data) = frame.into_data() else {
                 continue;
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -137,7 +137,7 @@
     read(&core, 0, vec![engine(100, 40, 3)]);
     let shape = prompt();
     let mut served = choose(&core, &shape).unwrap();
-    served.heard(clock::now());
+    served.record_received(clock::now());
     let running = choose(&core, &shape).unwrap();
     assert!(running.last_served().is_some());
     let now = clock::now();
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -190,7 +190,7 @@
     upstream.record_failure(at(700));
     upstream.record_failure(at(1_500));
     assert!(upstream.is_suspect(at(3_000)));
-    upstream.hear(at(3_100));
+    upstream.record_received(at(3_100));
     assert!(!upstream.is_suspect(at(3_100)));
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -144,7 +144,7 @@
         fleet.counted_running(engine)
     };
     assert_eq!(running(&owner), 1);
-    flight.heard(clock::now());
+    flight.record_received(clock::now());
     until(|| unread(&owner) == 0).await;
     let id = flight.id.clone();
     drop(flight);
