--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -130,11 +130,11 @@
     }
 
     /// When any byte last came from the upstream, on any connection.
-    pub fn last_heard(&self) -> Moment {
+    pub fn last_received(&self) -> Moment {
         let mut fleet = self.fleet.lock();
         fleet
             .in_life(&self.id, self.life)
-            .map(|upstream| upstream.heard)
+            .map(|upstream| upstream.last_received)
             .unwrap_or_default()
     }
 
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -63,7 +63,7 @@
     /// What the list and it itself say of it.
     pub belief: Belief,
     /// When any byte last came from it.
-    pub heard: Moment,
+    pub last_received: Moment,
     pub(super) running: u32,
     pub(super) unread: u64,
     /// What of these the owners of shards know, which then needs not be told to all.
@@ -92,7 +92,7 @@
             seed,
             life,
             belief,
-            heard: Moment(0),
+            last_received: Moment(0),
             running: 0,
             unread: 0,
             shared: Shared::default(),
@@ -167,7 +167,7 @@
 
     /// Notes that a byte came from it.
     pub fn record_received(&mut self, now: Moment) {
-        self.heard = now;
+        self.last_received = now;
         self.failures = 0;
         self.avoided = Moment(0);
     }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -336,7 +336,7 @@
 
     /// Whether the upstream was heard on another connection since.
     fn is_heard(live: &Live, since: Instant) -> bool {
-        let silent = clock::now().since(live.flight.last_heard());
+        let silent = clock::now().since(live.flight.last_received());
         silent + Duration::from_millis(1) < since.elapsed()
     }
 
