--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -180,9 +180,9 @@
     }
 
     /// Notes the time and outcome of a plain answer.
-    pub fn answered(&self, took: Duration, failed: bool) {
+    pub fn record_answer(&self, took: Duration, failed: bool) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
-            upstream.answered(took, failed);
+            upstream.record_answer(took, failed);
         }
     }
 }
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -214,7 +214,7 @@
     }
 
     /// Notes an answer of a plain service.
-    pub fn answered(&mut self, took: Duration, failed: bool) {
+    pub fn record_answer(&mut self, took: Duration, failed: bool) {
         let fault = f64::from(u8::from(failed));
         self.faults += NEWEST * (fault - self.faults);
         let ms = took.as_secs_f64() * 1000.0;
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -98,12 +98,12 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => break,
             Ok(Some(Err(_))) => {
-                answered.flight.answered(answered.sent.elapsed(), true);
+                answered.flight.record_answer(answered.sent.elapsed(), true);
                 loss::broke(core, job, &mut answered.flight, answered.sent, true).await;
                 return None;
             }
             Err(_) => {
-                answered.flight.answered(answered.sent.elapsed(), true);
+                answered.flight.record_answer(answered.sent.elapsed(), true);
                 return None;
             }
         };
@@ -121,7 +121,7 @@
     if head.status.is_success() {
         core.quarantine.succeeded(job.fingerprint());
     }
-    answered.flight.answered(answered.sent.elapsed(), failed);
+    answered.flight.record_answer(answered.sent.elapsed(), failed);
     Some(respond(head.status, &head.headers, full(bytes.freeze())))
 }
 
