--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -199,7 +199,7 @@
     }
 
     /// Takes it as gone until the list says so too.
-    pub fn leave_alone(&mut self, until: Moment) {
+    pub fn mark_gone(&mut self, until: Moment) {
         self.gone = until;
     }
 
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -269,7 +269,7 @@
         let was_out = engine.is_paused(now);
         let until = now + Duration::from_millis(u64::from(piece.out_ms));
         if piece.gone {
-            engine.leave_alone(until);
+            engine.mark_gone(until);
         } else {
             engine.pause(until);
         }
