--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -173,7 +173,7 @@
     }
 
     /// Sends nothing there until a moment.
-    pub fn paused(&self, until: Moment) {
+    pub fn pause(&self, until: Moment) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.pause_at_least(until);
         }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -226,7 +226,7 @@
             return NotRun::OtherWeights;
         }
     }
-    flight.paused(now + REFUSED_PAUSE);
+    flight.pause(now + REFUSED_PAUSE);
     NotRun::Refused
 }
 
