--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -73,7 +73,7 @@
     }
 
     /// Notes that the owner of its engine's shard knows of it.
-    pub fn share(&mut self, asked: Asked) {
+    pub fn set_owner(&mut self, asked: Asked) {
         self.asked = Some(asked);
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.shared.running += 1;
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -153,7 +153,7 @@
             flight.served = served;
             flight
         };
-        flight.share(asked);
+        flight.set_owner(asked);
         Some(flight)
     }
 
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -107,6 +107,6 @@
     let shard = division.shard(flight.seed());
     if let Some(Owner::Other(addr)) = owner(core, shard, &core.peers.roster()) {
         let asked = core.desk.tell(addr, flight, left);
-        flight.share(asked);
+        flight.set_owner(asked);
     }
 }
