--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -84,7 +84,7 @@
     /// When newer weights than the engine's were first named.
     ///
     /// Weights that are not known count as the oldest, as they do when an engine is chosen.
-    pub fn overtaken(&self) -> Option<Moment> {
+    pub fn superseded_at(&self) -> Option<Moment> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
         fleet.namings.superseded_at(self.model.as_ref()?, version)
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -112,7 +112,7 @@
         unread = flight.ahead,
         tokens = flight.tokens(),
         weights = flight.weights.map(|version| version.0),
-        overtaken_ms = flight.overtaken().map(|at| clock::ms(clock::now().since(at))),
+        overtaken_ms = flight.superseded_at().map(|at| clock::ms(clock::now().since(at))),
         fetch = dispatch.fetch.map(tracing::field::display),
         save = dispatch.save.map(tracing::field::display),
         left_ms = clock::ms(dispatch.left),
