--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -91,7 +91,7 @@
     }
 
     /// Time until the request is taken back unless it has begun; none if its weights are the newest.
-    pub fn left_to_begin(&self, now: Moment) -> Option<Duration> {
+    pub fn time_to_start(&self, now: Moment) -> Option<Duration> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
         let until = fleet
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -161,7 +161,7 @@
 /// drop it, and it goes elsewhere if it may be repeated.
 async fn outdated(flight: &Flight) {
     loop {
-        let left = flight.left_to_begin(clock::now());
+        let left = flight.time_to_start(clock::now());
         if left.is_some_and(|left| left.is_zero()) {
             sleep(READY).await;
             return;
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -144,7 +144,7 @@
         if self.begun {
             return None;
         }
-        self.flight.left_to_begin(clock::now())
+        self.flight.time_to_start(clock::now())
     }
 
     /// Whether it waits at an engine whose weights it may not begin on any more.
