--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -101,7 +101,7 @@
     }
 
     /// Notes that it gave a connection and answered: what others say of its silence is over.
-    pub fn reached(&self, now: Moment) {
+    pub fn record_response(&self, now: Moment) {
         let mut fleet = self.fleet.lock();
         let there = fleet.in_life(&self.id, self.life);
         let avoided = there.is_some_and(|upstream| upstream.has_failed());
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -174,7 +174,7 @@
 /// Decides whether an answer is one to this request, and whether the request was run.
 fn judge(core: &Core, job: &Job, mut flight: Flight, exchange: Exchange, sent: Instant) -> Outcome {
     let now = clock::now();
-    flight.reached(now);
+    flight.record_response(now);
     let status = exchange.response.status();
     let answer_head = core.ports.headers.read_answer(exchange.response.headers());
     if let Some(load) = answer_head.load {
