--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -27,7 +27,7 @@
     };
     let now = clock::now();
     let store = KvStore::nearest(job.catalogue.kv_stores(), &flight.domain);
-    let store = store.filter(|store| !core.fleet.lock().is_store_out(store.addr, now));
+    let store = store.filter(|store| !core.fleet.lock().is_store_unavailable(store.addr, now));
     let tokens: u64 = shared.iter().map(|part| part.tokens.0).sum();
     let wish = transfers::plan(&PlacedPrompt {
         shared: tokens,
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -169,10 +169,10 @@
     knows(&watcher, &hearer);
     let store = unused();
     peers::tell_of_store(&watcher, store);
-    until(|| hearer.fleet.lock().is_store_out(store, clock::now())).await;
+    until(|| hearer.fleet.lock().is_store_unavailable(store, clock::now())).await;
     let later = clock::now() + Duration::from_secs(2);
     assert!(
-        !hearer.fleet.lock().is_store_out(store, later),
+        !hearer.fleet.lock().is_store_unavailable(store, later),
         "it is asked again unless said again"
     );
 }
