--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes the choice of a shard's owner, unless this VM knows that the engine does not take the request.
-    pub fn take(
+    pub fn accept_placement(
         &self,
         selection: &Selection<'_>,
         found: Found,
