--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -43,7 +43,7 @@
     /// Upstreams already tried.
     pub tried: &'a [UpstreamId],
     /// Tells equals apart.
-    pub spread: usize,
+    pub tie_breaker: usize,
     /// Set if only engines of a shard may be chosen.
     pub shard: Option<Shard>,
     /// Set if it should run where the fewest others do.
@@ -344,6 +344,6 @@
                 state: self.availability(upstream, now),
             })
             .collect();
-        plain::choose(&views, selection.spread)
+        plain::choose(&views, selection.tie_breaker)
     }
 }
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -20,7 +20,7 @@
             stores: catalogue.kv_stores(),
             shape: Some(&shape),
             tried: &ask.tried,
-            spread: 0,
+            tie_breaker: 0,
             apart: false,
             shard: Some(Shard {
                 division: Division::from_bits(bits),
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -52,7 +52,7 @@
 
     /// Chooses the next upstream, or the one with the fewest requests for one that runs apart.
     pub async fn choose(&self, core: &Core, job: &Job, apart: bool) -> Option<Flight> {
-        let spread = usize::try_from(job.hash() >> 40).unwrap_or(0);
+        let tie_breaker = usize::try_from(job.hash() >> 40).unwrap_or(0);
         let settings = core.settings();
         let selection = Selection {
             service: &self.service,
@@ -60,7 +60,7 @@
             stores: job.catalogue.kv_stores(),
             shape: self.shape.as_ref(),
             tried: &self.tried,
-            spread,
+            tie_breaker,
             shard: None,
             apart,
         };
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -121,7 +121,7 @@
         stores: &[],
         shape: Some(shape),
         tried: &[],
-        spread: 0,
+        tie_breaker: 0,
         shard: None,
         apart: false,
     };
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -95,7 +95,7 @@
         stores: &[],
         shape: Some(&shape),
         tried: &[],
-        spread: 0,
+        tie_breaker: 0,
         shard: None,
         apart: false,
     };
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -276,7 +276,7 @@
         stores: &[],
         shape: None,
         tried: &ids[..8],
-        spread: 0,
+        tie_breaker: 0,
         shard: None,
         apart: false,
     };
