--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -47,7 +47,7 @@
     /// Set if only engines of a shard may be chosen.
     pub shard: Option<Shard>,
     /// Set if it should run where the fewest others do.
-    pub apart: bool,
+    pub least_loaded: bool,
 }
 
 impl Fleet {
@@ -236,7 +236,7 @@
             .filter(in_shard)
             .filter(|upstream| !selection.tried.contains(&upstream.id))
             .collect();
-        if selection.apart {
+        if selection.least_loaded {
             let id = self.emptiest(&open, selection, now)?.id.clone();
             return Some(Chosen {
                 id,
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -61,7 +61,7 @@
 
 /// The shard of a prompt's home and its owner; none if all VMs know of all prompts, or it is no prompt.
 fn find(core: &Core, selection: &Selection<'_>) -> Option<(Shard, Owner)> {
-    if selection.apart {
+    if selection.least_loaded {
         return None;
     }
     selection.shape?;
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -21,7 +21,7 @@
             shape: Some(&shape),
             tried: &ask.tried,
             tie_breaker: 0,
-            apart: false,
+            least_loaded: false,
             shard: Some(Shard {
                 division: Division::from_bits(bits),
                 number,
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -62,7 +62,7 @@
             tried: &self.tried,
             tie_breaker,
             shard: None,
-            apart,
+            least_loaded: apart,
         };
         placing::choose(core, &selection, job.left()).await
     }
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -123,7 +123,7 @@
         tried: &[],
         tie_breaker: 0,
         shard: None,
-        apart: false,
+        least_loaded: false,
     };
     core.fleet.choose(&selection, clock::now())
 }
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -97,7 +97,7 @@
         tried: &[],
         tie_breaker: 0,
         shard: None,
-        apart: false,
+        least_loaded: false,
     };
     choose(core, &selection, Duration::from_secs(5)).await
 }
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -278,7 +278,7 @@
         tried: &ids[..8],
         tie_breaker: 0,
         shard: None,
-        apart: false,
+        least_loaded: false,
     };
     let stream = core.fleet.choose(&selection, clock::now()).unwrap();
     assert_eq!(stream.id, ids[8]);
