--- a/crates/sesamegap-entry/src/catalogue/mod.rs
+++ b/crates/sesamegap-entry/src/catalogue/mod.rs
@@ -42,7 +42,7 @@
 
 impl Kind {
     /// Whether a request that may have run can be sent again.
-    pub fn repeats(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -37,7 +37,7 @@
 /// A request that may be sent again waits for what the upstream's probe finds, any other is answered at once.
 pub async fn broke(core: &Arc<Core>, job: &Job, flight: &mut Flight, sent: Instant, begun: bool) {
     let reported = BrokenAnswer::new(job, flight, sent, begun).report(core);
-    if job.route.kind.repeats() {
+    if job.route.kind.is_repeatable() {
         // The task ends by itself; one that panicked has nothing to tell.
         drop(reported.await);
     }
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -47,7 +47,7 @@
             Ok(flight) => flight,
             Err(refusal) => return failure.ok_or(refusal),
         };
-        let last = !job.route.kind.repeats() || progress.runs + 1 >= job.route.attempts;
+        let last = !job.route.kind.is_repeatable() || progress.runs + 1 >= job.route.attempts;
         let time = if last {
             job.left()
         } else {
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -100,7 +100,7 @@
 
     /// Whether its route and its time allow one more run.
     pub fn may_run_again(&self, job: &Job) -> bool {
-        let allowed = job.route.kind.repeats() && self.runs < job.route.attempts;
+        let allowed = job.route.kind.is_repeatable() && self.runs < job.route.attempts;
         allowed && job.left() > LEAST_LEFT
     }
 
