--- a/crates/sesamegap-entry/src/catalogue/mod.rs
+++ b/crates/sesamegap-entry/src/catalogue/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether answers are streams of events.
-    pub fn streams(self) -> bool {
+    pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -124,7 +124,7 @@
     };
     let until = job.ends.min(sent + patience);
     let answer = timeout_at(until, upstream::send(flight.addr, request));
-    let streams = job.route.kind.streams();
+    let streams = job.route.kind.is_stream();
     let answer = tokio::select! {
         // An answer that lies ready goes before the end of the time to begin.
         biased;
--- a/crates/sesamegap-entry/src/relay/mod.rs
+++ b/crates/sesamegap-entry/src/relay/mod.rs
@@ -143,7 +143,7 @@
 /// Serves a request.
 pub async fn run(core: &Arc<Core>, job: Job) -> Response<Body> {
     core.count_request(job.service());
-    if job.route.kind.streams() {
+    if job.route.kind.is_stream() {
         stream::run(Arc::clone(core), job).await
     } else {
         plain::run(core, &job).await
