--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -31,7 +31,7 @@
 
 /// What a VM has read of a table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Reading {
+pub struct TableUpdate {
     /// The table.
     pub table: Table,
     /// Where it read from.
@@ -66,8 +66,8 @@
 }
 
 /// Takes in what this VM has read, and puts it together for the others.
-pub fn take(core: &Core, table: Table, from: LogPosition, batch: Batch) -> Reading {
-    let mut reading = Reading {
+pub fn take(core: &Core, table: Table, from: LogPosition, batch: Batch) -> TableUpdate {
+    let mut reading = TableUpdate {
         table,
         from,
         next: batch.next,
@@ -100,7 +100,7 @@
 }
 
 /// Takes in what another VM has read.
-pub fn hear(core: &Core, reading: Reading) {
+pub fn hear(core: &Core, reading: TableUpdate) {
     let now = clock::now();
     let known = core.known(reading.table);
     let span = Span {
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -14,7 +14,7 @@
 use crate::clock;
 use crate::core::{Core, Phase};
 use crate::fleet::Upstream;
-use crate::follow::{self, Reading};
+use crate::follow::{self, TableUpdate};
 use crate::placing::{self, Say};
 use crate::quarantine;
 use crate::telemetry::events;
@@ -51,7 +51,7 @@
     /// What a VM says of upstreams that do not answer.
     Silent(VmId, Vec<SilenceReport>),
     /// What a VM has read of the store for all.
-    Reading(Reading),
+    Reading(TableUpdate),
     /// A store of kept cache does not answer.
     StoreOut(SocketAddr),
     /// To or from the owner of a shard.
--- a/crates/sesamegap-entry/src/peers/outbox.rs
+++ b/crates/sesamegap-entry/src/peers/outbox.rs
@@ -1,7 +1,7 @@
 //! News of engines on its way to all peers.
 
 use super::message::EngineNews;
-use crate::follow::Reading;
+use crate::follow::TableUpdate;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
@@ -13,7 +13,7 @@
 pub struct Outbox {
     engines: Mutex<Vec<(EngineNews, u8)>>,
     stores: Mutex<Vec<SocketAddr>>,
-    readings: Mutex<Vec<Reading>>,
+    readings: Mutex<Vec<TableUpdate>>,
 }
 
 impl Outbox {
@@ -32,13 +32,13 @@
     }
 
     /// Sends with the next datagrams what this VM has read of the store for all.
-    pub fn put_reading(&self, reading: Reading) {
+    pub fn put_reading(&self, reading: TableUpdate) {
         let mut readings = self.readings.lock().unwrap_or_else(PoisonError::into_inner);
         readings.push(reading);
     }
 
     /// What was read and goes out now.
-    pub fn readings(&self) -> Vec<Reading> {
+    pub fn readings(&self) -> Vec<TableUpdate> {
         let mut readings = self.readings.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut readings)
     }
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,7 +1,7 @@
 use crate::support::{Platform, entry, offset, settings, until, unused};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{Reading, follow, hear, take};
+use sesamegap_entry::follow::{TableUpdate, follow, hear, take};
 use sesamegap_entry::peers;
 use sesamegap_entry::ports::{Batch, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
@@ -145,7 +145,7 @@
             },
         )
     };
-    let first = Reading {
+    let first = TableUpdate {
         pieces: Vec::new(),
         ..word(0, 5, change(true, 4))
     };
