--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -9,7 +9,7 @@
 mod readings;
 mod reports;
 
-pub use readings::{Known, TableUpdate, hear, take};
+pub use readings::{Known, TableUpdate, apply_update, take};
 
 use crate::clock;
 use crate::core::{Core, Phase};
--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -100,7 +100,7 @@
 }
 
 /// Takes in what another VM has read.
-pub fn hear(core: &Core, reading: TableUpdate) {
+pub fn apply_update(core: &Core, reading: TableUpdate) {
     let now = clock::now();
     let known = core.known(reading.table);
     let span = Span {
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -227,7 +227,7 @@
             }
             Ok(Datagram::Engines(news)) => take(&core, &news),
             Ok(Datagram::Silent(vm, words)) => take_words(&core, &vm, &words),
-            Ok(Datagram::Reading(reading)) => follow::hear(&core, reading),
+            Ok(Datagram::Reading(reading)) => follow::apply_update(&core, reading),
             Ok(Datagram::StoreOut(store)) => {
                 core.fleet.lock().kept.leave(store, clock::now());
             }
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -3,7 +3,7 @@
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::{Change, Entry, Flight, PromptShape, Selection};
-use sesamegap_entry::follow::{TableUpdate, hear, take};
+use sesamegap_entry::follow::{TableUpdate, apply_update, take};
 use sesamegap_entry::kept;
 use sesamegap_entry::peers::{self, EngineNews};
 use sesamegap_entry::ports::{Batch, CacheNews, Record, Table, Weights};
@@ -69,9 +69,9 @@
     let word = read(&other, 1, vec![removed(), listed(18)]);
     read(&reader, 1, vec![removed(), listed(18)]);
     assert!(knows(&reader));
-    hear(&reader, word.clone());
+    apply_update(&reader, word.clone());
     assert!(knows(&reader), "the removal came before the return");
-    hear(&reader, word);
+    apply_update(&reader, word);
     assert!(knows(&reader));
 }
 
@@ -82,9 +82,9 @@
 fn a_reader_does_not_pass_over_what_it_was_told_before() {
     let (first, second, hearer) = (vm("vm-1"), vm("vm-2"), vm("vm-3"));
     let word = read(&first, 0, vec![listed(1)]);
-    hear(&second, word);
+    apply_update(&second, word);
     let word = read(&second, 0, vec![listed(1)]);
-    hear(&hearer, word);
+    apply_update(&hearer, word);
     let read_up_to = hearer.known(Table::Fleet).position().next();
     assert!(
         knows(&hearer) || read_up_to == Some(offset(0)),
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -6,7 +6,7 @@
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{TableUpdate, hear, take};
+use sesamegap_entry::follow::{TableUpdate, apply_update, take};
 use sesamegap_entry::ports::{Batch, Record, Table, Unreadable};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_wire::{Offset, UpstreamId};
@@ -74,7 +74,7 @@
         let reading = read(&reader, from, records);
         from += count;
         assert_eq!(known(&reader), expected, "whoever reads, at {from}");
-        hear(&hearer, reading);
+        apply_update(&hearer, reading);
         assert_eq!(known(&hearer), expected, "whoever is told, at {from}");
     }
 }
@@ -98,7 +98,7 @@
         assert_eq!(known(reader), [1]);
     }
     for word in words {
-        hear(&hearer, word);
+        apply_update(&hearer, word);
         assert_eq!(known(&hearer), [1]);
     }
 }
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,7 +1,7 @@
 use crate::support::{Platform, entry, offset, settings, until, unused};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{TableUpdate, follow, hear, take};
+use sesamegap_entry::follow::{TableUpdate, follow, apply_update, take};
 use sesamegap_entry::peers;
 use sesamegap_entry::ports::{Batch, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
@@ -150,11 +150,11 @@
         ..word(0, 5, change(true, 4))
     };
     let gone = word(5, 9, Record::Removed(worker()));
-    hear(&core, word(0, 5, change(true, 4)));
-    hear(&core, gone.clone());
-    hear(&core, word(0, 5, change(true, 4)));
-    hear(&core, first);
-    hear(&core, gone);
+    apply_update(&core, word(0, 5, change(true, 4)));
+    apply_update(&core, gone.clone());
+    apply_update(&core, word(0, 5, change(true, 4)));
+    apply_update(&core, first);
+    apply_update(&core, gone);
     assert!(core.fleet.lock().get(&worker()).is_none());
     assert_eq!(core.known(Table::Fleet).position().next(), Some(offset(9)));
 }
