--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -9,7 +9,7 @@
 mod readings;
 mod reports;
 
-pub use readings::{Known, TableUpdate, apply_update, take};
+pub use readings::{Known, TableUpdate, apply_update, apply_batch};
 
 use crate::clock;
 use crate::core::{Core, Phase};
@@ -185,7 +185,7 @@
         _ => Duration::ZERO,
     };
     let batch = core.store.changes(table, from, wait).await?;
-    let reading = take(core, table, from, batch);
+    let reading = apply_batch(core, table, from, batch);
     known.position().read(reading.next, clock::now());
     known.position().asked(asked);
     if reader {
--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -66,7 +66,7 @@
 }
 
 /// Takes in what this VM has read, and puts it together for the others.
-pub fn take(core: &Core, table: Table, from: LogPosition, batch: Batch) -> TableUpdate {
+pub fn apply_batch(core: &Core, table: Table, from: LogPosition, batch: Batch) -> TableUpdate {
     let mut reading = TableUpdate {
         table,
         from,
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -3,7 +3,7 @@
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::{Change, Entry, Flight, PromptShape, Selection};
-use sesamegap_entry::follow::{TableUpdate, apply_update, take};
+use sesamegap_entry::follow::{TableUpdate, apply_update, apply_batch};
 use sesamegap_entry::kept;
 use sesamegap_entry::peers::{self, EngineNews};
 use sesamegap_entry::ports::{Batch, CacheNews, Record, Table, Weights};
@@ -47,7 +47,7 @@
 fn read(core: &Core, from: u64, records: Vec<Record>) -> TableUpdate {
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
-    let reading = take(core, Table::Fleet, offset(from), Batch { records, next });
+    let reading = apply_batch(core, Table::Fleet, offset(from), Batch { records, next });
     core.known(Table::Fleet).position().read(next, clock::now());
     reading
 }
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -6,7 +6,7 @@
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{TableUpdate, apply_update, take};
+use sesamegap_entry::follow::{TableUpdate, apply_update, apply_batch};
 use sesamegap_entry::ports::{Batch, Record, Table, Unreadable};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_wire::{Offset, UpstreamId};
@@ -41,7 +41,7 @@
 fn read(core: &Core, from: u64, records: Vec<Record>) -> TableUpdate {
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
-    take(core, Table::Fleet, offset(from), Batch { records, next })
+    apply_batch(core, Table::Fleet, offset(from), Batch { records, next })
 }
 
 fn known(core: &Core) -> Vec<usize> {
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,7 +1,7 @@
 use crate::support::{Platform, entry, offset, settings, until, unused};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{TableUpdate, follow, apply_update, take};
+use sesamegap_entry::follow::{TableUpdate, follow, apply_update, apply_batch};
 use sesamegap_entry::peers;
 use sesamegap_entry::ports::{Batch, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
@@ -95,7 +95,7 @@
         .known(Table::Fleet)
         .position()
         .read(offset(4), clock::now());
-    let new = take(
+    let new = apply_batch(
         &reader,
         Table::Fleet,
         offset(4),
@@ -104,7 +104,7 @@
     reader.peers.outbox.put_reading(new);
     until(|| hearer.fleet.lock().get(&worker()).is_some()).await;
     let beats = read(vec![change(false, 2), change(true, 3)], 5);
-    let leaving = take(&reader, Table::Fleet, offset(5), beats);
+    let leaving = apply_batch(&reader, Table::Fleet, offset(5), beats);
     assert_eq!(leaving.pieces.len(), 1, "a mere heartbeat is not told");
     reader.peers.outbox.put_reading(leaving);
     until(|| leaves(&hearer)).await;
@@ -126,7 +126,7 @@
     let word = |from: u64, next: u64, record: Record| {
         let other = vm("vm-2", "127.0.0.1", unused().port());
         let known = change(false, 1);
-        take(
+        apply_batch(
             &other,
             Table::Fleet,
             offset(0),
@@ -135,7 +135,7 @@
                 next: offset(0),
             },
         );
-        take(
+        apply_batch(
             &other,
             Table::Fleet,
             offset(from),
