--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -7,7 +7,7 @@
 use crate::catalogue::{Catalogue, Document, Revision};
 use crate::clock;
 use crate::fleet::{Fleet, Rules, SharedFleet};
-use crate::follow::Known;
+use crate::follow::TableState;
 use crate::peers::Peers;
 use crate::placing::Desk;
 use crate::ports::{Ports, Table};
@@ -63,7 +63,7 @@
     pub bodies: Arc<Semaphore>,
     /// Requests under which upstreams ended.
     pub quarantine: Quarantine,
-    tables: [Known; 4],
+    tables: [TableState; 4],
     settings: ArcSwap<Settings>,
     catalogue: ArcSwapOption<Catalogue>,
     budgets: Mutex<FxHashMap<ServiceId, Budget>>,
@@ -110,7 +110,7 @@
     }
 
     /// How far this VM knows a table of the store.
-    pub fn known(&self, table: Table) -> &Known {
+    pub fn known(&self, table: Table) -> &TableState {
         &self.tables[table as usize]
     }
 
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -9,7 +9,7 @@
 mod readings;
 mod reports;
 
-pub use readings::{Known, TableUpdate, apply_update, apply_batch};
+pub use readings::{TableState, TableUpdate, apply_update, apply_batch};
 
 use crate::clock;
 use crate::core::{Core, Phase};
--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -46,14 +46,14 @@
 
 /// How far this VM knows a table.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct TableState {
     position: Mutex<Position>,
     reports: Mutex<Reports>,
     /// Wakes the task that reads the table when something was missed.
     pub missed: Notify,
 }
 
-impl Known {
+impl TableState {
     /// The position, for a moment.
     pub fn position(&self) -> MutexGuard<'_, Position> {
         self.position.lock().unwrap_or_else(PoisonError::into_inner)
