--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -203,7 +203,7 @@
 }
 
 /// Keeps this VM's entry in the store, and reads the others'.
-pub async fn vms(core: Arc<Core>) {
+pub async fn follow_vms(core: Arc<Core>) {
     let mut timelines = core.store.timelines();
     while core.phase() < Phase::Ended {
         timelines.mark_unchanged();
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -68,7 +68,7 @@
     for table in [Table::Settings, Table::Fleet] {
         tokio::spawn(follow::follow(Arc::clone(&core), table));
     }
-    tokio::spawn(follow::vms(Arc::clone(&core)));
+    tokio::spawn(follow::follow_vms(Arc::clone(&core)));
     tokio::spawn(peers::rounds(Arc::clone(&core)));
     tokio::spawn(peers::exchange(Arc::clone(&core)));
     tokio::spawn(roll::run(Arc::clone(&core)));
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -169,7 +169,7 @@
 async fn a_vm_writes_its_own_entry_again() {
     let platform = platform(Vec::new());
     let core = vm(&platform, "vm-1", Vec::new());
-    tokio::spawn(follow::vms(Arc::clone(&core)));
+    tokio::spawn(follow::follow_vms(Arc::clone(&core)));
     let written = |count| {
         let platform = Arc::clone(&platform);
         move || platform.announced.lock().unwrap().len() >= count
