--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -144,7 +144,7 @@
         state: smol_str::format_smolstr!("{:?}", fleet.availability(up, now)),
         running: fleet.running(up, now),
         unread: fleet.unread(up),
-        heard_ms_ago: clock::ms(now.since(up.heard)),
+        heard_ms_ago: clock::ms(now.since(up.last_received)),
         weights: up
             .entry
             .weights
