--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -1,4 +1,4 @@
-//! A request at an upstream, counted there until it is dropped.
+//! A request in flight at an upstream, which counts towards the upstream's load until it is dropped.
 
 use super::SharedFleet;
 use crate::kept::OnWay;
@@ -11,68 +11,68 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request that is at an upstream.
+/// A request in flight at an upstream.
 #[derive(Debug)]
 pub struct Flight {
     pub(super) fleet: SharedFleet,
     /// The upstream.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub domain: DomainId,
-    /// Model that the request is for, if it is a prompt.
+    /// Model that the request uses, if it is a prompt.
     pub model: Option<SmolStr>,
-    /// Weights that it is believed to hold.
+    /// Version of the model's weights that the upstream has loaded, as far as this VM knows.
     pub weights: Option<WeightsVersion>,
-    /// Engine that holds the shared prefix, if another.
+    /// Engine that has the shared prefix in its cache, if it is another one.
     pub source: Option<SocketAddr>,
-    /// Whether it uses the store of kept cache that the prompt's home uses.
+    /// Whether the upstream uses the same kept-KV store as the prompt's home engine.
     pub at_store: bool,
-    /// What it fetches from a store, until its prompt was read.
+    /// The transfer from a kept-KV store, until the prompt has been prefilled.
     pub on_way: Option<OnWay>,
-    /// Engines that it was chosen from.
+    /// Number of engines of the service when it was chosen.
     pub engines: usize,
-    /// Requests running there when it was chosen.
+    /// Requests running at the upstream when it was chosen.
     pub running: u32,
-    /// Prompt tokens of this VM that it had not read then.
+    /// Prompt tokens of all VMs that the upstream had not prefilled at that time.
     pub ahead: u64,
-    /// Life of the upstream that it went to; unset if it does not say.
+    /// Incarnation of the upstream that was chosen, if it states one.
     pub born: Option<Incarnation>,
-    /// Set if the request is on trial.
+    /// Set if the request runs as a trial of the quarantine.
     pub permit: Option<TrialPermit>,
     pub(super) seed: u64,
     pub(super) life: u64,
     pub(super) prefixes: Vec<Prefix>,
     pub(super) unread: u64,
-    /// When the engine last served the whole shared prefix, as an owner told.
+    /// When the engine last served the whole shared prefix, as reported by the shard's owner.
     pub(super) served: Option<Moment>,
-    /// Set if the owner of the engine's shard knows of it.
+    /// Set if the owner of the engine's shard knows the request.
     pub(super) asked: Option<Asked>,
 }
 
 impl Flight {
-    /// Tokens of its prompt.
+    /// Tokens of its prompt that are not known to be prefilled: all of them until the first bytes arrive, then none.
     pub fn tokens(&self) -> u64 {
         self.unread
     }
 
-    /// Number of the upstream, the same in all VMs.
+    /// Number derived from the upstream's id, the same in all VMs.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Number of the upstream's life.
+    /// Number of the upstream's incarnation, the same in all VMs.
     pub fn life(&self) -> u64 {
         self.life
     }
 
-    /// Who placed it or was told of it, if another VM.
+    /// Address of the VM that placed the request or was notified of it, if there is one.
     pub fn owner(&self) -> Option<SocketAddr> {
         self.asked.as_ref().map(Asked::owner)
     }
 
-    /// Notes that the owner of its engine's shard knows of it.
+    /// Records that the owner of the engine's shard knows the request.
     pub fn set_owner(&mut self, asked: Asked) {
         self.asked = Some(asked);
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
@@ -81,16 +81,16 @@
         }
     }
 
-    /// When newer weights than the engine's were first named.
+    /// When weights newer than the engine's were first named.
     ///
-    /// Weights that are not known count as the oldest, as they do when an engine is chosen.
+    /// Unknown weights count as the oldest, as they do when an engine is chosen.
     pub fn superseded_at(&self) -> Option<Moment> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
         fleet.namings.superseded_at(self.model.as_ref()?, version)
     }
 
-    /// Time until the request is taken back unless it has begun; none if its weights are the newest.
+    /// Time until the request is withdrawn unless it has started, or `None` if the engine's weights are the newest.
     pub fn time_to_start(&self, now: Moment) -> Option<Duration> {
         let version = self.weights.unwrap_or_default();
         let fleet = self.fleet.lock();
@@ -100,15 +100,15 @@
         Some(until.since(now))
     }
 
-    /// Notes that it gave a connection and answered: what others say of its silence is over.
+    /// Records that the upstream accepted a connection and responded, which overrides peers' reports of its silence.
     pub fn record_response(&self, now: Moment) {
         let mut fleet = self.fleet.lock();
-        let there = fleet.in_life(&self.id, self.life);
-        let avoided = there.is_some_and(|upstream| upstream.has_failed());
+        let upstream = fleet.in_life(&self.id, self.life);
+        let avoided = upstream.is_some_and(|upstream| upstream.has_failed());
         fleet.silences.answered(self.life, avoided, now);
     }
 
-    /// Notes that bytes came, and on the first call that the prompt was read.
+    /// Records that bytes arrived; the first call also records that the prompt was prefilled.
     pub fn record_received(&mut self, now: Moment) {
         let unread = std::mem::take(&mut self.unread);
         self.on_way = None;
@@ -120,7 +120,9 @@
         let mut fleet = self.fleet.lock();
         let version = self.weights.map_or(0, |version| version.0);
         for prefix in self.prefixes.drain(..) {
-            fleet.cache_locations.note(prefix.hash, self.life, version, now);
+            fleet
+                .cache_locations
+                .note(prefix.hash, self.life, version, now);
         }
         if let Some(upstream) = fleet.in_life(&self.id, self.life) {
             upstream.record_received(now);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// When any byte last came from the upstream, on any connection.
+    /// When bytes last arrived from the upstream on any of this VM's connections.
     pub fn last_received(&self) -> Moment {
         let mut fleet = self.fleet.lock();
         fleet
@@ -138,7 +140,7 @@
             .unwrap_or_default()
     }
 
-    /// When the engine last served the whole shared prefix to this VM.
+    /// When the engine last served the whole shared prefix, as known to this VM or reported by the shard's owner.
     pub fn last_served(&self) -> Option<Moment> {
         let inner = self.prefixes.last()?;
         let version = self.weights.map_or(0, |version| version.0);
@@ -150,21 +152,21 @@
         own.max(self.served)
     }
 
-    /// Notes the load that the answer told.
+    /// Records the load that the answer reports.
     pub fn record_load(&self, load: Load, now: Moment) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.record_load(load, now);
         }
     }
 
-    /// Notes the weights that the answer told.
+    /// Records the version of the weights that the answer reports.
     pub fn record_version(&self, model: &SmolStr, version: WeightsVersion) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.record_version(model, version);
         }
     }
 
-    /// Notes that the upstream could not be reached or went silent.
+    /// Records that the upstream could not be reached or stopped responding.
     pub fn record_failure(&self, now: Moment) {
         let mut fleet = self.fleet.lock();
         if fleet.in_life(&self.id, self.life).is_some() {
@@ -172,14 +174,14 @@
         }
     }
 
-    /// Sends nothing there until a moment.
+    /// Sends nothing to the upstream before this time.
     pub fn pause(&self, until: Moment) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.pause_at_least(until);
         }
     }
 
-    /// Notes the time and outcome of a plain answer.
+    /// Records the response time and outcome of a plain service's answer.
     pub fn record_answer(&self, took: Duration, failed: bool) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.record_answer(took, failed);
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! The upstreams as this VM knows them.
+//! This VM's view of the fleet of upstreams.
 //!
-//! Entries come from the fleet list, which lags and loses entries while the store is away; whether one is
-//! believed is decided by [`sesamegap_policy::routing::belief`]. What this VM sees itself is newer: an
-//! upstream that cannot be reached is avoided for a while, one that says it holds other weights is believed,
-//! and its load is what its last answer said plus what was sent there since. All of it belongs to one life of
-//! an upstream: when it starts again, nothing of before is kept.
+//! Entries come from the fleet list, which lags, and loses entries while the store is unreachable;
+//! [`sesamegap_policy::routing::belief`] decides which upstreams are present. This VM's own observations are
+//! newer and take precedence: an upstream that cannot be reached is avoided for a while, the weights that it
+//! reports override its entry, and its load is the last reported one plus the requests sent since. All
+//! observations belong to one incarnation of an upstream and are discarded when it restarts.
 
 mod flight;
 mod upstream;
@@ -32,27 +32,27 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Spans that decide about lapsed entries.
+/// Time limits of the fleet's rules.
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
-    /// Spans that decide whether an upstream is there.
+    /// Time limits that decide whether an upstream is present.
     pub belief: belief::Rules,
-    /// Time after a naming of weights from which no request may begin on older ones.
+    /// Time after the naming of weights from which no request may start on older ones.
     pub weights: Duration,
 }
 
-/// All upstreams.
+/// All upstreams and the state that routing decisions use.
 #[derive(Debug)]
 pub struct Fleet {
     rules: Rules,
-    /// All that were ever listed, those that are gone until they are forgotten.
+    /// All upstreams that were listed, including those that are gone and not yet forgotten.
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// Of those that were only heard to be removed.
+    /// Beliefs about upstreams of which only a removal or a withdrawal is known.
     unlisted: BTreeMap<UpstreamId, Belief>,
-    contact: StoreReachability,
+    reachability: StoreReachability,
     pub(crate) cache_locations: CacheLocations,
     pub(crate) loads: Loads,
-    /// What this VM has placed for others, by who asked and the number given.
+    /// Requests that this VM has placed for others, by the address of the asking VM and its request number.
     pub(crate) placed: Placements<(SocketAddr, u64)>,
     pub(crate) kept: Kept,
     pub(crate) silences: SilenceReports,
@@ -60,13 +60,13 @@
 }
 
 impl Fleet {
-    /// Starts with nobody known.
+    /// Creates a fleet without upstreams.
     pub fn new(rules: Rules) -> Self {
         Self {
             rules,
             upstreams: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            contact: StoreReachability::default(),
+            reachability: StoreReachability::default(),
             cache_locations: CacheLocations::default(),
             loads: Loads::default(),
             placed: Placements::default(),
@@ -76,61 +76,61 @@
         }
     }
 
-    /// What was named of all models.
+    /// Namings of the weights of all models.
     pub fn namings(&self) -> &Namings {
         &self.namings
     }
 
-    /// Notes that weights were seen to be named then; whether they are the newest.
+    /// Records weights whose naming was observed at this time; returns whether they are the newest.
     pub fn name_weights(&mut self, weights: &Weights, at: Moment) -> bool {
         self.learn_weights(weights, Named::At(at))
     }
 
-    /// Notes that weights were named; whether they are the newest.
+    /// Records that weights were named; returns whether they are the newest.
     pub fn learn_weights(&mut self, weights: &Weights, named: Named) -> bool {
         self.namings.learn(&weights.model, weights.version, named)
     }
 
-    /// Whether weights are so old that no request may be sent to them any more, however short its wait.
+    /// Whether weights are so old that no request may be sent to them, even with an expected wait of zero.
     pub fn is_outdated(&self, model: &str, version: WeightsVersion, now: Moment) -> bool {
         !self.namings.may_send(model, version, Duration::ZERO, now)
     }
 
-    /// All upstreams known.
+    /// All upstreams that are present.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values().filter(|up| up.belief.is_known())
     }
 
-    /// One upstream.
+    /// An upstream, if it is present.
     pub fn get(&self, id: &UpstreamId) -> Option<&Upstream> {
         self.upstreams.get(id).filter(|up| up.belief.is_known())
     }
 
-    /// What the list and an upstream itself said of it, gone or not.
+    /// The belief about an upstream, whether it is present or gone.
     pub fn belief(&self, id: &UpstreamId) -> Option<&Belief> {
         self.upstreams.get(id).map(|upstream| &upstream.belief)
     }
 
-    /// One upstream, to note what was seen of it.
+    /// An upstream, if it is present, to record observations.
     pub fn get_mut(&mut self, id: &UpstreamId) -> Option<&mut Upstream> {
         self.upstreams.get_mut(id).filter(|up| up.belief.is_known())
     }
 
-    /// One upstream in the life that a request went to, gone or not.
+    /// An upstream, present or gone, if this incarnation is its newest.
     pub(super) fn in_life(&mut self, id: &UpstreamId, life: u64) -> Option<&mut Upstream> {
         self.upstreams.get_mut(id).filter(|up| up.life == life)
     }
 
-    /// Upstreams of a service.
+    /// Present upstreams of a service.
     pub fn of_service<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams()
             .filter(move |upstream| upstream.entry.service == *service)
     }
 
-    /// Whether an upstream takes work, by what this VM and others saw of it.
+    /// Whether an upstream accepts requests, according to the observations of this VM and its peers.
     pub fn availability(&self, upstream: &Upstream, now: Moment) -> Availability {
         if self.is_overdue(upstream, now) {
-            // The list may be read a second later only.
+            // The next read of the list, which removes the entry, may be a second away.
             return Availability::Paused;
         }
         match upstream.availability(now) {
@@ -141,33 +141,34 @@
         }
     }
 
-    /// Notes that an upstream could not be reached or went silent.
+    /// Records that an upstream could not be reached or stopped responding.
     pub fn record_failure(&mut self, id: &UpstreamId, now: Moment) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            let alone = upstream.record_failure(now);
-            let avoided = self.silences.failed(upstream.life, alone, now);
+            let avoidance = upstream.record_failure(now);
+            let avoided = self.silences.failed(upstream.life, avoidance, now);
             upstream.avoid(now + avoided);
         }
     }
 
-    /// Notes whether the store answers this VM; while it is away, entries lapse of themselves.
+    /// Records whether the store answered this VM; while it is unreachable, no heartbeat gets through
+    /// and entries expire.
     pub fn record_store_response(&mut self, answers: bool, now: Moment) {
-        self.contact.record_response(answers, now);
+        self.reachability.record_response(answers, now);
     }
 
-    /// Notes that the store was restored from a copy.
+    /// Records that the store was restored from a copy.
     pub fn record_store_restore(&mut self, now: Moment) {
-        self.contact.restored(now);
+        self.reachability.restored(now);
     }
 
-    /// Notes that the store answers another VM.
+    /// Records a peer's report that the store answers it.
     pub fn record_peer_store_report(&mut self, now: Moment) {
-        self.contact.record_peer_report(now);
+        self.reachability.record_peer_report(now);
     }
 
-    /// Takes in an entry that lies at a position of the list's log.
+    /// Applies an entry at a position of the list's log.
     pub fn apply(&mut self, id: &UpstreamId, entry: Entry, at: LogPosition, now: Moment) -> Change {
-        let word = ListUpdate {
+        let update = ListUpdate {
             at,
             record: ListRecord::Listed(Listing {
                 beat: entry.beat,
@@ -182,7 +183,7 @@
         });
         let change = known
             .belief
-            .apply(word, &self.rules.belief, &self.contact, now);
+            .apply(update, &self.rules.belief, &self.reachability, now);
         match change {
             Change::Restarted => {
                 known.restart(entry);
@@ -193,12 +194,12 @@
         }
     }
 
-    /// Takes in that the list's log says at a position that an entry is gone.
+    /// Applies the removal of an entry at a position of the list's log.
     pub fn remove(&mut self, id: &UpstreamId, at: LogPosition, now: Moment) -> Change {
         self.unlist(id, at, ListRecord::Removed, now)
     }
 
-    /// Takes in that a record there names no upstream: unlike a lapsed one it gets no time.
+    /// Applies a record that hides an upstream's entry; unlike a lapsed upstream, it gets no time to reappear.
     pub fn withdraw(&mut self, id: &UpstreamId, at: LogPosition, now: Moment) -> Change {
         self.unlist(id, at, ListRecord::Withdrawn, now)
     }
@@ -217,11 +218,11 @@
                 .entry(id.clone())
                 .or_insert_with(|| Belief::new(now)),
         };
-        let word = ListUpdate { at, record };
-        belief.apply(word, &self.rules.belief, &self.contact, now)
+        let update = ListUpdate { at, record };
+        belief.apply(update, &self.rules.belief, &self.reachability, now)
     }
 
-    /// Takes in which life an upstream, or a VM that asked it, says that it is.
+    /// Applies the incarnation that an upstream, or a peer that asked it, reports.
     pub fn observe_incarnation(&mut self, id: &UpstreamId, born: Option<Incarnation>) -> Change {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return Change::Same;
@@ -234,7 +235,7 @@
         change
     }
 
-    /// Takes in an engine's report of itself.
+    /// Applies an engine's report about itself.
     pub fn apply_report(&mut self, id: &UpstreamId, report: &Report) -> Change {
         let change = self.observe_incarnation(id, report.born);
         if change == Change::Restarted
@@ -247,12 +248,12 @@
         change
     }
 
-    /// Lets time decide about lapsed entries and doubts, and drops old tombstones.
+    /// Applies time limits to lapsed and doubted entries, and drops old tombstones; returns what changed.
     pub fn expire(&mut self, now: Moment) -> Vec<(UpstreamId, Change)> {
-        let (rules, contact) = (&self.rules.belief, &self.contact);
+        let (rules, reachability) = (&self.rules.belief, &self.reachability);
         let mut changes = Vec::new();
         for upstream in self.upstreams.values_mut() {
-            let change = upstream.belief.expire(rules, contact, now);
+            let change = upstream.belief.expire(rules, reachability, now);
             if change != Change::Same {
                 changes.push((upstream.id.clone(), change));
             }
@@ -263,13 +264,15 @@
         changes
     }
 
-    /// Whether an entry lapsed and did not come back in time.
+    /// Whether an entry lapsed and did not reappear in time.
     fn is_overdue(&self, upstream: &Upstream, now: Moment) -> bool {
         let rules = &self.rules.belief;
-        upstream.belief.is_overdue(rules, &self.contact, now)
+        upstream.belief.is_overdue(rules, &self.reachability, now)
     }
 
-    /// Replaces the whole list as it is before a position of its log: what it does not name is gone.
+    /// Removes the upstreams that are missing from the list as read up to position `next` of its log.
+    ///
+    /// Returns the missing upstreams and the effect of their removal.
     pub fn keep_only(
         &mut self,
         listed: &[UpstreamId],
@@ -290,7 +293,7 @@
             .collect()
     }
 
-    /// Whether prompts should not wait for this store of kept cache.
+    /// Whether prompts should not wait for this kept-KV store.
     pub fn is_store_unavailable(&self, store: SocketAddr, now: Moment) -> bool {
         self.kept.is_out(store, now)
     }
@@ -301,12 +304,12 @@
 pub struct SharedFleet(Arc<Mutex<Fleet>>);
 
 impl SharedFleet {
-    /// Shares a fleet.
+    /// Wraps a fleet for sharing.
     pub fn new(fleet: Fleet) -> Self {
         Self(Arc::new(Mutex::new(fleet)))
     }
 
-    /// The fleet, for a moment; never held over a wait.
+    /// Locks the fleet; the guard must not be held across an await point.
     pub fn lock(&self) -> MutexGuard<'_, Fleet> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream and what was seen of it.
+//! State of one upstream: its entry in the fleet list and what this VM has observed of it.
 
 use crate::peers::Held;
 use crate::ports::{Load, Weights};
@@ -9,54 +9,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an upstream that failed to answer is avoided at first; doubled with each failure.
-const AVOIDED: Duration = Duration::from_millis(600);
+/// How long an upstream is avoided after a first failure to answer; doubled with each further failure.
+const INITIAL_AVOIDANCE: Duration = Duration::from_millis(600);
 
-/// Doublings at most, which gives about 5 s: a restart takes as long.
-const DOUBLINGS: u32 = 3;
+/// Maximum number of doublings, which bounds the avoidance to about 5 s: a restart takes as long.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// Age at which a load that was told no longer says anything; requests last about a second.
-const LOAD_AGE: Duration = Duration::from_secs(2);
+/// Age from which a reported load is ignored; requests last about a second.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(2);
 
-/// Weight of the newest answer in the averages of pace and failures.
-const NEWEST: f64 = 0.15;
+/// Weight of the newest answer in the moving averages of response time and failure rate.
+const NEWEST_WEIGHT: f64 = 0.15;
 
 /// An upstream's entry in the fleet list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Service that it belongs to.
+    /// Service to which it belongs.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// Weights that it held when it wrote the entry.
+    /// Weights loaded when it wrote the entry.
     pub weights: Vec<Weights>,
-    /// Number of the heartbeat.
+    /// Heartbeat number.
     pub beat: u64,
-    /// Life that wrote the entry; unset if it does not say.
+    /// Incarnation that wrote the entry, if it states one.
     pub born: Option<Incarnation>,
 }
 
-/// Requests of which the owner of an engine's shard knows.
+/// Requests that the owner of the engine's shard knows.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Shared {
+pub(super) struct OwnerKnown {
     pub(super) running: u32,
     pub(super) unread: u64,
 }
 
-/// One upstream.
+/// An upstream as this VM knows it.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Its id; a restart may keep it.
+    /// Its id, which may be the same after a restart.
     pub id: UpstreamId,
     /// Its newest entry.
     pub entry: Entry,
-    /// Number that is the same in all VMs.
+    /// Number derived from the id, the same in all VMs.
     pub seed: u64,
     /// Number of its present life, the same in all VMs; what they tell of a former one goes astray.
     pub life: u64,
@@ -66,20 +66,23 @@
     pub last_received: Moment,
     pub(super) running: u32,
     pub(super) unread: u64,
-    /// What of these the owners of shards know, which then needs not be told to all.
-    pub(super) shared: Shared,
-    pub(super) pace: Option<f64>,
-    pub(super) faults: f64,
+    /// The part of these that shard owners know, which need not be reported to all peers.
+    pub(super) shared: OwnerKnown,
+    /// Moving average of the response times of a plain service, in ms.
+    pub(super) response_ms: Option<f64>,
+    /// Moving average of the failures of a plain service, from 0 to 1.
+    pub(super) failure_rate: f64,
     load: Option<(Load, Moment)>,
-    sent: u32,
+    /// Requests sent since the last reported load.
+    sent_since_load: u32,
     failures: u32,
-    avoided: Moment,
-    paused: Moment,
-    gone: Moment,
+    avoided_until: Moment,
+    paused_until: Moment,
+    gone_until: Moment,
 }
 
 impl Upstream {
-    /// An upstream of which nothing was seen yet.
+    /// Creates an upstream without observations.
     pub fn new(id: UpstreamId, entry: Entry, belief: Belief) -> Self {
         let seed = engines::seed(id.as_str());
         let life = match entry.born {
@@ -95,27 +98,29 @@
             last_received: Moment(0),
             running: 0,
             unread: 0,
-            shared: Shared::default(),
-            pace: None,
-            faults: 0.0,
+            shared: OwnerKnown::default(),
+            response_ms: None,
+            failure_rate: 0.0,
             load: None,
-            sent: 0,
+            sent_since_load: 0,
             failures: 0,
-            avoided: Moment(0),
-            paused: Moment(0),
-            gone: Moment(0),
+            avoided_until: Moment(0),
+            paused_until: Moment(0),
+            gone_until: Moment(0),
         }
     }
 
-    /// Takes in a newer entry of the same life, which changed this in what is believed of it.
+    /// Applies a newer entry of the same incarnation; `change` is its effect on the belief.
+    ///
+    /// Returns [`Change::Reloaded`] instead of [`Change::Same`] if the entry names newer weights.
     pub(super) fn update(&mut self, entry: Entry, change: Change) -> Change {
         let mut entry = entry;
         let mut reloaded = false;
-        // An upstream never takes back that it leaves, but a late heartbeat may seem to.
+        // An upstream never cancels its announcement to leave, but a delayed heartbeat may look like that.
         entry.leaving = self.belief.is_leaving();
         for weights in &mut entry.weights {
             let held = self.entry.weights.iter().find(|w| w.model == weights.model);
-            // Answers and the roll tell of new weights before the next heartbeat does.
+            // Answers and the rollout report new weights before the next heartbeat does.
             if let Some(held) = held {
                 reloaded |= weights.version > held.version;
                 weights.version = weights.version.max(held.version);
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Begins a new life, of which nothing was seen yet.
+    /// Starts a new incarnation, discarding all observations of the previous one.
     pub(super) fn restart(&mut self, entry: Entry) {
         *self = Self::new(self.id.clone(), entry, self.belief.clone());
     }
@@ -138,13 +143,13 @@
         !self.entry.weights.is_empty()
     }
 
-    /// The version of a model's weights that it holds, as far as is known.
+    /// The last known version of a model's weights that it has loaded.
     pub fn version(&self, model: &str) -> Option<WeightsVersion> {
         let found = self.entry.weights.iter().find(|w| w.model == model);
         found.map(|weights| weights.version)
     }
 
-    /// Notes the version that it says it holds.
+    /// Records the version of a model's weights that it reports to have loaded.
     pub fn record_version(&mut self, model: &str, version: WeightsVersion) {
         let weights = &mut self.entry.weights;
         if let Some(held) = weights.iter_mut().find(|w| w.model == model) {
@@ -152,87 +157,87 @@
         }
     }
 
-    /// Notes its load.
+    /// Records its reported load.
     pub fn record_load(&mut self, load: Load, now: Moment) {
         self.load = Some((load, now));
-        self.sent = 0;
+        self.sent_since_load = 0;
     }
 
-    /// Notes that a request went there.
+    /// Counts a request that is sent to it, with its prompt tokens.
     pub(super) fn begin(&mut self, unread: u64) {
         self.running += 1;
         self.unread += unread;
-        self.sent += 1;
+        self.sent_since_load += 1;
     }
 
-    /// Notes that a byte came from it.
+    /// Records that bytes arrived from it.
     pub fn record_received(&mut self, now: Moment) {
         self.last_received = now;
         self.failures = 0;
-        self.avoided = Moment(0);
+        self.avoided_until = Moment(0);
     }
 
-    /// Notes that it could not be reached or went silent.
+    /// Records that it could not be reached or stopped responding.
     ///
-    /// Gives how long this VM alone avoids it.
+    /// Returns how long this VM avoids it without regard to peers' reports.
     pub fn record_failure(&mut self, now: Moment) -> Duration {
-        let doublings = self.failures.min(DOUBLINGS);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        let avoided = AVOIDED * 2u32.pow(doublings);
-        self.avoid(now + avoided);
-        avoided
+        let avoidance = INITIAL_AVOIDANCE * 2u32.pow(doublings);
+        self.avoid(now + avoidance);
+        avoidance
     }
 
-    /// Avoids it until a moment.
+    /// Sets the time until which it is avoided.
     pub(super) fn avoid(&mut self, until: Moment) {
-        self.avoided = until;
+        self.avoided_until = until;
     }
 
-    /// Whether it failed when it was last tried.
+    /// Whether it has failed since bytes last arrived from it.
     pub fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// Sends nothing there for a while.
+    /// Sends nothing to it before this time.
     pub fn pause(&mut self, until: Moment) {
-        self.paused = until;
+        self.paused_until = until;
     }
 
-    /// Takes it as gone until the list says so too.
+    /// Treats it as gone until this time, to bridge the delay until the list shows that it is gone.
     pub fn mark_gone(&mut self, until: Moment) {
-        self.gone = until;
+        self.gone_until = until;
     }
 
-    /// Whether another instance was found at its address.
+    /// Whether it is treated as gone because another instance was found at its address.
     pub fn is_gone(&self, now: Moment) -> bool {
-        now < self.gone
+        now < self.gone_until
     }
 
-    /// Sends nothing there until a moment, or longer if it is out for longer anyway.
+    /// Sends nothing to it before this time, without shortening a longer pause.
     pub(super) fn pause_at_least(&mut self, until: Moment) {
-        self.paused = self.paused.max(until);
+        self.paused_until = self.paused_until.max(until);
     }
 
-    /// Notes an answer of a plain service.
+    /// Records the response time and outcome of a plain service's answer.
     pub fn record_answer(&mut self, took: Duration, failed: bool) {
         let fault = f64::from(u8::from(failed));
-        self.faults += NEWEST * (fault - self.faults);
+        self.failure_rate += NEWEST_WEIGHT * (fault - self.failure_rate);
         let ms = took.as_secs_f64() * 1000.0;
-        let pace = self.pace.get_or_insert(ms);
-        *pace += NEWEST * (ms - *pace);
+        let average = self.response_ms.get_or_insert(ms);
+        *average += NEWEST_WEIGHT * (ms - *average);
     }
 
-    /// Whether it lately failed to answer.
+    /// Whether it is avoided because it recently failed to answer.
     pub fn is_suspect(&self, now: Moment) -> bool {
-        now < self.avoided
+        now < self.avoided_until
     }
 
-    /// Whether nothing new may go there.
+    /// Whether it must get no new requests.
     pub fn is_paused(&self, now: Moment) -> bool {
-        self.entry.leaving || now < self.paused || self.is_gone(now)
+        self.entry.leaving || now < self.paused_until || self.is_gone(now)
     }
 
-    /// Whether it takes work, by what this VM saw of it.
+    /// Whether it accepts requests, according to this VM's own observations.
     pub(super) fn availability(&self, now: Moment) -> Availability {
         if self.is_paused(now) {
             Availability::Paused
@@ -243,7 +248,7 @@
         }
     }
 
-    /// What this VM has there, as far as its peers must be told.
+    /// The load that this VM causes there and must report to its peers, or `None` if there is none.
     pub fn held(&self) -> Option<Held> {
         let running = self.running.saturating_sub(self.shared.running);
         (running > 0).then_some(Held {
@@ -253,20 +258,20 @@
         })
     }
 
-    /// Requests running there by its own last word.
-    pub fn running_told(&self, now: Moment) -> u32 {
+    /// Running requests according to its last reported load and the requests sent since.
+    pub fn reported_running(&self, now: Moment) -> u32 {
         match self.load {
-            Some((load, at)) if now.since(at) < LOAD_AGE => {
-                self.running.max(load.running + self.sent)
+            Some((load, at)) if now.since(at) < MAX_LOAD_AGE => {
+                self.running.max(load.running + self.sent_since_load)
             }
             _ => self.running,
         }
     }
 
-    /// Requests waiting there, as far as is known.
-    pub fn waiting_now(&self, now: Moment) -> u32 {
+    /// Waiting requests according to its last reported load.
+    pub fn reported_waiting(&self, now: Moment) -> u32 {
         match self.load {
-            Some((load, at)) if now.since(at) < LOAD_AGE => load.waiting,
+            Some((load, at)) if now.since(at) < MAX_LOAD_AGE => load.waiting,
             _ => 0,
         }
     }
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What the decisions see of the fleet, and the flight that comes of one.
+//! Chooses an upstream for a request, from the fleet's state and the routing policy.
 
 use super::{Fleet, Flight, SharedFleet, Upstream};
 use crate::catalogue::KvStore;
@@ -11,49 +11,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A prompt's shape for placing.
+/// The properties of a prompt that its placement depends on.
 #[derive(Debug, Clone)]
 pub struct PromptShape {
-    /// The model, if the request names one.
+    /// Its model.
     pub model: SmolStr,
-    /// Its shared prefixes.
+    /// Its shared prefixes and length.
     pub prompt: engines::Prompt,
 }
 
-/// A part of the engines, whose prompts one VM places.
+/// A shard of the engines, for which one VM places all prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shard {
-    /// How engines are divided.
+    /// Division of the engines into shards.
     pub division: Division,
-    /// Which part it is.
+    /// Number of the shard.
     pub number: u32,
 }
 
-/// What a request wants of an upstream.
+/// Criteria for choosing an upstream for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Selection<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// This VM's failure domain.
     pub domain: &'a DomainId,
-    /// The stores of kept cache.
+    /// The kept-KV stores.
     pub stores: &'a [KvStore],
-    /// Set for prompts.
+    /// The prompt, or `None` for other requests.
     pub shape: Option<&'a PromptShape>,
-    /// Upstreams already tried.
+    /// Upstreams that are excluded because they were already tried.
     pub tried: &'a [UpstreamId],
-    /// Tells equals apart.
+    /// Number that decides between equally good upstreams.
     pub tie_breaker: usize,
-    /// Set if only engines of a shard may be chosen.
+    /// Shard to which the choice is restricted, if any.
     pub shard: Option<Shard>,
-    /// Set if it should run where the fewest others do.
+    /// Whether to choose the upstream with the fewest running requests.
     pub least_loaded: bool,
 }
 
 impl Fleet {
-    /// Numbers of the engines that long prompts have.
+    /// Seeds of the engines that are reserved for long prompts.
     pub fn long_prompt_engines(&self, service: &ServiceId, stores: &[KvStore]) -> Vec<u64> {
-        let divided: Vec<engines::EngineLocation> = self
+        let locations: Vec<engines::EngineLocation> = self
             .of_service(service)
             .map(|engine| engines::EngineLocation {
                 seed: engine.seed,
@@ -62,52 +62,55 @@
                     .any(|store| store.domain == engine.entry.domain),
             })
             .collect();
-        let long = engines::for_long(&divided).into_iter().zip(&divided);
+        let long = engines::for_long(&locations).into_iter().zip(&locations);
         long.filter(|(long, _)| *long)
             .map(|(_, engine)| engine.seed)
             .collect()
     }
 
-    /// Requests that all VMs have at an upstream, as far as is known.
+    /// Running requests of all VMs at an upstream, from its reported load and the VMs' counts.
     pub fn running(&self, upstream: &Upstream, now: Moment) -> u32 {
-        upstream.running_told(now).max(self.counted_running(upstream))
+        upstream
+            .reported_running(now)
+            .max(self.counted_running(upstream))
     }
 
-    /// Requests that all VMs have at an upstream by their own counts.
+    /// Running requests of all VMs at an upstream, from the VMs' counts alone.
     ///
-    /// Unlike what the upstream last said of itself, this falls to zero as soon as it is empty.
+    /// Unlike the upstream's reported load, this falls to zero as soon as it is idle.
     pub fn counted_running(&self, upstream: &Upstream) -> u32 {
         let others = self.loads.at(upstream.life).map_or(0, |held| held.running);
         upstream.running + others + self.placed.at(upstream.life).running
     }
 
-    /// Tokens that all VMs have asked of a store and that have not arrived, as far as is known.
+    /// Tokens that all known VMs have requested from a kept-KV store and that have not arrived.
     pub fn on_way(&self, store: SocketAddr, per_ms: u64) -> u64 {
         let others = self.loads.on_way(kept::number(store), per_ms);
         self.kept.asked(store) + others
     }
 
-    /// Prompt tokens that all VMs have at an upstream and that are not read yet.
+    /// Prompt tokens of all VMs at an upstream that are not prefilled yet.
     pub fn unread(&self, upstream: &Upstream) -> u64 {
         let others = self.loads.at(upstream.life).map_or(0, |held| held.unread);
         upstream.unread + others + self.placed.at(upstream.life).unread
     }
 
-    /// Whether an upstream takes this request: a prompt must begin there before its weights are too old.
+    /// Whether an upstream accepts this request: a prompt must be able to start there before the bound on the age of
+    /// the upstream's weights.
     pub fn availability_for(
         &self,
         upstream: &Upstream,
         shape: Option<&PromptShape>,
         now: Moment,
     ) -> Availability {
-        if shape.is_none_or(|shape| self.may_begin(upstream, shape, now)) {
+        if shape.is_none_or(|shape| self.may_start(upstream, shape, now)) {
             self.availability(upstream, now)
         } else {
             Availability::Paused
         }
     }
 
-    fn may_begin(&self, upstream: &Upstream, shape: &PromptShape, now: Moment) -> bool {
+    fn may_start(&self, upstream: &Upstream, shape: &PromptShape, now: Moment) -> bool {
         let version = upstream.version(&shape.model).unwrap_or_default();
         let wait = engines::prefill_time(self.unread(upstream) + shape.prompt.tokens);
         self.namings().may_send(&shape.model, version, wait, now)
@@ -115,14 +118,14 @@
 }
 
 impl SharedFleet {
-    /// Chooses an upstream and counts the request there.
+    /// Chooses an upstream and counts the request towards its load.
     pub fn choose(&self, selection: &Selection<'_>, now: Moment) -> Option<Flight> {
         let mut fleet = self.lock();
         let chosen = fleet.choose(selection, now)?;
         self.begin(&mut fleet, selection, chosen, now)
     }
 
-    /// Takes the choice of a shard's owner, unless this VM knows that the engine does not take the request.
+    /// Accepts the placement by a shard's owner, unless this VM knows that the engine does not accept the request.
     pub fn accept_placement(
         &self,
         selection: &Selection<'_>,
@@ -157,7 +160,7 @@
         Some(flight)
     }
 
-    /// Counts a request at the upstream that was chosen.
+    /// Counts a request towards the load of the chosen upstream.
     fn begin(
         &self,
         fleet: &mut Fleet,
@@ -199,26 +202,26 @@
     }
 }
 
-/// The number of the store of kept cache that an engine in a failure domain uses; zero for none.
+/// The number of the kept-KV store that an engine in a failure domain uses, or zero if there is none.
 fn store_number(stores: &[KvStore], domain: &DomainId) -> u64 {
     KvStore::nearest(stores, domain).map_or(0, |store| engines::seed(store.domain.as_str()))
 }
 
-/// An upstream that was chosen.
+/// The result of choosing an upstream.
 #[derive(Debug)]
 pub struct Chosen {
-    /// The upstream.
+    /// The chosen upstream.
     pub id: UpstreamId,
-    /// Engine that holds the shared prefix, if another.
+    /// Engine that has the shared prefix in its cache, if it is another one.
     pub source: Option<SocketAddr>,
-    /// Whether it uses the store of kept cache that the prompt's home uses.
+    /// Whether the upstream uses the same kept-KV store as the prompt's home engine.
     pub at_store: bool,
-    /// Upstreams of the service.
+    /// Number of engines of the service, for a prompt; otherwise zero.
     pub engines: usize,
 }
 
 impl Fleet {
-    /// Chooses an upstream.
+    /// Chooses an upstream. For a choice within a shard, the cache locations are marked as complete.
     pub fn choose(&mut self, selection: &Selection<'_>, now: Moment) -> Option<Chosen> {
         if selection.shard.is_some() {
             self.cache_locations.set_complete();
@@ -237,7 +240,7 @@
             .filter(|upstream| !selection.tried.contains(&upstream.id))
             .collect();
         if selection.least_loaded {
-            let id = self.emptiest(&open, selection, now)?.id.clone();
+            let id = self.least_loaded(&open, selection, now)?.id.clone();
             return Some(Chosen {
                 id,
                 source: None,
@@ -266,7 +269,7 @@
                     running: self.running(upstream, now),
                     slots: upstream.entry.slots,
                     store: store_number(selection.stores, &upstream.entry.domain),
-                    waiting: upstream.waiting_now(now),
+                    waiting: upstream.reported_waiting(now),
                     unread: self.unread(upstream),
                     version: version.0,
                     long: long.contains(&upstream.seed),
@@ -284,8 +287,10 @@
         })
     }
 
-    /// The upstream with the fewest requests, among those that answer and hold the newest weights if any do.
-    fn emptiest<'a>(
+    /// The upstream with the fewest running requests.
+    ///
+    /// Open upstreams take precedence over suspect ones, and newer weights over older ones.
+    fn least_loaded<'a>(
         &self,
         open: &[&'a Upstream],
         selection: &Selection<'_>,
@@ -307,15 +312,15 @@
         best.map(|(_, upstream)| upstream)
     }
 
-    /// The shard of a prompt's home among the engines that take it.
+    /// The shard of a prompt's home engine, among the engines that accept the prompt.
     pub fn home_shard(&self, selection: &Selection<'_>, now: Moment) -> Option<Shard> {
         let shape = selection.shape?;
         let long = self.long_prompt_engines(selection.service, selection.stores);
-        let takes = |upstream: &&Upstream| {
+        let accepts = |upstream: &&Upstream| {
             self.availability_for(upstream, Some(shape), now) == Availability::Open
                 && !selection.tried.contains(&upstream.id)
         };
-        let open = self.of_service(selection.service).filter(takes);
+        let open = self.of_service(selection.service).filter(accepts);
         let homes = open.map(|upstream| (upstream.seed, long.contains(&upstream.seed)));
         let home = engines::inner_home(&shape.prompt, homes)?;
         let division = Division::of(self.of_service(selection.service).count());
@@ -331,16 +336,16 @@
         selection: &Selection<'_>,
         now: Moment,
     ) -> Option<usize> {
-        let paces = open.iter().filter_map(|upstream| upstream.pace);
-        let fastest = paces.fold(f64::INFINITY, f64::min);
+        let response_times = open.iter().filter_map(|upstream| upstream.response_ms);
+        let fastest = response_times.fold(f64::INFINITY, f64::min);
         let views: Vec<plain::Worker> = open
             .iter()
             .map(|upstream| plain::Worker {
                 near: upstream.entry.domain == *selection.domain,
-                busy: self.running(upstream, now) + upstream.waiting_now(now),
+                busy: self.running(upstream, now) + upstream.reported_waiting(now),
                 slots: upstream.entry.slots,
-                slowness: upstream.pace.map_or(1.0, |pace| pace / fastest),
-                faults: upstream.faults,
+                slowness: upstream.response_ms.map_or(1.0, |ms| ms / fastest),
+                faults: upstream.failure_rate,
                 state: self.availability(upstream, now),
             })
             .collect();
