--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -9,7 +9,7 @@
 mod readings;
 mod reports;
 
-pub use readings::{TableState, TableUpdate, apply_update, apply_batch};
+pub use readings::{TableState, TableUpdate, apply_batch, apply_update};
 
 use crate::clock;
 use crate::core::{Core, Phase};
@@ -70,7 +70,9 @@
             continue;
         }
         let outcome = step(&core, table, &mut restored).await;
-        core.fleet.lock().record_store_response(answers(&outcome), clock::now());
+        core.fleet
+            .lock()
+            .record_store_response(answers(&outcome), clock::now());
         match outcome {
             Ok(()) => {
                 if lost {
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -99,7 +99,8 @@
         info!(event = events::PEER, %owner, shard = shard.number, "the owner of a shard does not answer");
         return None;
     };
-    core.fleet.accept_placement(selection, found?, asked, clock::now())
+    core.fleet
+        .accept_placement(selection, found?, asked, clock::now())
 }
 
 /// Tells the owner of an engine's shard of a prompt that it did not place.
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -98,7 +98,9 @@
             Word::Read(number) => {
                 if let Some(read) = fleet.placed.read(&(from, number)) {
                     for prefix in read.prefixes {
-                        fleet.cache_locations.note(prefix.hash, read.life, read.version, now);
+                        fleet
+                            .cache_locations
+                            .note(prefix.hash, read.life, read.version, now);
                     }
                 }
             }
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -121,7 +121,9 @@
     if head.status.is_success() {
         core.quarantine.succeeded(job.fingerprint());
     }
-    answered.flight.record_answer(answered.sent.elapsed(), failed);
+    answered
+        .flight
+        .record_answer(answered.sent.elapsed(), failed);
     Some(respond(head.status, &head.headers, full(bytes.freeze())))
 }
 
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -130,7 +130,9 @@
     pub fn has_other(&self, core: &Core, than: Option<&UpstreamId>) -> bool {
         let now = clock::now();
         let fleet = core.fleet.lock();
-        let mut others = fleet.of_service(&self.service).filter(|up| Some(&up.id) != than);
+        let mut others = fleet
+            .of_service(&self.service)
+            .filter(|up| Some(&up.id) != than);
         let shape = self.shape.as_ref();
         let is_open = |up: &Upstream| fleet.availability_for(up, shape, now) == Availability::Open;
         others.any(|up| is_open(up) && !self.tried.contains(&up.id))
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -3,7 +3,7 @@
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::{Change, Entry, Flight, PromptShape, Selection};
-use sesamegap_entry::follow::{TableUpdate, apply_update, apply_batch};
+use sesamegap_entry::follow::{TableUpdate, apply_batch, apply_update};
 use sesamegap_entry::kept;
 use sesamegap_entry::peers::{self, EngineNews};
 use sesamegap_entry::ports::{Batch, CacheNews, Record, Table, Weights};
@@ -180,7 +180,10 @@
     let upstream = fleet.get(&worker()).unwrap();
     assert_eq!(fleet.counted_running(upstream), 1, "the one of this life");
     assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
-    assert_eq!(fleet.availability(upstream, clock::now()), Availability::Open);
+    assert_eq!(
+        fleet.availability(upstream, clock::now()),
+        Availability::Open
+    );
 }
 
 /// A VM that rolls weights has asked an engine that started again and tells the others before the list
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -173,7 +173,10 @@
 fn a_heartbeat_does_not_take_back_weights_that_were_seen() {
     let mut fleet = fleet();
     fleet.apply(&id(1), beat(1), offset(0), at(0));
-    fleet.get_mut(&id(1)).unwrap().record_version("m", WeightsVersion(4));
+    fleet
+        .get_mut(&id(1))
+        .unwrap()
+        .record_version("m", WeightsVersion(4));
     fleet.apply(&id(1), beat(2), offset(10), at(10));
     let held = fleet.get(&id(1)).and_then(|up| up.version("m"));
     assert_eq!(held, Some(WeightsVersion(4)));
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -6,7 +6,7 @@
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{TableUpdate, apply_update, apply_batch};
+use sesamegap_entry::follow::{TableUpdate, apply_batch, apply_update};
 use sesamegap_entry::ports::{Batch, Record, Table, Unreadable};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_wire::{Offset, UpstreamId};
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,7 +1,7 @@
 use crate::support::{Platform, entry, offset, settings, until, unused};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{TableUpdate, follow, apply_update, apply_batch};
+use sesamegap_entry::follow::{TableUpdate, apply_batch, apply_update, follow};
 use sesamegap_entry::peers;
 use sesamegap_entry::ports::{Batch, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
@@ -169,7 +169,13 @@
     knows(&watcher, &hearer);
     let store = unused();
     peers::tell_of_store(&watcher, store);
-    until(|| hearer.fleet.lock().is_store_unavailable(store, clock::now())).await;
+    until(|| {
+        hearer
+            .fleet
+            .lock()
+            .is_store_unavailable(store, clock::now())
+    })
+    .await;
     let later = clock::now() + Duration::from_secs(2);
     assert!(
         !hearer.fleet.lock().is_store_unavailable(store, later),
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -266,7 +266,10 @@
     for (no, id) in ids[..5].iter().enumerate() {
         platform.engines.lock().unwrap()[no].version = 2;
         let mut fleet = core.fleet.lock();
-        fleet.get_mut(id).unwrap().record_version("m", WeightsVersion(2));
+        fleet
+            .get_mut(id)
+            .unwrap()
+            .record_version("m", WeightsVersion(2));
     }
     let service = "engines".parse().unwrap();
     let domain = "hall-a".parse().unwrap();
