--- a/crates/sesamegap-entry/src/catalogue/index.rs
+++ b/crates/sesamegap-entry/src/catalogue/index.rs
@@ -1,4 +1,4 @@
-//! A document indexed by host, key and service.
+//! An index of a document by host, key and service.
 
 use super::{Document, KvStore, Limits, Revision, Route, Service, Team};
 use rustc_hash::FxHashMap;
@@ -6,11 +6,11 @@
 use smol_str::SmolStr;
 use std::sync::Arc;
 
-/// Why a request matches no route.
+/// Error of a lookup that matches no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoRoute;
 
-/// One document, ready to be asked.
+/// A document with its indexes.
 #[derive(Debug)]
 pub struct Catalogue {
     document: Arc<Document>,
@@ -52,20 +52,20 @@
         &self.document
     }
 
-    /// Its number.
+    /// The document's revision.
     pub fn revision(&self) -> Revision {
         self.document.revision
     }
 
-    /// Bounds on callers.
+    /// Limits on callers' requests.
     pub fn limits(&self) -> Limits {
         self.document.limits
     }
 
-    /// The route with the longest prefix of a path.
+    /// The route of a host whose prefix is the longest that matches a path.
     ///
     /// # Errors
-    /// If the host is unknown or no prefix begins the path.
+    /// If the host is unknown or none of its prefixes matches the path.
     pub fn route(&self, host: &str, path: &str) -> Result<Arc<Route>, NoRoute> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(name).or_else(|| {
@@ -79,22 +79,22 @@
         found.cloned().ok_or(NoRoute)
     }
 
-    /// Whether callers must show a key.
+    /// Whether callers must present a key.
     pub fn has_teams(&self) -> bool {
         !self.document.teams.is_empty()
     }
 
-    /// The team that holds a key.
+    /// The team to which a key belongs.
     pub fn team(&self, key: &str) -> Option<&Arc<Team>> {
         self.keys.get(key)
     }
 
-    /// A service by its name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceId) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// The stores of kept KV cache.
+    /// The kept-KV stores.
     pub fn kv_stores(&self) -> &[KvStore] {
         &self.document.kv_stores
     }
--- a/crates/sesamegap-entry/src/catalogue/mod.rs
+++ b/crates/sesamegap-entry/src/catalogue/mod.rs
@@ -1,8 +1,8 @@
-//! What the operator lets callers do: routes, services, limits and teams.
+//! The operator's configuration for callers' requests: routes, services, limits and teams.
 //!
-//! The operator publishes whole [`Document`]s with rising revisions. A [`Catalogue`] is one of
-//! them indexed for requests. A process never goes back to an older revision, whatever the store
-//! or a peer shows it.
+//! The operator publishes complete [`Document`]s with increasing revisions. A [`Catalogue`] indexes one of them
+//! for lookups by requests. A process never returns to an older revision, even if the store or a peer delivers
+//! one.
 
 mod index;
 
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of a document; rises in uneven steps.
+/// Revision number of a document; increases, not necessarily by one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,26 +27,26 @@
     }
 }
 
-/// What may be repeated on a route.
+/// How often a request on a route may run, and the form of its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// Runs at most once per attempt of the caller.
     Once,
     /// A stream of events that runs at most once.
     Stream,
-    /// A stream of events that may go on at another upstream.
+    /// A stream of events that may be resumed at another upstream.
     ResumableStream,
 }
 
 impl Kind {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run already can be sent again.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// A name for metrics.
+    /// The name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -62,90 +62,90 @@
     }
 }
 
-/// A service that a route leads to, with its share.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its share against the others.
+    /// Weight of its share relative to the route's other targets.
     pub weight: u32,
 }
 
-/// Where requests to a host and path prefix go.
+/// Routing of the requests to a host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: SmolStr,
-    /// Host, lower case, without a port.
+    /// Host in lower case, without a port.
     pub host: SmolStr,
     /// Path prefix; begins and ends with a slash.
     pub prefix: SmolStr,
-    /// What may be repeated.
+    /// How often a request may run, and the form of its answer.
     pub kind: Kind,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for its answer.
     pub timeout: Duration,
-    /// Time within which an answer is on time; for streams, its first event.
+    /// Time within which an answer, or the first event of a stream, counts as on time.
     pub objective: Duration,
-    /// Upstreams that one attempt of a caller may run on.
+    /// Maximum number of upstreams that one attempt of a caller may run on.
     pub attempts: u32,
-    /// Rank, 0 the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services, at least one.
+    /// Services that receive the requests; at least one.
     pub targets: Vec<Target>,
-    /// Whether no key is needed.
+    /// Whether callers need no key.
     pub public: bool,
 }
 
-/// A service whose upstreams are model engines.
+/// Properties of a service whose upstreams are model engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Tokens of KV cache that fit.
+    /// Capacity of an engine's KV cache, in tokens.
     pub memory: u64,
-    /// Bytes of a token's KV cache; zero if they are not known.
+    /// Size of a token's KV cache in bytes, or zero if it is unknown.
     ///
-    /// Peers are not told: a VM of another release could not read it, and would take the sender for dead.
+    /// It is not sent to peers: a VM of another release could not decode it and would consider the sender dead.
     #[serde(skip)]
     pub token_bytes: u64,
 }
 
-/// A service and what is particular to it.
+/// A service and its properties.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: ServiceId,
-    /// Set for model engines.
+    /// Set if its upstreams are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// A store of kept KV cache.
+/// A kept-KV store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvStore {
-    /// Where engines fetch from and save to.
+    /// Address from which engines fetch and to which they save.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// What its link carries, Mbit/s.
+    /// Bandwidth of its link, in Mbit/s.
     pub link: u64,
 }
 
 impl KvStore {
-    /// The store in a failure domain, else any.
+    /// The store in a failure domain, or else the first one.
     pub fn nearest<'a>(stores: &'a [Self], domain: &DomainId) -> Option<&'a Self> {
         let near = stores.iter().find(|store| store.domain == *domain);
         near.or(stores.first())
     }
 }
 
-/// Bounds on what callers send and how long they take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body: usize,
-    /// Time to send a head.
+    /// Maximum time for sending a head.
     pub head_time: Duration,
-    /// Time between requests on a connection.
+    /// Maximum time between requests on a connection.
     pub idle_time: Duration,
 }
 
@@ -154,27 +154,27 @@
 pub struct Team {
     /// Its name.
     pub name: TeamId,
-    /// Keys that callers show.
+    /// Keys that its callers present.
     pub keys: Vec<SmolStr>,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Whether its cache entries are shared with no other team.
+    /// Whether it shares no cache entries with other teams.
     pub isolated: bool,
 }
 
-/// All that the operator published at once.
+/// A complete configuration, as published by the operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its number.
+    /// Its revision.
     pub revision: Revision,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Stores of kept KV cache.
+    /// Kept-KV stores.
     pub kv_stores: Vec<KvStore>,
-    /// Bounds on callers.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// Teams; none if no keys are asked for.
+    /// Teams; empty if callers need no keys.
     pub teams: Vec<Team>,
 }
