--- a/crates/sesamegap-entry/src/follow/apply.rs
+++ b/crates/sesamegap-entry/src/follow/apply.rs
@@ -1,4 +1,4 @@
-//! Takes records of the store in.
+//! Applies records of the store.
 
 use crate::clock;
 use crate::core::Core;
@@ -10,36 +10,37 @@
 use sesamegap_wire::{Incarnation, LogPosition, Moment, UpstreamId};
 use tracing::{info, warn};
 
-/// What a record said to this VM.
+/// Effect of a record on what this VM knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// Something that others may not know either.
+pub enum RecordEffect {
+    /// New information, which peers may lack too.
     News,
-    /// Nothing new: it was told of before.
+    /// Nothing new: the record was known already.
     Known,
-    /// Nothing but that an upstream lives.
+    /// Nothing but a newer heartbeat of an upstream.
     Heartbeat,
 }
 
-/// How a record was read.
+/// How a record was found, which tells its age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Read {
-    /// It was just written.
+pub enum RecordSource {
+    /// In a read of changes: it was just written.
     Written,
-    /// It was found, and was written at some time before, but after this moment if it is set.
+    /// In a read of the whole table: it was written at an unknown time, but after this time if it is set.
     Found(Option<Moment>),
 }
 
-/// Takes in the newest record of each key of a table, in place of what was known.
+/// Replaces what is known of a table by the newest record of each key.
 ///
-/// `complete` is a moment up to which all of the table was known. Gives how many upstreams are listed no more.
-pub fn replace(core: &Core, table: Table, batch: Batch, complete: Option<Moment>) -> usize {
+/// `complete` is a time up to which the whole table was known. Returns the number of upstreams that are no longer
+/// listed.
+pub fn replace_table(core: &Core, table: Table, batch: Batch, complete: Option<Moment>) -> usize {
     let mut listed = Vec::new();
     for (at, record) in batch.records {
         if let Record::Upstream(id, _) = &record {
             listed.push(id.clone());
         }
-        apply(core, at, record, Read::Found(complete));
+        apply(core, at, record, RecordSource::Found(complete));
     }
     if table != Table::Fleet {
         return 0;
@@ -47,59 +48,60 @@
     let now = clock::now();
     let missing = core.fleet.lock().keep_only(&listed, batch.next, now);
     for (id, change) in &missing {
-        tell(core, id, *change, batch.next);
+        log_change(core, id, *change, batch.next);
     }
     missing.len()
 }
 
-/// Takes in one record, which lies at a position of its table's log.
-pub fn apply(core: &Core, at: LogPosition, record: Record, read: Read) -> Taken {
+/// Applies the record at a position of its table's log.
+pub fn apply(core: &Core, at: LogPosition, record: Record, read: RecordSource) -> RecordEffect {
     let now = clock::now();
     match record {
-        Record::Document(document) => Taken::news_if(core.adopt(&document, "store")),
+        Record::Document(document) => RecordEffect::news_if(core.adopt(&document, "store")),
         Record::Weights(weights) => {
             let named = match read {
-                Read::Written => Named::At(now),
-                Read::Found(None) => core.fleet.lock().namings().estimate(now),
-                Read::Found(Some(known)) => core.fleet.lock().namings().estimate_after(known, now),
+                RecordSource::Written => Named::At(now),
+                RecordSource::Found(None) => core.fleet.lock().namings().estimate(now),
+                RecordSource::Found(Some(known)) => {
+                    core.fleet.lock().namings().estimate_after(known, now)
+                }
             };
-            Taken::news_if(learn_weights(core, &weights, named, "store"))
+            RecordEffect::news_if(learn_weights(core, &weights, named, "store"))
         }
         Record::Upstream(id, entry) => {
             let change = core.fleet.lock().apply(&id, *entry, at, now);
-            tell(core, &id, change, at);
-            taken(change)
+            log_change(core, &id, change, at);
+            effect_of(change)
         }
         Record::Removed(id) => {
             let change = core.fleet.lock().remove(&id, at, now);
-            tell(core, &id, change, at);
-            taken(change)
+            log_change(core, &id, change, at);
+            effect_of(change)
         }
-        Record::Vm(..) | Record::Quarantine(_) => Taken::Known,
+        Record::Vm(..) | Record::Quarantine(_) => RecordEffect::Known,
         Record::Unreadable(record) => {
-            report(core, &record);
+            log_unreadable(core, &record);
             match record.key.parse() {
                 Ok(id) if record.table == Table::Fleet => withdraw(core, &id, at),
-                _ => Taken::Known,
+                _ => RecordEffect::Known,
             }
         }
     }
 }
 
-/// Takes in that the newest record of an upstream names none.
+/// Applies that an upstream's newest record is unreadable.
 ///
-/// Someone else has written over its entry, so that nobody knows what is at its address now, and
-/// requests sent there may be lost. It is out at once, also right after an outage of the store, when
-/// entries that merely lapsed get time to come back: this one did not lapse. Its next sound record
-/// brings it back.
-pub fn withdraw(core: &Core, id: &UpstreamId, at: LogPosition) -> Taken {
+/// Another writer has overwritten its entry, so what runs at its address is unknown, and requests sent there may be
+/// lost. The upstream is removed at once, even right after an outage of the store, when lapsed entries get time to
+/// reappear: this one did not lapse. Its next readable record restores it.
+pub fn withdraw(core: &Core, id: &UpstreamId, at: LogPosition) -> RecordEffect {
     let change = core.fleet.lock().withdraw(id, at, clock::now());
-    tell(core, id, change, at);
-    taken(change)
+    log_change(core, id, change, at);
+    effect_of(change)
 }
 
-/// Logs a record that cannot be read, unless the same was logged before.
-pub fn report(core: &Core, record: &Unreadable) {
+/// Logs an unreadable record, unless the same was logged before.
+pub fn log_unreadable(core: &Core, record: &Unreadable) {
     if !core
         .known(record.table)
         .reports()
@@ -114,40 +116,40 @@
         key = %record.key,
         field = record.field.as_deref(),
         why = %record.why,
-        "a record cannot be read and names nothing to use"
+        "record cannot be read and is ignored"
     );
 }
 
-impl Taken {
+impl RecordEffect {
     fn news_if(newer: bool) -> Self {
         if newer { Self::News } else { Self::Known }
     }
 }
 
-fn taken(change: Change) -> Taken {
+fn effect_of(change: Change) -> RecordEffect {
     match change {
-        Change::Same => Taken::Heartbeat,
-        Change::Repeat => Taken::Known,
-        // Others may know less of the upstream, and must judge for themselves.
-        _ => Taken::News,
+        Change::Same => RecordEffect::Heartbeat,
+        Change::Repeat => RecordEffect::Known,
+        // Peers may know less about the upstream, and must apply their own rules to the record.
+        _ => RecordEffect::News,
     }
 }
 
-/// Logs what a record of the list did, or why it was discarded.
-pub fn tell(core: &Core, id: &UpstreamId, change: Change, at: LogPosition) {
+/// Logs the effect of a record of the fleet list, or why it was discarded.
+pub fn log_change(core: &Core, id: &UpstreamId, change: Change, at: LogPosition) {
     if matches!(change, Change::Same | Change::Repeat) {
         return;
     }
-    let (born, beat) = believed(core, id);
+    let (born, beat) = known_state(core, id);
     if change.is_discarded() {
-        info!(event = events::DISCARDED, upstream = %id, why = ?change, at = %at, born, beat, "a record is older than what is known");
+        info!(event = events::DISCARDED, upstream = %id, why = ?change, at = %at, born, beat, "record is older than what is known and was discarded");
     } else {
         info!(event = events::UPSTREAM, upstream = %id, change = ?change, at = %at, born, beat, "belief about an upstream changed");
     }
 }
 
-/// The life and the newest heartbeat that are known of an upstream.
-fn believed(core: &Core, id: &UpstreamId) -> (Option<u64>, Option<u64>) {
+/// The newest known incarnation and heartbeat of an upstream.
+fn known_state(core: &Core, id: &UpstreamId) -> (Option<u64>, Option<u64>) {
     let fleet = core.fleet.lock();
     let belief = fleet.belief(id);
     let born = belief.and_then(Belief::born);
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -1,9 +1,10 @@
 //! Follows the store: the operator's settings, the fleet, and the entry VMs.
 //!
-//! A few VMs read each table for all. Settings change rarely, so their call waits at the store until
-//! they do. The fleet list changes with every heartbeat of every upstream, so a waiting call would come
-//! back at once each time; it is read at a fixed pace instead, which bounds calls whatever the size
-//! of the fleet. All others take the readers' word, and read for themselves when they miss one.
+//! A few VMs, the readers, read each table for all others. Settings change rarely, so readers use calls that wait
+//! at the store for a change (long polling). The fleet list changes with every heartbeat of every upstream, so such
+//! a call would return at once; the list is polled at a fixed interval instead, which bounds the number of calls
+//! whatever the size of the fleet. All other VMs apply the readers' updates, and read the table themselves when they
+//! miss one.
 
 mod apply;
 mod readings;
@@ -15,7 +16,7 @@
 use crate::core::{Core, Phase};
 use crate::ports::{Batch, Record, StoreError, Table};
 use crate::telemetry::events;
-use apply::{replace, report};
+use apply::{log_unreadable, replace_table};
 use sesamegap_policy::routing::engines::{rank, seed};
 use sesamegap_policy::routing::reading::READERS;
 use sesamegap_wire::Moment;
@@ -24,125 +25,126 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// How long the store may wait with an answer about settings: short enough to notice a mute
-/// connection well before a change must be in force.
+/// Maximum wait of a call for changed settings: short enough to detect a dead connection well before a change must
+/// be in force.
 const SETTINGS_WAIT: Duration = Duration::from_millis(2_500);
 
-/// Pace of reading the fleet list, in percent of the time after which a leaving upstream must get no
-/// more work: the rest is for a call at its slowest and a request that is on its way.
-const FLEET_PACE: u32 = 65;
+/// Polling interval of the fleet list, in percent of the time after which a leaving upstream must get no more
+/// requests. The rest covers the slowest call and a request that is on its way.
+const FLEET_INTERVAL_PERCENT: u32 = 65;
 
-/// The order in which VMs read tables for all; each table has its own.
-const LINE: u64 = 16;
+/// Key of the ranking that selects the readers of a table; the number of the table is added to it.
+const RANK_KEY: u64 = 16;
 
-/// Pause after a call that failed; calls are priced and rates are bounded, refused ones too.
-const RETRY: Duration = Duration::from_millis(300);
+/// Delay after a failed call. Calls are billed and rate-limited, rejected ones too.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Pace of reading the entry VMs, which peers tell each other much sooner.
-const VMS_PACE: Duration = Duration::from_secs(30);
+/// Polling interval of the list of entry VMs; peers learn of each other much sooner by gossip.
+const VMS_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The same while no peer is known: the store's list is then the only way to find one.
-const ALONE_PACE: Duration = Duration::from_secs(5);
+/// Polling interval while no live peer is known: the store's list is then the only way to find one.
+const ALONE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time over which all VMs read the entry VMs again, and write their own, after the store was restored: a fleet of
-/// hundreds stays under the store's rates.
-const AGAIN: Duration = Duration::from_secs(1);
+/// Time over which all VMs spread reading the list of entry VMs and writing their own entries after the store was
+/// restored, so that hundreds of VMs stay below its rate limits.
+const RESTORE_SPREAD: Duration = Duration::from_secs(1);
 
-/// Longest wait for another VM's word before the store's is taken, at the start of a process: several times what an
-/// answer takes, since a VM that comes back when all others are dark must serve at once.
-const ACQUAINTANCE: Duration = Duration::from_millis(60);
+/// Maximum wait for a peer's settings before the store's are used, at the start of a process. It is several times
+/// the response time of a peer, and short because a VM that returns while all others are unreachable must serve at
+/// once.
+const PEER_WAIT: Duration = Duration::from_millis(60);
 
 /// Follows one table until the process ends.
 pub async fn follow(core: Arc<Core>, table: Table) {
-    let mut lost = false;
+    let mut unreachable = false;
     let mut restored: Option<Moment> = None;
     if table == Table::Settings {
-        // The store may hold an older document than other VMs serve, which would be served until they tell.
-        core.peers.acquainted(ACQUAINTANCE).await;
+        // The store may hold an older document than other VMs use, which would be in force until they report theirs.
+        core.peers.acquainted(PEER_WAIT).await;
     }
     while core.phase() < Phase::Ended {
-        if is_former(&core, table) {
+        if predates_restore(&core, table) {
             restored.get_or_insert_with(clock::now);
-            begin_again(&core, table);
+            restart_table(&core, table);
         }
-        if !reads_for_all(&core, table) && wait_for_word(&core, table).await {
+        if !is_reader(&core, table) && wait_for_update(&core, table).await {
             expire(&core);
             continue;
         }
-        let outcome = step(&core, table, &mut restored).await;
+        let outcome = read_table(&core, table, &mut restored).await;
         core.fleet
             .lock()
-            .record_store_response(answers(&outcome), clock::now());
+            .record_store_response(is_answered(&outcome), clock::now());
         match outcome {
             Ok(()) => {
-                if lost {
-                    lost = false;
-                    info!(event = events::STORE_BACK, table = ?table, "the store answers again");
+                if unreachable {
+                    unreachable = false;
+                    info!(event = events::STORE_BACK, table = ?table, "store answers again");
                 }
-                if table == Table::Fleet && reads_for_all(&core, table) {
-                    sleep_on(&core, table, pace(&core, table)).await;
+                if table == Table::Fleet && is_reader(&core, table) {
+                    sleep_unless_restored(&core, table, max_silence(&core, table)).await;
                 }
             }
             Err(StoreError::Restored(_)) => {}
             Err(StoreError::Compacted(first)) => {
-                info!(event = events::COMPACTED, table = ?table, first = first.0, "records are gone; reading the newest of each key");
+                info!(event = events::COMPACTED, table = ?table, first = first.0, "log was compacted; reading the newest record of each key");
                 core.known(table).position().require_full_read();
             }
             Err(error) => {
-                if !lost {
-                    lost = true;
-                    warn!(event = events::STORE_LOST, table = ?table, %error, "the store does not answer");
+                if !unreachable {
+                    unreachable = true;
+                    warn!(event = events::STORE_LOST, table = ?table, %error, "store does not answer");
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
         expire(&core);
     }
 }
 
-fn answers(outcome: &Result<(), StoreError>) -> bool {
+fn is_answered(outcome: &Result<(), StoreError>) -> bool {
     !matches!(
         outcome,
         Err(StoreError::Busy | StoreError::Unreached(_) | StoreError::Unanswered(_))
     )
 }
 
-/// Whether this VM is one of those that read a table for all.
-fn reads_for_all(core: &Core, table: Table) -> bool {
-    core.peers.is_among_first(READERS, LINE + table as u64)
+/// Whether this VM is a reader of a table.
+fn is_reader(core: &Core, table: Table) -> bool {
+    core.peers.is_among_first(READERS, RANK_KEY + table as u64)
 }
 
-/// Longest time without a word on a table.
-fn pace(core: &Core, table: Table) -> Duration {
+/// Maximum time without an update of a table.
+fn max_silence(core: &Core, table: Table) -> Duration {
     match table {
         Table::Settings => SETTINGS_WAIT,
         Table::Fleet | Table::Vms | Table::Quarantine => {
-            core.settings().spans.drain * FLEET_PACE / 100
+            core.settings().spans.drain * FLEET_INTERVAL_PERCENT / 100
         }
     }
 }
 
-/// Waits while other VMs' words on a table may come; false if this VM must read for itself.
-async fn wait_for_word(core: &Core, table: Table) -> bool {
+/// Waits for an update of a table; returns false if this VM must read the table itself.
+async fn wait_for_update(core: &Core, table: Table) -> bool {
     let known = core.known(table);
     let left = {
         let mut position = known.position();
         position.renew(clock::now());
-        position.time_left(pace(core, table), clock::now())
+        position.time_left(max_silence(core, table), clock::now())
     };
     if left.is_zero() {
         return false;
     }
-    // A word that comes meanwhile gives time again, one that was missed takes it: the next look tells.
+    // An update that arrives meanwhile extends the time left, and a missed one ends it; the next call finds out.
     tokio::select! {
         () = known.missed.notified() => {}
-        () = sleep_on(core, table, left) => {}
+        () = sleep_unless_restored(core, table, left) => {}
     }
     true
 }
 
-/// Sleeps, but no longer than a table's positions are of the store's present timeline.
-async fn sleep_on(core: &Core, table: Table, time: Duration) {
+/// Sleeps until the time is over or the table's position is on an older timeline than the store.
+async fn sleep_unless_restored(core: &Core, table: Table, time: Duration) {
     let Some(next) = core.known(table).position().next() else {
         return;
     };
@@ -150,21 +152,25 @@
     drop(timeout(time, timelines.wait_for(|present| next.timeline < *present)).await);
 }
 
-/// Whether what is known of a table was read before the store was restored.
-fn is_former(core: &Core, table: Table) -> bool {
+/// Whether a table was last read before the store was restored.
+fn predates_restore(core: &Core, table: Table) -> bool {
     let next = core.known(table).position().next();
     next.is_some_and(|next| next.timeline < core.store.timeline())
 }
 
-/// Has a table read anew from a store that was restored; what is known of it stays in use meanwhile.
-fn begin_again(core: &Core, table: Table) {
+/// Requires a full read of a table from a restored store; what is known of it stays in use meanwhile.
+fn restart_table(core: &Core, table: Table) {
     core.fleet.lock().record_store_restore(clock::now());
     core.known(table).position().require_full_read();
 }
 
-async fn step(core: &Core, table: Table, restored: &mut Option<Moment>) -> Result<(), StoreError> {
+async fn read_table(
+    core: &Core,
+    table: Table,
+    restored: &mut Option<Moment>,
+) -> Result<(), StoreError> {
     let known = core.known(table);
-    let asked = clock::now();
+    let started = clock::now();
     let (next, complete) = {
         let position = known.position();
         (position.next(), position.complete())
@@ -173,30 +179,30 @@
         let batch = core.store.snapshot(table).await?;
         let at = batch.next;
         let records = batch.records.len();
-        let missing = replace(core, table, batch, complete);
+        let missing = replace_table(core, table, batch, complete);
         if let Some(since) = restored.take() {
-            info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::ms(clock::now().since(since)), "read again from the restored store");
+            info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::ms(clock::now().since(since)), "table was read again from the restored store");
         }
         known.position().read(at, clock::now());
-        known.position().asked(asked);
+        known.position().asked(started);
         return Ok(());
     };
-    let reader = reads_for_all(core, table);
+    let reader = is_reader(core, table);
     let wait = match table {
         Table::Settings if reader => SETTINGS_WAIT,
         _ => Duration::ZERO,
     };
     let batch = core.store.changes(table, from, wait).await?;
-    let reading = apply_batch(core, table, from, batch);
-    known.position().read(reading.next, clock::now());
-    known.position().asked(asked);
+    let update = apply_batch(core, table, from, batch);
+    known.position().read(update.next, clock::now());
+    known.position().asked(started);
     if reader {
-        core.peers.outbox.put_reading(reading);
+        core.peers.outbox.put_reading(update);
     }
     Ok(())
 }
 
-/// Lets time decide about upstreams whose entries lapsed or are in doubt.
+/// Applies time limits to upstreams whose entries lapsed or are doubted.
 fn expire(core: &Core) {
     let changes = core.fleet.lock().expire(clock::now());
     for (id, change) in changes {
@@ -204,37 +210,37 @@
     }
 }
 
-/// Keeps this VM's entry in the store, and reads the others'.
+/// Keeps this VM's entry in the store and reads those of the others, until the process ends.
 pub async fn follow_vms(core: Arc<Core>) {
     let mut timelines = core.store.timelines();
     while core.phase() < Phase::Ended {
         timelines.mark_unchanged();
         let listed = match core.store.snapshot(Table::Vms).await {
-            Ok(batch) => take_vms(&core, batch),
+            Ok(batch) => apply_vms(&core, batch),
             Err(error) => {
-                info!(event = events::STORE_LOST, table = ?Table::Vms, %error, "entry VMs not read");
-                sleep(RETRY * 3).await;
+                info!(event = events::STORE_LOST, table = ?Table::Vms, %error, "cannot read the list of entry VMs");
+                sleep(RETRY_DELAY * 3).await;
                 continue;
             }
         };
         if !listed && let Err(error) = announce(&core).await {
-            warn!(event = events::STORE_LOST, table = ?Table::Vms, %error, "own entry not written");
-            sleep(RETRY * 3).await;
+            warn!(event = events::STORE_LOST, table = ?Table::Vms, %error, "cannot write this VM's entry");
+            sleep(RETRY_DELAY * 3).await;
             continue;
         }
         let alone = core.peers.known().alive.is_empty();
-        let pace = if alone { ALONE_PACE } else { VMS_PACE };
-        if timeout(pace, timelines.changed()).await.is_ok() {
-            // All VMs notice within a moment that their entries may be gone.
-            sleep(turn(&core)).await;
+        let interval = if alone { ALONE_INTERVAL } else { VMS_INTERVAL };
+        if timeout(interval, timelines.changed()).await.is_ok() {
+            // All VMs find out at almost the same time that the restored store may lack their entries.
+            sleep(restore_delay(&core)).await;
         }
     }
 }
 
-/// The time after which this VM writes its entry again, spread over all VMs.
-fn turn(core: &Core) -> Duration {
-    let place = rank(LINE, seed(core.settings().vm.as_str()));
-    AGAIN * (place >> 56) as u32 / (1 << 8)
+/// This VM's share of [`RESTORE_SPREAD`], after which it writes its entry again.
+fn restore_delay(core: &Core) -> Duration {
+    let own_rank = rank(RANK_KEY, seed(core.settings().vm.as_str()));
+    RESTORE_SPREAD * (own_rank >> 56) as u32 / (1 << 8)
 }
 
 async fn announce(core: &Core) -> Result<(), StoreError> {
@@ -244,14 +250,14 @@
         .await
 }
 
-/// Takes in the entry VMs; whether this one is among them.
-fn take_vms(core: &Core, batch: Batch) -> bool {
+/// Applies the list of entry VMs; returns whether this VM is in it.
+fn apply_vms(core: &Core, batch: Batch) -> bool {
     let records = batch.records.into_iter().map(|(_, record)| record);
     let vms: Vec<_> = records
         .filter_map(|record| match record {
             Record::Vm(vm, addr) => Some((vm, addr)),
             Record::Unreadable(record) => {
-                report(core, &record);
+                log_unreadable(core, &record);
                 None
             }
             _ => None,
--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -1,6 +1,6 @@
-//! What a few VMs read of the store for all.
+//! Updates of a table that the VMs that read it send to all others.
 
-use super::apply::{Read, Taken, apply, withdraw};
+use super::apply::{RecordEffect, RecordSource, apply, withdraw};
 use super::reports::Reports;
 use crate::clock;
 use crate::core::Core;
@@ -12,62 +12,62 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Changes told in one datagram at most, of some 150 bytes each; whoever hears that there are more reads
-/// for itself.
-const PIECES: usize = 8;
+/// Maximum number of changes in one datagram, of about 150 bytes each; a VM that receives an incomplete update
+/// reads the table itself.
+const MAX_CHANGES: usize = 8;
 
-/// A change that a reader tells of.
+/// A change that a reader reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Piece {
-    /// An upstream that is new, or leaves.
+pub enum TableChange {
+    /// An upstream's entry changed beyond its heartbeat.
     Upstream(UpstreamId, Box<Entry>),
-    /// An upstream's entry is gone.
+    /// An upstream's entry was removed.
     Removed(UpstreamId),
-    /// An upstream's newest record names none.
+    /// An upstream's newest record is unreadable and hides its entry.
     Withdrawn(UpstreamId),
     /// Weights were named.
     Weights(Weights),
 }
 
-/// What a VM has read of a table.
+/// What a VM has read from a table, for its peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TableUpdate {
     /// The table.
     pub table: Table,
-    /// Where it read from.
+    /// Position from which it was read.
     pub from: LogPosition,
-    /// Where it reads on.
+    /// Position after the range, from which the next read continues.
     pub next: LogPosition,
-    /// What changed, with its position in the log.
-    pub pieces: Vec<(LogPosition, Piece)>,
-    /// Whether the pieces are all that changed.
+    /// Changes, with their positions in the log.
+    pub pieces: Vec<(LogPosition, TableChange)>,
+    /// Whether `pieces` holds all changes of the range.
     pub whole: bool,
 }
 
-/// How far this VM knows a table.
+/// How far this VM has read a table.
 #[derive(Debug, Default)]
 pub struct TableState {
     position: Mutex<Position>,
     reports: Mutex<Reports>,
-    /// Wakes the task that reads the table when something was missed.
+    /// Wakes the task that follows the table when an update was missed.
     pub missed: Notify,
 }
 
 impl TableState {
-    /// The position, for a moment.
+    /// Locks the position; the guard must not be held across an await point.
     pub fn position(&self) -> MutexGuard<'_, Position> {
         self.position.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What was reported of its records, for a moment.
+    /// Locks the reports of unreadable records; the guard must not be held across an await point.
     pub fn reports(&self) -> MutexGuard<'_, Reports> {
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Takes in what this VM has read, and puts it together for the others.
+/// Applies what this VM has read, and builds the update for its peers.
 pub fn apply_batch(core: &Core, table: Table, from: LogPosition, batch: Batch) -> TableUpdate {
-    let mut reading = TableUpdate {
+    let mut update = TableUpdate {
         table,
         from,
         next: batch.next,
@@ -75,63 +75,64 @@
         whole: true,
     };
     for (at, record) in batch.records {
-        let piece = piece(&record);
-        match (apply(core, at, record, Read::Written), piece) {
-            (Taken::Heartbeat, _) => {}
-            (Taken::News, Some(piece)) if reading.pieces.len() < PIECES => {
-                reading.pieces.push((at, piece));
+        let change = to_change(&record);
+        match (apply(core, at, record, RecordSource::Written), change) {
+            (RecordEffect::Heartbeat, _) => {}
+            (RecordEffect::News, Some(change)) if update.pieces.len() < MAX_CHANGES => {
+                update.pieces.push((at, change));
             }
-            // A document is too long to be told, and has every VM read for itself. What this one was told
-            // of before it read it is not told twice; a VM that missed it must not take this for all.
-            _ => reading.whole = false,
+            // A document is too large for a datagram, so every VM reads it itself. A change that this VM had
+            // learned of from a peer before reading it is not sent again, but a VM that missed that update must
+            // not take this one for complete.
+            _ => update.whole = false,
         }
     }
-    reading
+    update
 }
 
-fn piece(record: &Record) -> Option<Piece> {
+fn to_change(record: &Record) -> Option<TableChange> {
     match record {
-        Record::Upstream(id, entry) => Some(Piece::Upstream(id.clone(), entry.clone())),
-        Record::Removed(id) => Some(Piece::Removed(id.clone())),
-        Record::Weights(weights) => Some(Piece::Weights(weights.clone())),
-        Record::Unreadable(record) => record.key.parse().map(Piece::Withdrawn).ok(),
+        Record::Upstream(id, entry) => Some(TableChange::Upstream(id.clone(), entry.clone())),
+        Record::Removed(id) => Some(TableChange::Removed(id.clone())),
+        Record::Weights(weights) => Some(TableChange::Weights(weights.clone())),
+        Record::Unreadable(record) => record.key.parse().map(TableChange::Withdrawn).ok(),
         Record::Document(_) | Record::Vm(..) | Record::Quarantine(_) => None,
     }
 }
 
-/// Takes in what another VM has read.
-pub fn apply_update(core: &Core, reading: TableUpdate) {
+/// Applies what another VM has read.
+pub fn apply_update(core: &Core, update: TableUpdate) {
     let now = clock::now();
-    let known = core.known(reading.table);
+    let known = core.known(update.table);
     let span = Span {
-        from: reading.from,
-        next: reading.next,
+        from: update.from,
+        next: update.next,
     };
-    // What is told is true in any case, and its position says whether it was heard before; only a word
-    // that joins says that nothing else changed.
-    let heard = known.position().apply(span, reading.whole, now);
-    if heard == UpdateOutcome::Outdated {
+    // The changes are valid in any case, and their positions show whether they were applied before. Only a
+    // contiguous update shows that nothing else changed.
+    let outcome = known.position().apply(span, update.whole, now);
+    if outcome == UpdateOutcome::Outdated {
         return;
     }
-    for (at, piece) in reading.pieces {
-        take_piece(core, at, piece);
+    for (at, change) in update.pieces {
+        apply_change(core, at, change);
     }
-    if heard == UpdateOutcome::Missed {
+    if outcome == UpdateOutcome::Missed {
         known.missed.notify_one();
     } else {
         core.fleet.lock().record_peer_store_report(now);
     }
 }
 
-fn take_piece(core: &Core, at: LogPosition, piece: Piece) {
-    let record = match piece {
-        Piece::Upstream(id, entry) => Record::Upstream(id, entry),
-        Piece::Removed(id) => Record::Removed(id),
-        Piece::Weights(weights) => Record::Weights(weights),
-        Piece::Withdrawn(id) => {
+fn apply_change(core: &Core, at: LogPosition, change: TableChange) {
+    let record = match change {
+        TableChange::Upstream(id, entry) => Record::Upstream(id, entry),
+        TableChange::Removed(id) => Record::Removed(id),
+        TableChange::Weights(weights) => Record::Weights(weights),
+        TableChange::Withdrawn(id) => {
             withdraw(core, &id, at);
             return;
         }
     };
-    apply(core, at, record, Read::Written);
+    apply(core, at, record, RecordSource::Written);
 }
