--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -13,7 +13,7 @@
 use sesamegap_wire::{Incarnation, UpstreamId, WeightsVersion};
 use std::sync::Arc;
 
-/// An entry VM that knows the fleet list up to where it begins.
+/// An entry VM that has read the fleet list up to its first position.
 fn vm(name: &str) -> Arc<Core> {
     let platform = Arc::new(Platform::default());
     let core = Core::new(
@@ -43,52 +43,51 @@
     Record::Removed(worker())
 }
 
-/// Has a VM read these records of the list itself.
+/// Lets a VM read these records from the list.
 fn read(core: &Core, from: u64, records: Vec<Record>) -> TableUpdate {
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
-    let reading = apply_batch(core, Table::Fleet, offset(from), Batch { records, next });
+    let update = apply_batch(core, Table::Fleet, offset(from), Batch { records, next });
     core.known(Table::Fleet).position().read(next, clock::now());
-    reading
+    update
 }
 
 fn knows(core: &Core) -> bool {
     core.fleet.lock().get(&worker()).is_some()
 }
 
-/// A worker's heartbeats got lost for a while, so its entry was removed and is back since. Eight VMs
-/// read both records at once and tell each other. The list is written only when more than a heartbeat
-/// changes, so a VM that takes the removal from another's word after it has read the return itself
-/// would leave a sound worker without requests for good.
+/// A worker's heartbeats were lost for a while, so its entry was removed and later listed again. Eight VMs read both
+/// records at once and send each other updates. The list is written only when more than the heartbeat changes, so a
+/// VM that applies a peer's report of the removal after reading the new entry would send a healthy worker no requests
+/// ever again.
 #[test]
-fn a_removal_that_is_told_after_the_return_was_read_changes_nothing() {
+fn a_removal_relayed_after_a_newer_entry_was_read_changes_nothing() {
     let (reader, other) = (vm("vm-1"), vm("vm-2"));
     for core in [&reader, &other] {
         read(core, 0, vec![listed(1)]);
     }
-    let word = read(&other, 1, vec![removed(), listed(18)]);
+    let update = read(&other, 1, vec![removed(), listed(18)]);
     read(&reader, 1, vec![removed(), listed(18)]);
     assert!(knows(&reader));
-    apply_update(&reader, word.clone());
-    assert!(knows(&reader), "the removal came before the return");
-    apply_update(&reader, word);
+    apply_update(&reader, update.clone());
+    assert!(knows(&reader), "the removal precedes the new entry");
+    apply_update(&reader, update);
     assert!(knows(&reader));
 }
 
-/// A reader was told of a new worker a moment before it reads that record itself, so it has nothing
-/// new to tell. A VM that missed the first word would take the second for all there is and never hear
-/// of the worker.
+/// A reader receives a peer's update about a new worker just before it reads that record itself, so the record is not
+/// news to it. A VM that missed the first update would take the reader's for complete and never learn of the worker.
 #[test]
-fn a_reader_does_not_pass_over_what_it_was_told_before() {
-    let (first, second, hearer) = (vm("vm-1"), vm("vm-2"), vm("vm-3"));
-    let word = read(&first, 0, vec![listed(1)]);
-    apply_update(&second, word);
-    let word = read(&second, 0, vec![listed(1)]);
-    apply_update(&hearer, word);
-    let read_up_to = hearer.known(Table::Fleet).position().next();
+fn an_update_that_omits_known_changes_is_not_complete() {
+    let (first, second, receiver) = (vm("vm-1"), vm("vm-2"), vm("vm-3"));
+    let update = read(&first, 0, vec![listed(1)]);
+    apply_update(&second, update);
+    let update = read(&second, 0, vec![listed(1)]);
+    apply_update(&receiver, update);
+    let read_up_to = receiver.known(Table::Fleet).position().next();
     assert!(
-        knows(&hearer) || read_up_to == Some(offset(0)),
-        "it must know the worker or read for itself"
+        knows(&receiver) || read_up_to == Some(offset(0)),
+        "it must know the worker or read the list itself"
     );
 }
 
@@ -113,7 +112,7 @@
     }
 }
 
-/// The engine that a prompt goes to.
+/// Chooses an engine for a prompt.
 fn choose(core: &Core, shape: &PromptShape) -> Option<Flight> {
     let selection = Selection {
         service: &"engines".parse().unwrap(),
@@ -128,11 +127,11 @@
     core.fleet.choose(&selection, clock::now())
 }
 
-/// An engine crashes and starts again under its id. It holds the weights of before the last roll, has read
-/// no prefix, runs nothing, and is not out for a load. Whatever is kept of its former life misleads: prompts
-/// go to it for a cache that is empty, or stay away from it for work that has died with it.
+/// An engine crashes and restarts with the same id. It has the weights from before the last rollout, an empty cache
+/// and no running requests, and is not paused for loading weights. State kept from its previous incarnation would
+/// send prompts to it for an empty cache, or keep them away because of requests that ended with the crash.
 #[test]
-fn nothing_of_a_former_life_is_kept() {
+fn no_state_of_a_previous_incarnation_is_kept() {
     let core = vm("vm-1");
     read(&core, 0, vec![engine(100, 40, 3)]);
     let shape = prompt();
@@ -141,44 +140,48 @@
     let running = choose(&core, &shape).unwrap();
     assert!(running.last_served().is_some());
     let now = clock::now();
-    let former = {
+    let previous_life = {
         let mut fleet = core.fleet.lock();
         fleet.record_failure(&worker(), now);
         fleet.get(&worker()).unwrap().life
     };
-    let out = EngineNews {
+    let pause = EngineNews {
         engine: worker(),
         born: Some(Incarnation(100)),
         out_ms: 3_000,
         weights: None,
         gone: false,
     };
-    peers::take(&core, std::slice::from_ref(&out));
+    peers::take(&core, std::slice::from_ref(&pause));
     read(&core, 1, vec![engine(200, 1, 1)]);
     {
         let fleet = core.fleet.lock();
         let upstream = fleet.get(&worker()).unwrap();
         assert_ne!(
-            upstream.life, former,
-            "peers' words on load and silence go by it"
+            upstream.life, previous_life,
+            "peers' reports of load and silence refer to it"
         );
         assert_eq!(fleet.running(upstream, now), 0);
         assert_eq!(fleet.unread(upstream), 0);
         assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
         assert_eq!(fleet.availability(upstream, now), Availability::Open);
     }
-    peers::take(&core, &[out]);
+    peers::take(&core, &[pause]);
     let fresh = choose(&core, &shape).unwrap();
     assert!(
         fresh.last_served().is_none(),
-        "it has read no prefix in this life"
+        "this incarnation has served no prefix"
     );
     running.record_version(&"m".into(), WeightsVersion(3));
     running.record_failure(clock::now());
     drop((served, running));
     let fleet = core.fleet.lock();
     let upstream = fleet.get(&worker()).unwrap();
-    assert_eq!(fleet.counted_running(upstream), 1, "the one of this life");
+    assert_eq!(
+        fleet.counted_running(upstream),
+        1,
+        "the request of this incarnation"
+    );
     assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
     assert_eq!(
         fleet.availability(upstream, clock::now()),
@@ -186,11 +189,11 @@
     );
 }
 
-/// A VM that rolls weights has asked an engine that started again and tells the others before the list
-/// does. They would send prompts on weights that it no longer holds, and the list's entry of the former
-/// life, done late, would undo what they were told.
+/// The VM that rolls out weights queries a restarted engine and reports to its peers before the list does. Otherwise
+/// they would send prompts for weights that the engine no longer has, and a delayed entry of the previous incarnation
+/// would revert the report.
 #[test]
-fn a_life_that_a_peer_met_counts_before_the_list_tells_of_it() {
+fn an_incarnation_observed_by_a_peer_applies_before_it_is_listed() {
     let core = vm("vm-1");
     read(&core, 0, vec![engine(100, 40, 3)]);
     let loaded = EngineNews {
@@ -214,10 +217,10 @@
     assert_eq!(held, Some(WeightsVersion(4)));
 }
 
-/// An entry is removed and written again within a batch, while requests run there. Requests that end
-/// afterwards must be counted off the same upstream, or it looks busier than it is for good.
+/// An entry is removed and listed again while requests run at its upstream. Requests that end afterwards must be
+/// subtracted from the same upstream, or it would look busier than it is for ever.
 #[test]
-fn requests_count_on_over_a_gap_in_the_list() {
+fn running_requests_stay_counted_while_an_entry_is_missing() {
     let core = vm("vm-1");
     read(&core, 0, vec![engine(100, 1, 3)]);
     let shape = prompt();
@@ -237,10 +240,10 @@
     assert_eq!(running(), 0);
 }
 
-/// A VM was away for longer than the log reaches back, or takes the whole list anew: what the list does not
-/// name is gone. What was heard of meanwhile and lies after the list's end must stay.
+/// A VM reads the whole list, for example because the log no longer reaches back to its position, and removes what is
+/// missing. Upstreams that a peer reported at a position after the end of that read must stay.
 #[test]
-fn a_list_that_is_older_than_what_was_told_takes_nobody_out() {
+fn a_list_older_than_a_peers_update_removes_no_upstream() {
     let core = vm("vm-1");
     read(&core, 0, vec![engine(100, 1, 3)]);
     let mut fleet = core.fleet.lock();
@@ -253,10 +256,10 @@
     assert!(fleet.get(&worker()).is_none());
 }
 
-/// A store of kept cache starts again, and numbers its news from the beginning. Asked for what follows a
-/// number of its former life it has nothing to tell, and is held for one that says nothing.
+/// A kept-KV store restarts and numbers its news from the beginning. If it were still asked for news after a number
+/// of its previous incarnation, it would have none and be considered unresponsive.
 #[tokio::test]
-async fn news_of_a_cache_that_started_again_is_asked_from_its_beginning() {
+async fn news_of_a_restarted_kv_store_is_requested_from_the_beginning() {
     let platform = Arc::new(Platform::default());
     let news = |born, next| CacheNews {
         next,
--- a/crates/sesamegap-entry/tests/testsuite/catalogue.rs
+++ b/crates/sesamegap-entry/tests/testsuite/catalogue.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 #[test]
-fn the_longest_prefix_decides() {
+fn the_longest_matching_prefix_is_chosen() {
     let mut document = document(1);
     document
         .routes
@@ -18,14 +18,14 @@
     assert!(catalogue.team(KEY).is_some());
 }
 
-/// The store shows a stale history, or a peer is behind. A key that was taken away would work
+/// The store delivers stale history, or a peer lags behind. Adopting an older document would make a revoked key valid
 /// again.
 #[tokio::test]
-async fn a_document_never_gives_way_to_an_older_one() {
+async fn a_document_is_never_replaced_by_an_older_one() {
     let process = Process::empty().await;
-    for (revision, taken) in [(3, true), (2, false), (3, false), (7, true), (4, false)] {
+    for (revision, newer) in [(3, true), (2, false), (3, false), (7, true), (4, false)] {
         let adopted = process.core.adopt(&Arc::new(document(revision)), "test");
-        assert_eq!(adopted, taken, "revision {revision}");
+        assert_eq!(adopted, newer, "revision {revision}");
     }
     assert_eq!(process.core.revision(), Revision(7));
 }
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -27,10 +27,10 @@
     format!("e{no}").parse().unwrap()
 }
 
-/// A worker has left, and a heartbeat that was held up arrives after its entry was removed. New
-/// work would go to a worker that is gone.
+/// A delayed heartbeat arrives after the entry of a worker that left was removed. If it were listed again, new
+/// requests would go to a worker that is gone.
 #[test]
-fn a_late_heartbeat_does_not_bring_a_worker_back() {
+fn a_delayed_heartbeat_does_not_restore_a_removed_worker() {
     let mut fleet = fleet();
     assert_eq!(fleet.apply(&id(1), beat(5), offset(0), at(0)), Change::New);
     assert_eq!(fleet.remove(&id(1), offset(10), at(10)), Change::Gone);
@@ -45,9 +45,9 @@
     );
 }
 
-/// A worker says that it leaves, and an older heartbeat of it arrives afterwards.
+/// An older heartbeat arrives after a worker announced that it is leaving.
 #[test]
-fn a_worker_that_leaves_stays_leaving() {
+fn a_leaving_worker_stays_leaving() {
     let mut fleet = fleet();
     fleet.apply(&id(1), beat(1), offset(0), at(0));
     let mut leaving = beat(3);
@@ -61,10 +61,10 @@
     assert!(fleet.get(&id(1)).is_some_and(|up| up.is_paused(at(40))));
 }
 
-/// The store was away, and entries lapsed because no heartbeat got through. Dropping all workers
-/// would refuse every caller although they all live.
+/// While the store was unreachable, entries lapsed because no heartbeat got through. If all these workers were
+/// dropped, every caller would be refused although they are alive.
 #[test]
-fn entries_that_lapsed_with_the_store_away_get_time_to_come_back() {
+fn entries_that_lapsed_during_an_outage_get_time_to_reappear() {
     let mut fleet = fleet();
     for no in 0..4 {
         fleet.apply(&id(no), beat(1), offset(0), at(0));
@@ -84,15 +84,15 @@
     assert_eq!(
         fleet.expire(at(8_100)),
         [(id(1), Change::Gone)],
-        "what did not come back is gone"
+        "an entry that did not reappear is gone"
     );
     assert!(fleet.get(&id(0)).is_some());
 }
 
-/// A worker leaves without a word just after the store has come back. Its entry is gone, which looks
-/// like a lapse; given two seconds of its own it would get requests for longer than it may.
+/// A worker leaves without an announcement just after the store has returned. The removal of its entry looks like a
+/// lapse. If it got two seconds from its own removal, it would be sent requests for longer than allowed.
 #[test]
-fn what_leaves_after_the_stores_return_gets_no_time_of_its_own() {
+fn the_time_to_reappear_starts_at_the_return_of_the_store() {
     let mut fleet = fleet();
     fleet.apply(&id(0), beat(1), offset(0), at(0));
     fleet.record_store_response(false, at(1_000));
@@ -106,15 +106,15 @@
     assert_eq!(
         open(&fleet, 8_000),
         Availability::Paused,
-        "before the list is read next"
+        "before the next read of the list"
     );
     assert_eq!(fleet.expire(at(8_000)), [(id(0), Change::Gone)]);
 }
 
-/// The store turns this VM away and serves the others, so no entry lapses for that. A worker whose entry
-/// is gone has left, and would get requests for seconds if it were taken for a lapse.
+/// The store rejects this VM but serves the others, so no entry lapses. A worker whose entry was removed has left;
+/// if the removal counted as a lapse, it would be sent requests for seconds.
 #[test]
-fn nothing_lapses_for_a_store_that_others_read() {
+fn removals_are_no_lapses_if_peers_reach_the_store() {
     let mut fleet = fleet();
     fleet.apply(&id(0), beat(1), offset(0), at(0));
     for ms in (1_000..9_000).step_by(300) {
@@ -131,13 +131,13 @@
     assert_eq!(
         alone.remove(&id(0), offset(9_500), at(9_500)),
         Change::Lapsed,
-        "all were silent"
+        "no recent peer report says that the store answers"
     );
 }
 
-/// While the store cannot be read nobody can come back, so nothing may expire.
+/// While the store is unreachable, no entry can reappear, so lapsed entries must not expire.
 #[test]
-fn nothing_expires_while_the_store_is_away() {
+fn nothing_expires_while_the_store_is_unreachable() {
     let mut fleet = fleet();
     fleet.apply(&id(0), beat(1), offset(0), at(0));
     fleet.record_store_response(false, at(100));
@@ -148,10 +148,10 @@
     assert_eq!(fleet.expire(at(62_200)), [(id(0), Change::Gone)]);
 }
 
-/// An engine crashes and comes back with the weights that it had, which were overtaken long ago.
-/// Callers would get answers that nobody wants any more.
+/// An engine crashes and returns with its old weights, which were superseded long ago. Callers would get outdated
+/// answers.
 #[test]
-fn weights_that_were_overtaken_long_ago_are_outdated() {
+fn weights_superseded_long_ago_are_outdated() {
     let mut fleet = fleet();
     let named = |version| Weights {
         model: "m".into(),
@@ -168,9 +168,9 @@
     assert!(!outdated(3, 99_000));
 }
 
-/// An answer tells of new weights before the next heartbeat, which still names the old ones.
+/// An answer reports new weights, and the next heartbeat still names the old ones.
 #[test]
-fn a_heartbeat_does_not_take_back_weights_that_were_seen() {
+fn a_heartbeat_does_not_revert_observed_weights() {
     let mut fleet = fleet();
     fleet.apply(&id(1), beat(1), offset(0), at(0));
     fleet
@@ -182,9 +182,9 @@
     assert_eq!(held, Some(WeightsVersion(4)));
 }
 
-/// An upstream fails again and again. Trying it each time anew would hold up each of its requests.
+/// An upstream fails repeatedly. Retrying it at a fixed interval would delay requests each time.
 #[test]
-fn an_upstream_that_fails_is_avoided_for_longer_each_time() {
+fn an_upstream_is_avoided_for_longer_after_each_failure() {
     let mut fleet = fleet();
     fleet.apply(&id(1), beat(1), offset(0), at(0));
     let upstream = fleet.get_mut(&id(1)).unwrap();
@@ -197,11 +197,10 @@
     assert!(!upstream.is_suspect(at(3_100)));
 }
 
-/// Workers of a small service are replaced one after the other, and some just take their entry out
-/// instead of saying that they leave. Keeping them for the time of an outage that there was not
-/// sends work to them after they may be gone.
+/// Workers of a small service are replaced one after the other, and some remove their entry without announcing that
+/// they leave. If many removals were taken for an outage of the store, requests would go to workers that are gone.
 #[test]
-fn entries_taken_out_with_the_store_there_are_gone_at_once_however_many() {
+fn any_number_of_removals_takes_effect_at_once_while_the_store_is_reachable() {
     let mut fleet = fleet();
     for no in 0..3 {
         fleet.apply(&id(no), beat(1), offset(0), at(0));
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An entry VM of which only the datagrams run.
+/// An entry VM that runs only the exchange of datagrams.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
     settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
@@ -23,7 +23,7 @@
     core
 }
 
-fn knows(core: &Core, other: &Core) {
+fn add_peer(core: &Core, other: &Core) {
     core.peers.hear(
         &MemberUpdate {
             who: other.peers.me().clone(),
@@ -51,12 +51,12 @@
     Record::Upstream(worker(), Box::new(entry))
 }
 
-/// Weights are named just when the store drops its history, and a VM that followed it all the time finds them
-/// among the newest records, without a time. It took them for named 4.6 s before, so that within two seconds all
-/// engines were shut by their weights and every prompt was refused: `weights named ... Guessed`, then
+/// Weights are named at the time at which the store drops its history, and a VM that followed the store without a gap
+/// finds them among the newest records, without a naming time. With an estimate of 4.6 s ago, all engines' weights
+/// expired within two seconds and every prompt was refused: `weights named ... Guessed`, then
 /// `drains before its order ... overtaken_ms=8613` half a second after the naming.
 #[tokio::test]
-async fn weights_named_while_the_store_drops_its_history_are_taken_for_new() {
+async fn weights_named_while_the_store_drops_its_history_count_as_new() {
     let platform = Arc::new(Platform::default());
     let settings = settings("vm-1", Vec::new());
     let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
@@ -76,14 +76,14 @@
     assert!(clock::now().since(naming.at) < followed, "{naming:?}");
 }
 
-/// One VM reads the fleet list for all, and a worker says that it leaves. The others would go on
-/// sending requests to it until it is gone.
+/// One VM reads the fleet list for all others, and a worker announces that it is leaving. Without the reader's update,
+/// the others would send it requests until it is gone.
 #[tokio::test]
-async fn a_leaving_worker_that_one_vm_read_of_is_known_to_all() {
+async fn an_announcement_to_leave_is_relayed_by_the_reader() {
     let port = unused().port();
     let reader = vm("vm-1", "127.0.0.1", port);
-    let hearer = vm("vm-2", "127.0.0.2", port);
-    knows(&reader, &hearer);
+    let receiver = vm("vm-2", "127.0.0.2", port);
+    add_peer(&reader, &receiver);
     let read = |records: Vec<Record>, from: u64| {
         let next = offset(from + records.len() as u64);
         Batch {
@@ -91,7 +91,7 @@
             next,
         }
     };
-    hearer
+    receiver
         .known(Table::Fleet)
         .position()
         .read(offset(4), clock::now());
@@ -102,28 +102,32 @@
         read(vec![change(false, 1)], 4),
     );
     reader.peers.outbox.put_reading(new);
-    until(|| hearer.fleet.lock().get(&worker()).is_some()).await;
+    until(|| receiver.fleet.lock().get(&worker()).is_some()).await;
     let beats = read(vec![change(false, 2), change(true, 3)], 5);
     let leaving = apply_batch(&reader, Table::Fleet, offset(5), beats);
-    assert_eq!(leaving.pieces.len(), 1, "a mere heartbeat is not told");
+    assert_eq!(
+        leaving.pieces.len(),
+        1,
+        "a heartbeat without other changes is not relayed"
+    );
     reader.peers.outbox.put_reading(leaving);
-    until(|| leaves(&hearer)).await;
+    until(|| leaves(&receiver)).await;
     assert_eq!(
-        hearer.known(Table::Fleet).position().next(),
+        receiver.known(Table::Fleet).position().next(),
         Some(offset(7))
     );
 }
 
-/// The words of a reader come doubled and in the wrong order. A worker that left must not come back.
+/// The updates of a reader arrive duplicated and reordered. A worker that left must not be listed again.
 #[test]
-fn a_word_that_comes_late_brings_nobody_back() {
+fn a_delayed_update_does_not_restore_a_removed_worker() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _guard = runtime.enter();
     let core = vm("vm-1", "127.0.0.1", unused().port());
     core.known(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
-    let word = |from: u64, next: u64, record: Record| {
+    let update = |from: u64, next: u64, record: Record| {
         let other = vm("vm-2", "127.0.0.1", unused().port());
         let known = change(false, 1);
         apply_batch(
@@ -145,32 +149,32 @@
             },
         )
     };
-    let first = TableUpdate {
+    let empty = TableUpdate {
         pieces: Vec::new(),
-        ..word(0, 5, change(true, 4))
+        ..update(0, 5, change(true, 4))
     };
-    let gone = word(5, 9, Record::Removed(worker()));
-    apply_update(&core, word(0, 5, change(true, 4)));
+    let gone = update(5, 9, Record::Removed(worker()));
+    apply_update(&core, update(0, 5, change(true, 4)));
     apply_update(&core, gone.clone());
-    apply_update(&core, word(0, 5, change(true, 4)));
-    apply_update(&core, first);
+    apply_update(&core, update(0, 5, change(true, 4)));
+    apply_update(&core, empty);
     apply_update(&core, gone);
     assert!(core.fleet.lock().get(&worker()).is_none());
     assert_eq!(core.known(Table::Fleet).position().next(), Some(offset(9)));
 }
 
-/// The store of kept cache is down. Every prompt that asks it would wait for a tenth of a second or
-/// more; only a few VMs watch it.
+/// A kept-KV store is down, which only a few VMs monitor. Without their report, every prompt that fetches from it would
+/// wait for at least a tenth of a second.
 #[tokio::test]
-async fn a_store_that_one_vm_found_dead_is_left_alone_by_all() {
+async fn a_store_found_dead_by_one_vm_is_avoided_by_all() {
     let port = unused().port();
     let watcher = vm("vm-1", "127.0.0.1", port);
-    let hearer = vm("vm-2", "127.0.0.2", port);
-    knows(&watcher, &hearer);
+    let receiver = vm("vm-2", "127.0.0.2", port);
+    add_peer(&watcher, &receiver);
     let store = unused();
     peers::tell_of_store(&watcher, store);
     until(|| {
-        hearer
+        receiver
             .fleet
             .lock()
             .is_store_unavailable(store, clock::now())
@@ -178,7 +182,7 @@
     .await;
     let later = clock::now() + Duration::from_secs(2);
     assert!(
-        !hearer.fleet.lock().is_store_unavailable(store, later),
-        "it is asked again unless said again"
+        !receiver.fleet.lock().is_store_unavailable(store, later),
+        "it is used again unless the report is renewed"
     );
 }
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -7,9 +7,9 @@
 
 const CHAT: &str = "x-model: m\r\nx-parts: preamble,own\r\n";
 
-/// Names weights of which all engines of a process hold the forerunner; no request may begin on that 8 s
-/// after, as the support's settings say.
-fn name(process: &Process, age: Duration) {
+/// Records that weights newer than those of all engines were named this long ago; no request may start on the older
+/// ones from 8 s after the naming, by the settings of the test support.
+fn name_newer(process: &Process, age: Duration) {
     let weights = Weights {
         model: "m".into(),
         version: WeightsVersion(2),
@@ -18,25 +18,24 @@
     fleet.name_weights(&weights, clock::now_less(age));
 }
 
-fn holds(process: &Process, engine: &str, version: u32) {
+fn record_version(process: &Process, engine: &str, version: u32) {
     let engine = engine.parse().unwrap();
     let mut fleet = process.core.fleet.lock();
     let engine = fleet.get_mut(&engine).unwrap();
     engine.record_version("m", WeightsVersion(version));
 }
 
-/// The VM that rolls weights dies in the middle of a roll, and for five seconds nobody orders. All prompts
-/// go to the engines that still have the older weights, which have 38,000 tokens to read. A prompt that is
-/// sent there 6.2 s after the naming waits for 1.8 to 2.3 s, longer than was reckoned with, and begins
-/// 8.0 to 8.6 s after it. Its caller gets an answer of weights that nobody may use any more:
-/// `sent ... running=95 unread=36725 weights=2`, then `ended ... first_ms=1800`.
+/// The VM that rolls out weights crashes midway, and no engine is told to load them for five seconds. All prompts go
+/// to the engines with the older weights, which have 38,000 tokens to prefill. A prompt sent 6.2 s after the naming
+/// waits 1.8 to 2.3 s, longer than expected, and starts 8.0 to 8.6 s after the naming, so its caller gets an answer
+/// from expired weights: `sent ... running=95 unread=36725 weights=2`, then `ended ... first_ms=1800`.
 #[tokio::test]
-async fn a_prompt_that_waits_at_its_engine_never_begins_on_weights_overtaken_too_long_ago() {
+async fn a_prompt_queued_at_its_engine_never_starts_on_expired_weights() {
     let process = Process::new().await;
     let wait = Duration::from_millis(2_300);
     let engine = Upstream::start(vec![Act::Queued(wait, 1..6)]).await;
     process.add("e1", "engines", engine.addr);
-    name(&process, Duration::from_millis(6_200));
+    name_newer(&process, Duration::from_millis(6_200));
     ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     while engine.closed() < engine.seen().len() {
         tokio::task::yield_now().await;
@@ -44,15 +43,15 @@
     assert_eq!(engine.begun(), 0);
 }
 
-/// As above, with a prompt that may go on elsewhere and an engine that has the newer weights. It is taken
-/// back, well before it would be for its engine's silence, and served there.
+/// As above, with a prompt that may run again and an engine with the newer weights. The prompt is withdrawn, well
+/// before the silence timeout of the first engine, and served by the other one.
 #[tokio::test]
 async fn a_prompt_that_may_run_again_goes_to_an_engine_with_newer_weights() {
     let process = Process::new().await;
     let queue = Duration::from_millis(1_900);
     let full = Upstream::start(vec![Act::Queued(queue, 1..6)]).await;
     process.add("e1", "engines", full.addr);
-    name(&process, Duration::from_millis(6_300));
+    name_newer(&process, Duration::from_millis(6_300));
     let mut caller = Caller::connect(process.callers).await;
     caller.send(&request("POST", "/review/", CHAT, "")).await;
     while full.seen().is_empty() {
@@ -60,50 +59,49 @@
     }
     let newer = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e2", "engines", newer.addr);
-    holds(&process, "e2", 2);
+    record_version(&process, "e2", 2);
     let answer = caller.answer().await;
     assert!(answer.whole && answer.body.contains("t5"), "{answer:?}");
     assert_eq!(full.begun(), 0);
     assert_eq!(full.closed(), 1, "its connection is closed first");
 }
 
-/// As above, with a prompt that may run only once. Nobody knows whether it has begun, so its caller is
-/// told at once that its answer is lost, and not that it was never run.
+/// As above, with a prompt that may run only once. Whether it has started is unknown, so its caller is told at once
+/// that the answer is lost, not that the prompt did not run.
 #[tokio::test]
-async fn a_prompt_that_is_taken_back_and_may_run_only_once_is_not_called_not_run() {
+async fn a_withdrawn_prompt_that_may_run_only_once_is_not_reported_as_not_run() {
     let process = Process::new().await;
     let queue = Duration::from_secs(20);
     let full = Upstream::start(vec![Act::Queued(queue, 1..6)]).await;
     process.add("e1", "engines", full.addr);
-    name(&process, Duration::from_millis(6_300));
+    name_newer(&process, Duration::from_millis(6_300));
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(answer.status, 502);
     assert_eq!((full.seen().len(), full.begun()), (1, 0));
 }
 
-/// Weights were named too long ago for one of two engines. A resumable stream waits at the other, which begins its
-/// answer at once and needs three seconds for its first event. The relay takes the shut engine for one that the
-/// request could go to, gives the stream up after 1.1 s of silence, and then finds nobody. The caller gets a 502 in
-/// place of an answer.
+/// One of two engines has expired weights. A resumable stream waits at the other, which sends its head at once and its
+/// first event after three seconds. If the relay counted the expired engine as an alternative, it would abandon the
+/// stream after 1.1 s of silence and find no engine, and the caller would get a 502 instead of an answer.
 #[tokio::test]
-async fn an_engine_that_is_shut_by_its_weights_is_no_other_to_go_to() {
+async fn an_engine_with_expired_weights_is_no_alternative() {
     let process = Process::new().await;
     let slow = Act::Halting(1..1, Duration::from_secs(3), 6);
     let newer = Upstream::start(vec![slow]).await;
-    let shut = Upstream::start(vec![Act::Events(1..6)]).await;
+    let expired = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", newer.addr);
-    process.add("e2", "engines", shut.addr);
-    holds(&process, "e1", 2);
-    name(&process, Duration::from_secs(20));
+    process.add("e2", "engines", expired.addr);
+    record_version(&process, "e1", 2);
+    name_newer(&process, Duration::from_secs(20));
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
-    assert_eq!(shut.seen().len(), 0);
+    assert_eq!(expired.seen().len(), 0);
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// As above, with no other engine at all and the head of the answer after three seconds too. The engine that the
-/// request is at counts as the other one.
+/// As above, without another engine, and with the head also sent after three seconds. The engine that runs the request
+/// must not count as an alternative to itself.
 #[tokio::test]
-async fn an_engine_is_no_other_than_itself() {
+async fn an_engine_is_no_alternative_to_itself() {
     let process = Process::new().await;
     let slow = Act::After(Duration::from_secs(3), Box::new(Act::Events(1..6)));
     let only = Upstream::start(vec![slow]).await;
@@ -112,21 +110,21 @@
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// A resumable stream breaks off and the only other engine has weights that are too old. Each 150 ms the relay
-/// asks the fleet for leave to repeat, though it can send nothing, and spends what others need. A request that
-/// an engine refuses a moment later is then refused to its caller.
+/// A resumable stream breaks off, and the only other engine has expired weights. If the relay took a repeat from the
+/// budget every 150 ms although it can send nothing, it would use up the budget of other requests, and one that an
+/// engine rejects a moment later would be refused to its caller.
 #[tokio::test]
-async fn a_stream_that_finds_only_shut_engines_spends_no_repeats() {
+async fn a_stream_without_a_usable_engine_spends_no_repeats() {
     let process = Process::new().await;
     let breaks = Upstream::start(vec![Act::CutEvents(1..3)]).await;
-    let shut = Upstream::start(vec![Act::Events(1..6)]).await;
+    let expired = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", breaks.addr);
-    process.add("e2", "engines", shut.addr);
-    holds(&process, "e1", 2);
-    name(&process, Duration::from_secs(20));
+    process.add("e2", "engines", expired.addr);
+    record_version(&process, "e1", 2);
+    name_newer(&process, Duration::from_secs(20));
     let service = "engines".parse().unwrap();
     drop(ask(process.callers, "POST", "/review/", CHAT, "hello").await);
-    assert_eq!(shut.seen().len(), 0);
+    assert_eq!(expired.seen().len(), 0);
     let mut left = 0;
     while process.core.may_repeat(&service) {
         left += 1;
@@ -137,22 +135,22 @@
     );
 }
 
-/// A prompt names a model and no parts. It is placed like a plain request, without a look at weights: it begins
-/// on weights that were overtaken twenty seconds ago.
+/// A prompt names a model but no parts. If it were placed like a request to a plain service, regardless of weights, it
+/// would start on weights that were superseded twenty seconds ago.
 #[tokio::test]
-async fn a_prompt_without_parts_is_held_to_the_bound_too() {
+async fn the_bound_applies_to_a_prompt_without_parts() {
     let process = Process::new().await;
     let old = Upstream::start(vec![Act::Queued(Duration::ZERO, 1..6)]).await;
     process.add("e1", "engines", old.addr);
-    name(&process, Duration::from_secs(20));
+    name_newer(&process, Duration::from_secs(20));
     ask(process.callers, "POST", "/chat/", "x-model: m\r\n", "hello").await;
     assert_eq!(old.begun(), 0);
 }
 
-/// The list has not told yet which weights an engine holds of a model. Sending takes that for the oldest weights,
-/// and taking back for the newest: the prompt is sent 6.2 s after a naming and begins 8.5 s after it.
+/// The list does not name an engine's weights of a model yet. If they counted as the oldest when sending and as the
+/// newest when withdrawing, a prompt sent 6.2 s after a naming would start 8.5 s after it.
 #[tokio::test]
-async fn a_prompt_at_an_engine_of_unknown_weights_is_taken_back_too() {
+async fn a_prompt_at_an_engine_with_unknown_weights_is_withdrawn() {
     let process = Process::new().await;
     let wait = Duration::from_millis(2_300);
     let engine = Upstream::start(vec![Act::Queued(wait, 1..6)]).await;
@@ -162,16 +160,16 @@
         fleet.get_mut(&id).unwrap().entry.weights.clear();
     };
     unknown(&mut process.core.fleet.lock());
-    name(&process, Duration::from_millis(6_200));
+    name_newer(&process, Duration::from_millis(6_200));
     ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(engine.begun(), 0);
 }
 
-/// An engine gives a prompt's answer whole, after it has run. The prompt began at once, 5.5 s after a naming, and
-/// ends 3 s later. Nothing is heard of a whole answer before its end, so it is taken back while it runs, and its
-/// caller gets a 502 for an answer that was in time.
+/// An engine sends a prompt's answer as a whole, after it has run. The prompt starts at once, 5.5 s after a naming, and
+/// ends 3 s later. No byte of such an answer arrives before its end; if the prompt were withdrawn while it runs, its
+/// caller would get a 502 although it started in time.
 #[tokio::test]
-async fn a_prompt_with_a_whole_answer_that_began_in_time_is_not_taken_back() {
+async fn a_prompt_with_an_unstreamed_answer_that_started_in_time_is_not_withdrawn() {
     let process = Process::new().await;
     let mut document = crate::support::document(2);
     let kind = sesamegap_entry::catalogue::Kind::Once;
@@ -184,16 +182,16 @@
     );
     let engine = Upstream::start(vec![run]).await;
     process.add("e1", "engines", engine.addr);
-    name(&process, Duration::from_millis(5_500));
+    name_newer(&process, Duration::from_millis(5_500));
     let answer = ask(process.callers, "POST", "/whole/", CHAT, "hello").await;
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// The VM stands still for a second while a first event comes, in time and before the bound. When it goes on, the
-/// bound is over, and the request is taken back without a look at what lies in its socket: the caller gets a
-/// 502 though its answer is there.
+/// The VM stalls for a second, during which a first event arrives before the bound. When the VM resumes, the bound has
+/// passed; if the request were withdrawn without reading its socket, the caller would get a 502 although its answer
+/// has arrived.
 #[tokio::test]
-async fn an_answer_that_lies_ready_is_not_taken_back() {
+async fn a_request_whose_answer_has_arrived_is_not_withdrawn() {
     let process = Process::new().await;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     process.add("e1", "engines", listener.local_addr().unwrap());
@@ -211,7 +209,7 @@
             drop(stream.write_all(format!("{head}{body}").as_bytes()));
         }
     });
-    name(&process, Duration::from_millis(6_300));
+    name_newer(&process, Duration::from_millis(6_300));
     let mut caller = Caller::connect(process.callers).await;
     caller.send(&request("POST", "/chat/", CHAT, "hello")).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -220,10 +218,10 @@
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// A stream's first event comes in two pieces, one on each side of the moment at which requests are taken back. The
-/// request has begun, and its caller gets a 502.
+/// A stream's first event arrives in two parts, one before and one after the time at which requests are withdrawn. The
+/// request has started, so a withdrawal would give its caller a 502 without need.
 #[tokio::test]
-async fn a_first_event_of_which_a_piece_is_there_is_not_taken_back() {
+async fn a_request_with_part_of_its_first_event_is_not_withdrawn() {
     let process = Process::new().await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     process.add("e1", "engines", listener.local_addr().unwrap());
@@ -240,18 +238,18 @@
         drop(stream.write_all(b"a\r\ndata: t1\n\n\r\n0\r\n\r\n").await);
         tokio::time::sleep(Duration::from_secs(1)).await;
     });
-    name(&process, Duration::from_millis(6_300));
+    name_newer(&process, Duration::from_millis(6_300));
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// Thirty VMs have 2,000 unread tokens each at one engine, which reads 30 a millisecond. Each VM's word is reduced by
-/// what the engine reads in all, so that 60 ms later 6,000 tokens seem to be left of 58,000. The wait there is
-/// taken for a tenth of what it is, and prompts are sent that cannot begin in time.
+/// Thirty VMs have 2,000 unread tokens each at one engine, which prefills 30 per millisecond. If each VM's report were
+/// reduced by the engine's whole progress, 6,000 tokens would seem to be left after 60 ms instead of 58,000. The
+/// expected wait would be a tenth of the real one, and prompts would be sent that cannot start in time.
 #[test]
-fn an_engine_reads_no_faster_because_more_vms_tell_of_it() {
+fn the_estimated_prefill_progress_does_not_grow_with_the_number_of_reports() {
     let mut loads = sesamegap_entry::peers::Loads::default();
-    let told = clock::now();
+    let reported = clock::now();
     for vm in 0..30 {
         let held = sesamegap_entry::peers::Held {
             life: 7,
@@ -259,22 +257,22 @@
             unread: 2_000,
         };
         let vm = format!("vm-{vm}").parse().unwrap();
-        loads.take(vm, vec![held], told);
+        loads.take(vm, vec![held], reported);
     }
-    loads.tick(told + Duration::from_millis(60));
+    loads.tick(reported + Duration::from_millis(60));
     let unread = loads.at(7).map(|held| held.unread);
     assert!(unread >= Some(50_000), "{unread:?}");
 }
 
-/// An engine takes new weights twice in a short time, and the word of the first load comes after that of the
-/// second. Taken at its word, the engine would be thought to hold older weights than it does, and shut.
+/// An engine loads new weights twice in a short time, and the report of the first load arrives after that of the
+/// second. If it were applied, the engine would count as having older weights than it has, and get no prompts.
 #[tokio::test]
-async fn a_late_word_of_a_load_takes_back_no_newer_one() {
+async fn a_delayed_report_of_loaded_weights_does_not_revert_newer_ones() {
     let process = Process::new().await;
     let engine = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", engine.addr);
-    holds(&process, "e1", 3);
-    let late = EngineNews {
+    record_version(&process, "e1", 3);
+    let delayed = EngineNews {
         engine: "e1".parse().unwrap(),
         born: None,
         out_ms: 0,
@@ -284,7 +282,7 @@
         }),
         gone: false,
     };
-    take(&process.core, &[late]);
+    take(&process.core, &[delayed]);
     let fleet = process.core.fleet.lock();
     let engine = fleet.get(&"e1".parse().unwrap()).unwrap();
     assert_eq!(engine.version("m"), Some(WeightsVersion(3)));
