--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -53,7 +53,7 @@
     pub(crate) cache_locations: CacheLocations,
     pub(crate) loads: Loads,
     /// Requests that this VM has placed for others, by the address of the asking VM and its request number.
-    pub(crate) placed: Placements<(SocketAddr, u64)>,
+    pub(crate) placements: Placements<(SocketAddr, u64)>,
     pub(crate) kept: Kept,
     pub(crate) silences: SilenceReports,
     pub(crate) namings: Namings,
@@ -69,7 +69,7 @@
             reachability: StoreReachability::default(),
             cache_locations: CacheLocations::default(),
             loads: Loads::default(),
-            placed: Placements::default(),
+            placements: Placements::default(),
             kept: Kept::default(),
             silences: SilenceReports::default(),
             namings: Namings::new(rules.weights),
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -80,7 +80,7 @@
     /// Unlike the upstream's reported load, this falls to zero as soon as it is idle.
     pub fn counted_running(&self, upstream: &Upstream) -> u32 {
         let others = self.loads.at(upstream.life).map_or(0, |held| held.running);
-        upstream.running + others + self.placed.at(upstream.life).running
+        upstream.running + others + self.placements.at(upstream.life).running
     }
 
     /// Tokens that all known VMs have requested from a kept-KV store and that have not arrived.
@@ -92,7 +92,7 @@
     /// Prompt tokens of all VMs at an upstream that are not prefilled yet.
     pub fn unread(&self, upstream: &Upstream) -> u64 {
         let others = self.loads.at(upstream.life).map_or(0, |held| held.unread);
-        upstream.unread + others + self.placed.at(upstream.life).unread
+        upstream.unread + others + self.placements.at(upstream.life).unread
     }
 
     /// Whether an upstream accepts this request: a prompt must be able to start there before the bound on the age of
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -184,7 +184,7 @@
 fn own(core: &Core) -> Vec<Held> {
     let mut fleet = core.fleet.lock();
     fleet.loads.tick(clock::now());
-    fleet.placed.expire(clock::now());
+    fleet.placements.expire(clock::now());
     let upstreams = fleet.upstreams().filter_map(Upstream::held);
     // A store is told like an upstream that reads what was asked of it, which needs no message of its own.
     upstreams.chain(fleet.kept.held()).collect()
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -59,7 +59,7 @@
         prefixes,
         version,
     };
-    fleet.placed.begin((from, ask.number), placement, now);
+    fleet.placements.begin((from, ask.number), placement, now);
     Some(Found {
         engine: chosen.id,
         life,
@@ -83,7 +83,7 @@
                 tokens,
                 left_ms,
             } => {
-                let ahead = fleet.placed.at(life).unread;
+                let ahead = fleet.placements.at(life).unread;
                 let left = Duration::from_millis(u64::from(left_ms));
                 let placement = Placement {
                     life,
@@ -93,10 +93,10 @@
                     prefixes: Vec::new(),
                     version: 0,
                 };
-                fleet.placed.begin((from, number), placement, now);
+                fleet.placements.begin((from, number), placement, now);
             }
             Word::Read(number) => {
-                if let Some(read) = fleet.placed.read(&(from, number)) {
+                if let Some(read) = fleet.placements.read(&(from, number)) {
                     for prefix in read.prefixes {
                         fleet
                             .cache_locations
@@ -104,7 +104,7 @@
                     }
                 }
             }
-            Word::Ended(number) => fleet.placed.end(&(from, number)),
+            Word::Ended(number) => fleet.placements.end(&(from, number)),
         }
     }
 }
