--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -105,7 +105,7 @@
         let mut fleet = self.fleet.lock();
         let upstream = fleet.in_life(&self.id, self.life);
         let avoided = upstream.is_some_and(|upstream| upstream.has_failed());
-        fleet.silences.answered(self.life, avoided, now);
+        fleet.silence_reports.answered(self.life, avoided, now);
     }
 
     /// Records that bytes arrived; the first call also records that the prompt was prefilled.
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -55,7 +55,7 @@
     /// Requests that this VM has placed for others, by the address of the asking VM and its request number.
     pub(crate) placements: Placements<(SocketAddr, u64)>,
     pub(crate) kept: Kept,
-    pub(crate) silences: SilenceReports,
+    pub(crate) silence_reports: SilenceReports,
     pub(crate) namings: Namings,
 }
 
@@ -71,7 +71,7 @@
             loads: Loads::default(),
             placements: Placements::default(),
             kept: Kept::default(),
-            silences: SilenceReports::default(),
+            silence_reports: SilenceReports::default(),
             namings: Namings::new(rules.weights),
         }
     }
@@ -134,7 +134,7 @@
             return Availability::Paused;
         }
         match upstream.availability(now) {
-            Availability::Open if self.silences.is_silent(upstream.life, now) => {
+            Availability::Open if self.silence_reports.is_silent(upstream.life, now) => {
                 Availability::Suspect
             }
             availability => availability,
@@ -145,7 +145,7 @@
     pub fn record_failure(&mut self, id: &UpstreamId, now: Moment) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             let avoidance = upstream.record_failure(now);
-            let avoided = self.silences.failed(upstream.life, avoidance, now);
+            let avoided = self.silence_reports.failed(upstream.life, avoidance, now);
             upstream.avoid(now + avoided);
         }
     }
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -139,7 +139,7 @@
 fn news(core: &Core) -> Vec<Datagram> {
     let me = &core.settings().vm;
     let outbox = &core.peers.outbox;
-    let words = core.fleet.lock().silences.take_outgoing();
+    let words = core.fleet.lock().silence_reports.take_outgoing();
     let engines = outbox.take();
     let mut all = Vec::new();
     all.extend(
@@ -162,9 +162,9 @@
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for word in words {
-        let was = fleet.silences.is_silent(word.seed, now);
-        fleet.silences.apply(vm, *word, now);
-        let is = fleet.silences.is_silent(word.seed, now);
+        let was = fleet.silence_reports.is_silent(word.seed, now);
+        fleet.silence_reports.apply(vm, *word, now);
+        let is = fleet.silence_reports.is_silent(word.seed, now);
         if was != is {
             let found = fleet.upstreams().find(|up| up.life == word.seed);
             let upstream = found.map(|up| up.id.clone());
