--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -84,7 +84,7 @@
     }
 
     /// Tokens that all known VMs have requested from a kept-KV store and that have not arrived.
-    pub fn on_way(&self, store: SocketAddr, per_ms: u64) -> u64 {
+    pub fn pending_store_tokens(&self, store: SocketAddr, per_ms: u64) -> u64 {
         let others = self.loads.on_way(kept::number(store), per_ms);
         self.kept.asked(store) + others
     }
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -22,11 +22,11 @@
     let fleet = &process.core.fleet;
     let first = OnWay::new(fleet, store(), 6_300);
     let second = OnWay::new(fleet, store(), 12_600);
-    assert_eq!(fleet.lock().on_way(store(), PER_MS), 18_900);
+    assert_eq!(fleet.lock().pending_store_tokens(store(), PER_MS), 18_900);
     drop(first);
-    assert_eq!(fleet.lock().on_way(store(), PER_MS), 12_600);
+    assert_eq!(fleet.lock().pending_store_tokens(store(), PER_MS), 12_600);
     drop(second);
-    assert_eq!(fleet.lock().on_way(store(), PER_MS), 0);
+    assert_eq!(fleet.lock().pending_store_tokens(store(), PER_MS), 0);
 }
 
 /// Eighty VMs tell each other by turns, and the word that a fetch has arrived comes seconds after it. Taken at their word,
