--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records weights whose naming was observed at this time; returns whether they are the newest.
-    pub fn name_weights(&mut self, weights: &Weights, at: Moment) -> bool {
+    pub fn observe_naming(&mut self, weights: &Weights, at: Moment) -> bool {
         self.learn_weights(weights, Named::At(at))
     }
 
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -157,9 +157,9 @@
         model: "m".into(),
         version: WeightsVersion(version),
     };
-    assert!(fleet.name_weights(&named(2), at(0)));
-    assert!(fleet.name_weights(&named(3), at(4_000)));
-    assert!(!fleet.name_weights(&named(2), at(5_000)));
+    assert!(fleet.observe_naming(&named(2), at(0)));
+    assert!(fleet.observe_naming(&named(3), at(4_000)));
+    assert!(!fleet.observe_naming(&named(2), at(5_000)));
     let outdated = |version, ms| fleet.is_outdated("m", WeightsVersion(version), at(ms));
     assert!(!outdated(1, 5_000));
     assert!(outdated(1, 7_000));
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -48,7 +48,7 @@
     };
     two.fleet
         .lock()
-        .name_weights(&named, sesamegap_entry::clock::now());
+        .observe_naming(&named, sesamegap_entry::clock::now());
     until(|| one.revision() == Revision(9) && three.revision() == Revision(9)).await;
     until(|| newest(&three) == Some(WeightsVersion(2))).await;
 }
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -203,7 +203,7 @@
             model: "m".into(),
             version: WeightsVersion(version),
         };
-        core.fleet.lock().name_weights(&weights, clock::now());
+        core.fleet.lock().observe_naming(&weights, clock::now());
         core.named.notify_one();
         until(|| {
             let engines = platform.engines.lock().unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -37,7 +37,7 @@
         model: "m".into(),
         version: WeightsVersion(version),
     };
-    core.fleet.lock().name_weights(&weights, clock::now());
+    core.fleet.lock().observe_naming(&weights, clock::now());
     core.named.notify_one();
 }
 
@@ -239,7 +239,7 @@
         version: WeightsVersion(2),
     };
     let long_ago = clock::now_less(Duration::from_secs(7));
-    core.fleet.lock().name_weights(&weights, long_ago);
+    core.fleet.lock().observe_naming(&weights, long_ago);
     tokio::spawn(roll::run(Arc::clone(&core)));
     let mut most = 0;
     until(|| {
@@ -292,7 +292,7 @@
         version: WeightsVersion(2),
     };
     let named = clock::now_less(Duration::from_secs(2));
-    core.fleet.lock().name_weights(&weights, named);
+    core.fleet.lock().observe_naming(&weights, named);
     core.named.notify_one();
     until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
     let drained = clock::now().since(began);
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -15,7 +15,7 @@
         version: WeightsVersion(2),
     };
     let mut fleet = process.core.fleet.lock();
-    fleet.name_weights(&weights, clock::now_less(age));
+    fleet.observe_naming(&weights, clock::now_less(age));
 }
 
 fn record_version(process: &Process, engine: &str, version: u32) {
