--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -175,7 +175,7 @@
     }
 
     /// Sends nothing to the upstream before this time.
-    pub fn pause(&self, until: Moment) {
+    pub fn pause_at_least(&self, until: Moment) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.pause_at_least(until);
         }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -226,7 +226,7 @@
             return NotRun::OtherWeights;
         }
     }
-    flight.pause(now + REFUSED_PAUSE);
+    flight.pause_at_least(now + REFUSED_PAUSE);
     NotRun::Refused
 }
 
