--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -60,7 +60,10 @@
     let arrives = transfers::per_ms(store.link, token_bytes).is_none_or(|per_ms| {
         let fetch = Fetch {
             tokens,
-            ahead: core.fleet.lock().pending_store_tokens(store.addr, per_ms.get()),
+            ahead: core
+                .fleet
+                .lock()
+                .pending_store_tokens(store.addr, per_ms.get()),
             per_ms,
         };
         fetch.arrives(job.route.objective)
