--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -7,13 +7,13 @@
 //! observations belong to one incarnation of an upstream and are discarded when it restarts.
 
 mod flight;
+mod selection;
 mod upstream;
-mod view;
 
 pub use flight::Flight;
+pub use selection::{Chosen, PromptShape, Selection, Shard};
 pub use sesamegap_policy::routing::belief::Change;
 pub use upstream::{Entry, Upstream};
-pub use view::{Chosen, PromptShape, Selection, Shard};
 
 use crate::kept::Kept;
 use crate::peers::Loads;
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -7,10 +7,10 @@
 //! miss one.
 
 mod apply;
-mod readings;
 mod reports;
+mod updates;
 
-pub use readings::{TableState, TableUpdate, apply_batch, apply_update};
+pub use updates::{TableState, TableUpdate, apply_batch, apply_update};
 
 use crate::clock;
 use crate::core::{Core, Phase};
