--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -143,7 +143,8 @@
     true
 }
 
-/// Sleeps until the time is over or the table's position is on an older timeline than the store.
+/// Sleeps until the time is over or the table's position is on an older timeline than the store. Returns at once if the
+/// whole table must be read.
 async fn sleep_unless_restored(core: &Core, table: Table, time: Duration) {
     let Some(next) = core.known(table).position().next() else {
         return;
