--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -58,13 +58,15 @@
     pub entry: Entry,
     /// Number derived from the id, the same in all VMs.
     pub seed: u64,
-    /// Number of its present life, the same in all VMs; what they tell of a former one goes astray.
+    /// Number of its present incarnation, the same in all VMs. Peers' reports about a previous one do not match it.
     pub life: u64,
-    /// What the list and it itself say of it.
+    /// Its presence and incarnation, from the list and its own reports.
     pub belief: Belief,
-    /// When any byte last came from it.
+    /// When bytes last arrived from it on any connection.
     pub last_received: Moment,
+    /// Running requests of this VM.
     pub(super) running: u32,
+    /// Prompt tokens of this VM that are not prefilled yet.
     pub(super) unread: u64,
     /// The part of these that shard owners know, which need not be reported to all peers.
     pub(super) shared: OwnerKnown,
@@ -258,7 +260,7 @@
         })
     }
 
-    /// Running requests according to its last reported load and the requests sent since.
+    /// Running requests according to its last reported load and the requests sent since, but at least this VM's own.
     pub fn reported_running(&self, now: Moment) -> u32 {
         match self.load {
             Some((load, at)) if now.since(at) < MAX_LOAD_AGE => {
