--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -14,7 +14,7 @@
 use crate::clock;
 use crate::core::{Core, Phase};
 use crate::fleet::Upstream;
-use crate::follow::{self, Reading};
+use crate::follow::{self, TableUpdate};
 use crate::placing::{self, Say};
 use crate::quarantine;
 use crate::telemetry::events;
@@ -51,7 +51,7 @@
     /// What a VM says of upstreams that do not answer.
     Silent(VmId, Vec<SilenceReport>),
     /// What a VM has read of the store for all.
-    Reading(Reading),
+    Reading(TableUpdate),
     /// A store of kept cache does not answer.
     StoreOut(SocketAddr),
     /// To or from the owner of a shard.
@@ -139,7 +139,7 @@
 fn news(core: &Core) -> Vec<Datagram> {
     let me = &core.settings().vm;
     let outbox = &core.peers.outbox;
-    let words = core.fleet.lock().silences.take_outgoing();
+    let words = core.fleet.lock().silence_reports.take_outgoing();
     let engines = outbox.take();
     let mut all = Vec::new();
     all.extend(
@@ -162,9 +162,9 @@
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for word in words {
-        let was = fleet.silences.is_silent(word.seed, now);
-        fleet.silences.apply(vm, *word, now);
-        let is = fleet.silences.is_silent(word.seed, now);
+        let was = fleet.silence_reports.is_silent(word.seed, now);
+        fleet.silence_reports.apply(vm, *word, now);
+        let is = fleet.silence_reports.is_silent(word.seed, now);
         if was != is {
             let found = fleet.upstreams().find(|up| up.life == word.seed);
             let upstream = found.map(|up| up.id.clone());
@@ -184,7 +184,7 @@
 fn own(core: &Core) -> Vec<Held> {
     let mut fleet = core.fleet.lock();
     fleet.loads.tick(clock::now());
-    fleet.placed.expire(clock::now());
+    fleet.placements.expire(clock::now());
     let upstreams = fleet.upstreams().filter_map(Upstream::held);
     // A store is told like an upstream that reads what was asked of it, which needs no message of its own.
     upstreams.chain(fleet.kept.held()).collect()
@@ -227,7 +227,7 @@
             }
             Ok(Datagram::Engines(news)) => take(&core, &news),
             Ok(Datagram::Silent(vm, words)) => take_words(&core, &vm, &words),
-            Ok(Datagram::Reading(reading)) => follow::hear(&core, reading),
+            Ok(Datagram::Reading(reading)) => follow::apply_update(&core, reading),
             Ok(Datagram::StoreOut(store)) => {
                 core.fleet.lock().kept.leave(store, clock::now());
             }
@@ -252,7 +252,7 @@
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for piece in news {
-        match fleet.met(&piece.engine, piece.born) {
+        match fleet.observe_incarnation(&piece.engine, piece.born) {
             // A take-out, or weights, of a former life say nothing about this one.
             Change::Former => {
                 info!(event = events::DISCARDED, upstream = %piece.engine, born = piece.born.map(|born| born.0), "a peer's word is of a former life");
@@ -269,7 +269,7 @@
         let was_out = engine.is_paused(now);
         let until = now + Duration::from_millis(u64::from(piece.out_ms));
         if piece.gone {
-            engine.leave_alone(until);
+            engine.mark_gone(until);
         } else {
             engine.pause(until);
         }
@@ -280,7 +280,7 @@
         if let Some(weights) = &piece.weights
             && engine.version(&weights.model) < Some(weights.version)
         {
-            engine.holds(&weights.model, weights.version);
+            engine.record_version(&weights.model, weights.version);
         }
     }
 }
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -61,7 +61,7 @@
 
 /// The shard of a prompt's home and its owner; none if all VMs know of all prompts, or it is no prompt.
 fn find(core: &Core, selection: &Selection<'_>) -> Option<(Shard, Owner)> {
-    if selection.apart {
+    if selection.least_loaded {
         return None;
     }
     selection.shape?;
@@ -69,7 +69,7 @@
     if roster.len() <= SMALL {
         return None;
     }
-    let shard = core.fleet.lock().shard_of_home(selection, clock::now())?;
+    let shard = core.fleet.lock().home_shard(selection, clock::now())?;
     let owner = owner(core, shard.number, &roster)?;
     Some((shard, owner))
 }
@@ -99,7 +99,8 @@
         info!(event = events::PEER, %owner, shard = shard.number, "the owner of a shard does not answer");
         return None;
     };
-    core.fleet.take(selection, found?, asked, clock::now())
+    core.fleet
+        .accept_placement(selection, found?, asked, clock::now())
 }
 
 /// Tells the owner of an engine's shard of a prompt that it did not place.
@@ -107,6 +108,6 @@
     let shard = division.shard(flight.seed());
     if let Some(Owner::Other(addr)) = owner(core, shard, &core.peers.roster()) {
         let asked = core.desk.tell(addr, flight, left);
-        flight.share(asked);
+        flight.set_owner(asked);
     }
 }
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -20,8 +20,8 @@
             stores: catalogue.kv_stores(),
             shape: Some(&shape),
             tried: &ask.tried,
-            spread: 0,
-            apart: false,
+            tie_breaker: 0,
+            least_loaded: false,
             shard: Some(Shard {
                 division: Division::from_bits(bits),
                 number,
@@ -50,7 +50,7 @@
     let prefixes = prefixes.unwrap_or_default();
     let served = prefixes
         .last()
-        .and_then(|inner| fleet.recall.last(inner.hash, life, version));
+        .and_then(|inner| fleet.cache_locations.last(inner.hash, life, version));
     let placement = Placement {
         life,
         tokens: ask.tokens,
@@ -59,7 +59,7 @@
         prefixes,
         version,
     };
-    fleet.placed.begin((from, ask.number), placement, now);
+    fleet.placements.begin((from, ask.number), placement, now);
     Some(Found {
         engine: chosen.id,
         life,
@@ -83,7 +83,7 @@
                 tokens,
                 left_ms,
             } => {
-                let ahead = fleet.placed.at(life).unread;
+                let ahead = fleet.placements.at(life).unread;
                 let left = Duration::from_millis(u64::from(left_ms));
                 let placement = Placement {
                     life,
@@ -93,16 +93,18 @@
                     prefixes: Vec::new(),
                     version: 0,
                 };
-                fleet.placed.begin((from, number), placement, now);
+                fleet.placements.begin((from, number), placement, now);
             }
             Word::Read(number) => {
-                if let Some(read) = fleet.placed.read(&(from, number)) {
+                if let Some(read) = fleet.placements.read(&(from, number)) {
                     for prefix in read.prefixes {
-                        fleet.recall.note(prefix.hash, read.life, read.version, now);
+                        fleet
+                            .cache_locations
+                            .note(prefix.hash, read.life, read.version, now);
                     }
                 }
             }
-            Word::Ended(number) => fleet.placed.end(&(from, number)),
+            Word::Ended(number) => fleet.placements.end(&(from, number)),
         }
     }
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -112,7 +112,7 @@
         unread = flight.ahead,
         tokens = flight.tokens(),
         weights = flight.weights.map(|version| version.0),
-        overtaken_ms = flight.overtaken().map(|at| clock::ms(clock::now().since(at))),
+        overtaken_ms = flight.superseded_at().map(|at| clock::ms(clock::now().since(at))),
         fetch = dispatch.fetch.map(tracing::field::display),
         save = dispatch.save.map(tracing::field::display),
         left_ms = clock::ms(dispatch.left),
@@ -124,7 +124,7 @@
     };
     let until = job.ends.min(sent + patience);
     let answer = timeout_at(until, upstream::send(flight.addr, request));
-    let streams = job.route.kind.streams();
+    let streams = job.route.kind.is_stream();
     let answer = tokio::select! {
         // An answer that lies ready goes before the end of the time to begin.
         biased;
@@ -135,18 +135,18 @@
     let exchange = match answer {
         Ok(Ok(exchange)) => exchange,
         Ok(Err(SendError::Unreached(_))) => {
-            flight.failed(clock::now());
+            flight.record_failure(clock::now());
             return Outcome::NotRun(NotRun::Unreached);
         }
         Ok(Err(SendError::Broken(why))) => {
-            flight.failed(clock::now());
+            flight.record_failure(clock::now());
             loss::broke(core, job, &mut flight, sent, false).await;
             return Outcome::Lost(why);
         }
         Err(_) => {
             BrokenAnswer::new(job, &mut flight, sent, false).silent(core);
-            if flight.last_heard() < clock::now_less(patience) {
-                flight.failed(clock::now());
+            if flight.last_received() < clock::now_less(patience) {
+                flight.record_failure(clock::now());
             }
             return Outcome::Lost("no head in time".to_owned());
         }
@@ -161,7 +161,7 @@
 /// drop it, and it goes elsewhere if it may be repeated.
 async fn outdated(flight: &Flight) {
     loop {
-        let left = flight.left_to_begin(clock::now());
+        let left = flight.time_to_start(clock::now());
         if left.is_some_and(|left| left.is_zero()) {
             sleep(READY).await;
             return;
@@ -174,11 +174,11 @@
 /// Decides whether an answer is one to this request, and whether the request was run.
 fn judge(core: &Core, job: &Job, mut flight: Flight, exchange: Exchange, sent: Instant) -> Outcome {
     let now = clock::now();
-    flight.reached(now);
+    flight.record_response(now);
     let status = exchange.response.status();
     let answer_head = core.ports.headers.read_answer(exchange.response.headers());
     if let Some(load) = answer_head.load {
-        flight.loaded(load, now);
+        flight.record_load(load, now);
     }
     if answer_head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Outcome::NotRun(refused(core, job, &flight, &answer_head, status));
@@ -190,9 +190,9 @@
     if status.is_success() && !answer_head.sealed {
         return Outcome::Lost("a success without a seal".to_owned());
     }
-    flight.heard(now);
+    flight.record_received(now);
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
-        flight.holds(model, version);
+        flight.record_version(model, version);
     }
     Outcome::Answered(Box::new(Answered {
         flight,
@@ -221,12 +221,12 @@
         return NotRun::Refused;
     }
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
-        flight.holds(model, version);
+        flight.record_version(model, version);
         if status == StatusCode::MISDIRECTED_REQUEST && flight.weights != Some(version) {
             return NotRun::OtherWeights;
         }
     }
-    flight.paused(now + REFUSED_PAUSE);
+    flight.pause_at_least(now + REFUSED_PAUSE);
     NotRun::Refused
 }
 
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -52,7 +52,7 @@
 
     /// Chooses the next upstream, or the one with the fewest requests for one that runs apart.
     pub async fn choose(&self, core: &Core, job: &Job, apart: bool) -> Option<Flight> {
-        let spread = usize::try_from(job.hash() >> 40).unwrap_or(0);
+        let tie_breaker = usize::try_from(job.hash() >> 40).unwrap_or(0);
         let settings = core.settings();
         let selection = Selection {
             service: &self.service,
@@ -60,9 +60,9 @@
             stores: job.catalogue.kv_stores(),
             shape: self.shape.as_ref(),
             tried: &self.tried,
-            spread,
+            tie_breaker,
             shard: None,
-            apart,
+            least_loaded: apart,
         };
         placing::choose(core, &selection, job.left()).await
     }
@@ -100,7 +100,7 @@
 
     /// Whether its route and its time allow one more run.
     pub fn may_run_again(&self, job: &Job) -> bool {
-        let allowed = job.route.kind.repeats() && self.runs < job.route.attempts;
+        let allowed = job.route.kind.is_repeatable() && self.runs < job.route.attempts;
         allowed && job.left() > LEAST_LEFT
     }
 
@@ -130,9 +130,11 @@
     pub fn has_other(&self, core: &Core, than: Option<&UpstreamId>) -> bool {
         let now = clock::now();
         let fleet = core.fleet.lock();
-        let mut others = fleet.of(&self.service).filter(|up| Some(&up.id) != than);
+        let mut others = fleet
+            .of_service(&self.service)
+            .filter(|up| Some(&up.id) != than);
         let shape = self.shape.as_ref();
-        let is_open = |up: &Upstream| fleet.openness_for(up, shape, now) == Availability::Open;
+        let is_open = |up: &Upstream| fleet.availability_for(up, shape, now) == Availability::Open;
         others.any(|up| is_open(up) && !self.tried.contains(&up.id))
     }
 }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -144,7 +144,7 @@
         if self.begun {
             return None;
         }
-        self.flight.left_to_begin(clock::now())
+        self.flight.time_to_start(clock::now())
     }
 
     /// Whether it waits at an engine whose weights it may not begin on any more.
@@ -295,14 +295,14 @@
                     return Err("its stream went silent".to_owned());
                 }
                 Err(_) => {
-                    live.flight.failed(clock::now());
+                    live.flight.record_failure(clock::now());
                     let loss =
                         BrokenAnswer::new(&self.job, &mut live.flight, live.sent, live.begun);
                     loss.silent(&self.core);
                     return Err("the upstream went silent".to_owned());
                 }
             };
-            live.flight.heard(clock::now());
+            live.flight.record_received(clock::now());
             since = Instant::now();
             let Ok(data) = frame.into_data() else {
                 continue;
@@ -336,7 +336,7 @@
 
     /// Whether the upstream was heard on another connection since.
     fn is_heard(live: &Live, since: Instant) -> bool {
-        let silent = clock::now().since(live.flight.last_heard());
+        let silent = clock::now().since(live.flight.last_received());
         silent + Duration::from_millis(1) < since.elapsed()
     }
 
--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -27,7 +27,7 @@
     };
     let now = clock::now();
     let store = KvStore::nearest(job.catalogue.kv_stores(), &flight.domain);
-    let store = store.filter(|store| !core.fleet.lock().is_store_out(store.addr, now));
+    let store = store.filter(|store| !core.fleet.lock().is_store_unavailable(store.addr, now));
     let tokens: u64 = shared.iter().map(|part| part.tokens.0).sum();
     let wish = transfers::plan(&PlacedPrompt {
         shared: tokens,
@@ -60,7 +60,10 @@
     let arrives = transfers::per_ms(store.link, token_bytes).is_none_or(|per_ms| {
         let fetch = Fetch {
             tokens,
-            ahead: core.fleet.lock().on_way(store.addr, per_ms.get()),
+            ahead: core
+                .fleet
+                .lock()
+                .pending_store_tokens(store.addr, per_ms.get()),
             per_ms,
         };
         fetch.arrives(job.route.objective)
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -54,7 +54,7 @@
     let done = turn.is_some() && load(core, lease, outage, &mut target, addr).await;
     drop(turn);
     if !done {
-        core.fleet.lock().failed(&engine, clock::now());
+        core.fleet.lock().record_failure(&engine, clock::now());
     }
     let gone = |up: &Upstream| up.is_gone(clock::now());
     if !core.fleet.lock().get(&engine).is_some_and(gone) {
@@ -148,14 +148,14 @@
         .newest_of(&target.model)
         .map(|naming| naming.version);
     let done = engines().filter(|up| up.version(&target.model) >= newest);
-    let open = engines().filter(|up| fleet.openness(up, now) == Availability::Open);
+    let open = engines().filter(|up| fleet.availability(up, now) == Availability::Open);
     let held = engine.version(&target.model).unwrap_or_default();
     let overtaken = namings.superseded_at(&target.model, held);
     let left = |at: Moment| bound.saturating_sub(overtaken.map_or(Duration::ZERO, |o| at.since(o)));
     let all = engines().count();
     Some(View {
         overtaken: overtaken.map(|at| now.since(at)),
-        running: fleet.running_here(engine),
+        running: fleet.counted_running(engine),
         longest: rolls::drain(done.count(), all, left(began)),
         returns: rolls::must_return(open.count(), all, left(now)),
     })
@@ -195,7 +195,7 @@
             }
         };
         // An engine that started again has taken no order of before, whatever it answered to one.
-        let change = core.fleet.lock().reported(&target.engine, &report);
+        let change = core.fleet.lock().apply_report(&target.engine, &report);
         if change == Change::Restarted {
             info!(event = events::UPSTREAM, upstream = %target.engine, change = ?change, born = report.born.map(|born| born.0), "its report is of a newer life");
         }
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -141,10 +141,10 @@
         service: up.entry.service.to_smolstr(),
         leaving: up.entry.leaving,
         lapsed: up.belief.is_lapsed(),
-        state: smol_str::format_smolstr!("{:?}", fleet.openness(up, now)),
+        state: smol_str::format_smolstr!("{:?}", fleet.availability(up, now)),
         running: fleet.running(up, now),
         unread: fleet.unread(up),
-        heard_ms_ago: clock::ms(now.since(up.heard)),
+        heard_ms_ago: clock::ms(now.since(up.last_received)),
         weights: up
             .entry
             .weights
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -6,7 +6,7 @@
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
-use sesamegap_entry::follow::{Reading, hear, take};
+use sesamegap_entry::follow::{TableUpdate, apply_batch, apply_update};
 use sesamegap_entry::ports::{Batch, Record, Table, Unreadable};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_wire::{Offset, UpstreamId};
@@ -38,10 +38,10 @@
 }
 
 /// Takes records in that begin at an offset.
-fn read(core: &Core, from: u64, records: Vec<Record>) -> Reading {
+fn read(core: &Core, from: u64, records: Vec<Record>) -> TableUpdate {
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
-    take(core, Table::Fleet, offset(from), Batch { records, next })
+    apply_batch(core, Table::Fleet, offset(from), Batch { records, next })
 }
 
 fn known(core: &Core) -> Vec<usize> {
@@ -74,7 +74,7 @@
         let reading = read(&reader, from, records);
         from += count;
         assert_eq!(known(&reader), expected, "whoever reads, at {from}");
-        hear(&hearer, reading);
+        apply_update(&hearer, reading);
         assert_eq!(known(&hearer), expected, "whoever is told, at {from}");
     }
 }
@@ -98,7 +98,7 @@
         assert_eq!(known(reader), [1]);
     }
     for word in words {
-        hear(&hearer, word);
+        apply_update(&hearer, word);
         assert_eq!(known(&hearer), [1]);
     }
 }
@@ -109,8 +109,8 @@
 fn a_malformed_entry_takes_the_upstream_out_right_after_an_outage_too() {
     let core = vm();
     read(&core, 0, vec![sound(1, 1), sound(2, 1)]);
-    core.fleet.lock().store(false, clock::now());
-    core.fleet.lock().store(true, clock::now());
+    core.fleet.lock().record_store_response(false, clock::now());
+    core.fleet.lock().record_store_response(true, clock::now());
     read(
         &core,
         2,
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -95,9 +95,9 @@
         stores: &[],
         shape: Some(&shape),
         tried: &[],
-        spread: 0,
+        tie_breaker: 0,
         shard: None,
-        apart: false,
+        least_loaded: false,
     };
     choose(core, &selection, Duration::from_secs(5)).await
 }
@@ -141,16 +141,16 @@
     let running = |core: &Core| {
         let fleet = core.fleet.lock();
         let engine = fleet.get(&flight.id).unwrap();
-        fleet.running_here(engine)
+        fleet.counted_running(engine)
     };
     assert_eq!(running(&owner), 1);
-    flight.heard(clock::now());
+    flight.record_received(clock::now());
     until(|| unread(&owner) == 0).await;
     let id = flight.id.clone();
     drop(flight);
     until(|| {
         let fleet = owner.fleet.lock();
-        fleet.running_here(fleet.get(&id).unwrap()) == 0
+        fleet.counted_running(fleet.get(&id).unwrap()) == 0
     })
     .await;
 }
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -37,7 +37,7 @@
         model: "m".into(),
         version: WeightsVersion(version),
     };
-    core.fleet.lock().name_weights(&weights, clock::now());
+    core.fleet.lock().observe_naming(&weights, clock::now());
     core.named.notify_one();
 }
 
@@ -239,7 +239,7 @@
         version: WeightsVersion(2),
     };
     let long_ago = clock::now_less(Duration::from_secs(7));
-    core.fleet.lock().name_weights(&weights, long_ago);
+    core.fleet.lock().observe_naming(&weights, long_ago);
     tokio::spawn(roll::run(Arc::clone(&core)));
     let mut most = 0;
     until(|| {
@@ -266,7 +266,10 @@
     for (no, id) in ids[..5].iter().enumerate() {
         platform.engines.lock().unwrap()[no].version = 2;
         let mut fleet = core.fleet.lock();
-        fleet.get_mut(id).unwrap().holds("m", WeightsVersion(2));
+        fleet
+            .get_mut(id)
+            .unwrap()
+            .record_version("m", WeightsVersion(2));
     }
     let service = "engines".parse().unwrap();
     let domain = "hall-a".parse().unwrap();
@@ -276,9 +279,9 @@
         stores: &[],
         shape: None,
         tried: &ids[..8],
-        spread: 0,
+        tie_breaker: 0,
         shard: None,
-        apart: false,
+        least_loaded: false,
     };
     let stream = core.fleet.choose(&selection, clock::now()).unwrap();
     assert_eq!(stream.id, ids[8]);
@@ -289,7 +292,7 @@
         version: WeightsVersion(2),
     };
     let named = clock::now_less(Duration::from_secs(2));
-    core.fleet.lock().name_weights(&weights, named);
+    core.fleet.lock().observe_naming(&weights, named);
     core.named.notify_one();
     until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
     let drained = clock::now().since(began);
