--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -99,7 +99,7 @@
         body: body.bytes,
         room: body.room,
         arrived,
-        ends,
+        deadline: ends,
         fingerprint: OnceLock::new(),
     })
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -122,7 +122,7 @@
         Ok(request) => request,
         Err(error) => return Outcome::Lost(error.to_string()),
     };
-    let until = job.ends.min(sent + patience);
+    let until = job.deadline.min(sent + patience);
     let answer = timeout_at(until, upstream::send(flight.addr, request));
     let streams = job.route.kind.streams();
     let answer = tokio::select! {
--- a/crates/sesamegap-entry/src/relay/mod.rs
+++ b/crates/sesamegap-entry/src/relay/mod.rs
@@ -56,7 +56,7 @@
     /// When it came.
     pub arrived: Instant,
     /// When its caller or its route gives up.
-    pub ends: Instant,
+    pub deadline: Instant,
     /// Its fingerprint, once it was asked for.
     pub fingerprint: OnceLock<Fingerprint>,
 }
@@ -64,7 +64,7 @@
 impl Job {
     /// Time left.
     pub fn left(&self) -> Duration {
-        self.ends.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// What to answer when it may have run and no whole answer came.
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -94,7 +94,7 @@
     }
     let mut bytes = BytesMut::new();
     loop {
-        let frame = match timeout_at(job.ends, body.frame()).await {
+        let frame = match timeout_at(job.deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => break,
             Ok(Some(Err(_))) => {
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -216,7 +216,7 @@
             ));
         }
         if !head.status.is_success() {
-            let read = timeout_at(self.job.ends, body.collect()).await;
+            let read = timeout_at(self.job.deadline, body.collect()).await;
             let body = match read.map_err(|_| "no body in time".to_owned())? {
                 Ok(body) => body.to_bytes(),
                 Err(error) => {
@@ -288,7 +288,7 @@
                     return Err(self.broken(live, "ended within an event").await);
                 }
                 Ok(None) => return Ok(None),
-                Err(_) if Instant::now() >= self.job.ends => return Err("time is over".to_owned()),
+                Err(_) if Instant::now() >= self.job.deadline => return Err("time is over".to_owned()),
                 Err(_) if live.is_outdated() => return Err(OUTDATED.to_owned()),
                 Err(_) if Instant::now() < self.silent_until(live, since) => continue,
                 Err(_) if Self::is_heard(live, since) => {
@@ -327,11 +327,11 @@
     fn silent_until(&self, live: &Live, since: Instant) -> Instant {
         // Silence alone ends no answer: without another engine to go on at, it may still come.
         if !self.may_move() || !self.progress.has_other(&self.core, Some(&live.flight.id)) {
-            return self.job.ends;
+            return self.job.deadline;
         }
         let heard = Self::is_heard(live, since);
         let borne = timeouts::stream(live.started, heard);
-        self.job.ends.min(since + borne)
+        self.job.deadline.min(since + borne)
     }
 
     /// Whether the upstream was heard on another connection since.
--- a/crates/sesamegap-entry/src/relay/waiting.rs
+++ b/crates/sesamegap-entry/src/relay/waiting.rs
@@ -28,7 +28,7 @@
 /// # Errors
 /// What to answer if there is none, or the request may not run.
 pub async fn upstream(core: &Arc<Core>, job: &Job, progress: &Progress) -> Result<Flight, Refusal> {
-    let until = job.ends.min(Instant::now() + job.route.objective / PART);
+    let until = job.deadline.min(Instant::now() + job.route.objective / PART);
     loop {
         let mut pause = LOOK;
         let refusal = match admit(core, job).await {
