--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -97,7 +97,7 @@
         uri: head.uri,
         headers: head.headers,
         body: body.bytes,
-        room: body.room,
+        body_permit: body.room,
         arrived,
         deadline: ends,
         fingerprint: OnceLock::new(),
--- a/crates/sesamegap-entry/src/relay/mod.rs
+++ b/crates/sesamegap-entry/src/relay/mod.rs
@@ -52,7 +52,7 @@
     /// Its body.
     pub body: Bytes,
     /// Room that its body takes, given back with the request.
-    pub room: Option<OwnedSemaphorePermit>,
+    pub body_permit: Option<OwnedSemaphorePermit>,
     /// When it came.
     pub arrived: Instant,
     /// When its caller or its route gives up.
