--- a/crates/sesamegap-entry/src/quarantine/admission.rs
+++ b/crates/sesamegap-entry/src/quarantine/admission.rs
@@ -55,7 +55,7 @@
     let grant = match quarantine.standing(request) {
         Standing::Clear => return Admission::Free,
         Standing::Quarantined => Grant::Refused,
-        Standing::Suspect => ask(core, request, job.left()).await,
+        Standing::Suspect => ask(core, request, job.time_left()).await,
     };
     // One that is put off asks again, and its end says why it was not served.
     if grant != Grant::Busy {
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -242,7 +242,7 @@
         Transfer::default()
     };
     Dispatch {
-        left: job.left(),
+        left: job.time_left(),
         upstream: Some(flight.id.clone()),
         team: job.team.as_ref().map(|team| team.name.clone()),
         namespace: is_prompt.then_some(namespace),
--- a/crates/sesamegap-entry/src/relay/mod.rs
+++ b/crates/sesamegap-entry/src/relay/mod.rs
@@ -63,13 +63,13 @@
 
 impl Job {
     /// Time left.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// What to answer when it may have run and no whole answer came.
     fn lost(&self) -> Refusal {
-        if self.left().is_zero() {
+        if self.time_left().is_zero() {
             Refusal::Timeout
         } else {
             Refusal::Lost
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -49,7 +49,7 @@
         };
         let last = !job.route.kind.repeats() || progress.runs + 1 >= job.route.attempts;
         let time = if last {
-            job.left()
+            job.time_left()
         } else {
             timeouts::plain(job.route.objective)
         };
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -64,7 +64,7 @@
             shard: None,
             apart,
         };
-        placing::choose(core, &selection, job.left()).await
+        placing::choose(core, &selection, job.time_left()).await
     }
 
     /// Whether a request that was not run at `at` goes to another upstream.
@@ -101,7 +101,7 @@
     /// Whether its route and its time allow one more run.
     pub fn may_run_again(&self, job: &Job) -> bool {
         let allowed = job.route.kind.repeats() && self.runs < job.route.attempts;
-        allowed && job.left() > LEAST_LEFT
+        allowed && job.time_left() > LEAST_LEFT
     }
 
     /// What to answer when nothing could take the request.
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -192,7 +192,7 @@
         if self.may_move() && self.progress.has_other(&self.core, Some(at)) {
             timeouts::FIRST_EVENT_BUSY
         } else {
-            self.job.left()
+            self.job.time_left()
         }
     }
 
