--- a/crates/sesamegap-entry/src/relay/sse.rs
+++ b/crates/sesamegap-entry/src/relay/sse.rs
@@ -10,7 +10,7 @@
 
 /// Whole events that came together.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Events {
+pub struct EventBatch {
     /// Their bytes.
     pub bytes: Bytes,
     /// Ids of those that have one.
@@ -19,31 +19,31 @@
 
 /// What was read of a stream and not passed on yet.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     held: BytesMut,
 }
 
 /// A stream that is not made of events of bearable length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
-impl Cutter {
+impl EventSplitter {
     /// Takes in bytes and gives back the events that are whole now.
     ///
     /// # Errors
     /// If an event is too long.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, TooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<EventBatch>, EventTooLong> {
         self.held.extend_from_slice(bytes);
         let Some(end) = last_end(&self.held) else {
             return if self.held.len() > LONGEST {
-                Err(TooLong)
+                Err(EventTooLong)
             } else {
                 Ok(None)
             };
         };
         let whole = self.held.split_to(end).freeze();
         let ids = whole.split(|byte| *byte == b'\n').filter_map(id).collect();
-        Ok(Some(Events { bytes: whole, ids }))
+        Ok(Some(EventBatch { bytes: whole, ids }))
     }
 
     /// Whether part of an event is held.
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use super::plain::respond;
 use super::progress::Progress;
 use super::request_log::RequestLog;
-use super::sse::{Cutter, Events};
+use super::sse::{EventSplitter, EventBatch};
 use super::waiting::upstream;
 use crate::catalogue::Kind;
 use crate::clock;
@@ -46,10 +46,10 @@
     sent: Instant,
     body: Incoming,
     _connection: Connection,
-    cutter: Cutter,
+    splitter: EventSplitter,
     status: StatusCode,
     headers: HeaderMap,
-    first: Option<Events>,
+    first: Option<EventBatch>,
     /// Whether any byte of its body has come.
     begun: bool,
     /// Whether a whole event has come.
@@ -235,7 +235,7 @@
             sent,
             body,
             _connection: exchange.connection,
-            cutter: Cutter::default(),
+            splitter: EventSplitter::default(),
             status: head.status,
             headers: head.headers,
             first: None,
@@ -243,7 +243,7 @@
             started: false,
         };
         let first = self.read(&mut live).await?;
-        live.first = Some(first.unwrap_or(Events {
+        live.first = Some(first.unwrap_or(EventBatch {
             bytes: Bytes::new(),
             ids: Vec::new(),
         }));
@@ -264,7 +264,7 @@
     }
 
     /// Checks that events go on where the last ones ended.
-    fn follows(&mut self, events: &Events) -> Result<(), String> {
+    fn follows(&mut self, events: &EventBatch) -> Result<(), String> {
         for id in &events.ids {
             if let Some(passed) = self.passed
                 && *id != passed + 1
@@ -277,14 +277,14 @@
     }
 
     /// Reads events from an upstream.
-    async fn read(&self, live: &mut Live) -> Result<Option<Events>, String> {
+    async fn read(&self, live: &mut Live) -> Result<Option<EventBatch>, String> {
         let mut since = Instant::now();
         loop {
             let until = self.silent_until(live, since).min(live.next_look());
             let frame = match timeout_at(until, live.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => return Err(self.broken(live, &error.to_string()).await),
-                Ok(None) if live.cutter.is_partial() => {
+                Ok(None) if live.splitter.is_partial() => {
                     return Err(self.broken(live, "ended within an event").await);
                 }
                 Ok(None) => return Ok(None),
@@ -308,7 +308,7 @@
                 continue;
             };
             live.begun = true;
-            let events = live.cutter.push(&data);
+            let events = live.splitter.push(&data);
             if let Some(events) = events.map_err(|_| "an event is too long".to_owned())? {
                 live.started = true;
                 return Ok(Some(events));
--- a/crates/sesamegap-entry/tests/testsuite/sse.rs
+++ b/crates/sesamegap-entry/tests/testsuite/sse.rs
@@ -1,4 +1,4 @@
-use sesamegap_entry::relay::sse::Cutter;
+use sesamegap_entry::relay::sse::EventSplitter;
 
 /// Bytes arrive cut at any place. An event passed on in two pieces could end in a crash between
 /// them, and the stream could not be joined elsewhere.
@@ -6,11 +6,11 @@
 fn events_come_out_whole_wherever_the_bytes_are_cut() {
     let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nversion: 3\nid: 3\ndata: c\n\n";
     for size in 1..text.len() {
-        let mut cutter = Cutter::default();
+        let mut splitter = EventSplitter::default();
         let mut bytes = Vec::new();
         let mut ids = Vec::new();
         for piece in text.chunks(size) {
-            if let Some(events) = cutter.push(piece).expect("short events") {
+            if let Some(events) = splitter.push(piece).expect("short events") {
                 assert!(events.bytes.ends_with(b"\n"));
                 bytes.extend_from_slice(&events.bytes);
                 ids.extend(events.ids);
@@ -18,13 +18,13 @@
         }
         assert_eq!(bytes, text, "pieces of {size}");
         assert_eq!(ids, [1, 2, 3]);
-        assert!(!cutter.is_partial());
+        assert!(!splitter.is_partial());
     }
 }
 
 #[test]
 fn an_event_that_never_ends_is_refused() {
-    let mut cutter = Cutter::default();
+    let mut splitter = EventSplitter::default();
     let piece = vec![b'x'; 64 << 10];
-    assert!((0..8).any(|_| cutter.push(&piece).is_err()));
+    assert!((0..8).any(|_| splitter.push(&piece).is_err()));
 }
