--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -1,9 +1,9 @@
-//! One request at one upstream, up to the head of the answer.
+//! One attempt at one upstream, up to the response head.
 
 use super::Job;
-use super::head::for_upstream;
+use super::headers::upstream_headers;
 use super::loss::{self, BrokenAnswer};
-use super::transfer::{Transfer, namespace, transfer};
+use super::transfer::{Transfer, cache_namespace, plan_transfer};
 use crate::catalogue::Kind;
 use crate::clock;
 use crate::core::Core;
@@ -20,63 +20,63 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tracing::{info, warn};
 
-/// How long nothing goes to an upstream that refused work for the moment.
-const REFUSED_PAUSE: Duration = Duration::from_millis(150);
+/// How long an upstream that refused a request gets no further ones.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// How often it is looked whether weights were named while a request waits; a small part of the
-/// seconds for which older ones may be used.
-const NAMED: Duration = Duration::from_millis(300);
+/// How often a waiting request checks whether newer weights were announced; a small fraction of the
+/// seconds for which older ones may still be used.
+const WEIGHTS_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time for an answer that lies ready to be read before its request is taken back: a VM that stood still finds
-/// the time over and the answer in its socket at once.
-pub const READY: Duration = Duration::from_millis(30);
+/// Time to read a response that has already arrived before its request is withdrawn: a VM that was paused finds the
+/// deadline expired and the response in its socket at the same moment.
+pub const READ_GRACE: Duration = Duration::from_millis(30);
 
-/// Why a request was taken back.
-pub const OUTDATED: &str = "not begun before its weights were too old";
+/// Why a request was withdrawn.
+pub const WEIGHTS_EXPIRED: &str = "engine did not begin before its weights expired";
 
-/// What became of an attempt.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The head of its answer came.
+    /// The response head arrived.
     Answered(Box<Answered>),
-    /// It was not run and will not be.
+    /// The request did not run and will not.
     NotRun(NotRun),
-    /// It may have run, or may be running.
+    /// The request may have run or still be running; the text says what was seen.
     Lost(String),
 }
 
-/// Why an attempt was not run.
+/// Why an attempt did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
-    /// No connection.
+    /// The connection could not be opened.
     Unreached,
-    /// The upstream said so.
+    /// The upstream refused it.
     Refused,
-    /// The engine holds other weights than this VM believed, and said which.
+    /// The engine has other weights than this VM assumed, and reported which.
     OtherWeights,
 }
 
-/// The head of an answer, with the body to come.
+/// A response whose head has arrived; the body has not been read.
 #[derive(Debug)]
 pub struct Answered {
-    /// The upstream, counted there.
+    /// Counts the request at its upstream until dropped.
     pub flight: Flight,
-    /// The answer.
+    /// The response and its connection.
     pub exchange: Exchange,
     /// When the request was sent.
     pub sent: Instant,
 }
 
-/// Sends a request to an upstream and waits for the head of the answer.
+/// Sends a request to an upstream and waits for the response head.
 pub async fn send(
     core: &Arc<Core>,
     job: &Job,
     flight: Flight,
-    patience: Duration,
-    after: Option<u64>,
+    head_timeout: Duration,
+    resume_after: Option<u64>,
 ) -> (UpstreamId, Outcome) {
     let id = flight.id.clone();
-    let outcome = exchange(core, job, flight, patience, after).await;
+    let outcome = await_head(core, job, flight, head_timeout, resume_after).await;
     match &outcome {
         Outcome::Answered(_) => {}
         Outcome::NotRun(why) => {
@@ -85,21 +85,21 @@
         }
         Outcome::Lost(why) => {
             core.metrics.attempt("lost");
-            warn!(event = events::ATTEMPT, request = %job.head.id, upstream = %id, why, "no answer");
+            warn!(event = events::ATTEMPT, request = %job.head.id, upstream = %id, why, "no valid response");
         }
     }
     (id, outcome)
 }
 
-async fn exchange(
+async fn await_head(
     core: &Arc<Core>,
     job: &Job,
     mut flight: Flight,
-    patience: Duration,
-    after: Option<u64>,
+    head_timeout: Duration,
+    resume_after: Option<u64>,
 ) -> Outcome {
     let sent = Instant::now();
-    let dispatch = dispatch_for(core, job, &mut flight, after);
+    let dispatch = build_dispatch(core, job, &mut flight, resume_after);
     info!(
         event = events::PLACED,
         request = %job.head.id,
@@ -118,19 +118,19 @@
         left_ms = clock::ms(dispatch.left),
         "sent"
     );
-    let request = match build(core, job, &dispatch) {
+    let request = match build_request(core, job, &dispatch) {
         Ok(request) => request,
         Err(error) => return Outcome::Lost(error.to_string()),
     };
-    let until = job.deadline.min(sent + patience);
-    let answer = timeout_at(until, upstream::send(flight.addr, request));
+    let deadline = job.deadline.min(sent + head_timeout);
+    let answer = timeout_at(deadline, upstream::send(flight.addr, request));
     let streams = job.route.kind.streams();
     let answer = tokio::select! {
-        // An answer that lies ready goes before the end of the time to begin.
+        // A response that has already arrived takes precedence over the expiry of the weights.
         biased;
         answer = answer => answer,
-        // Nothing is heard of a whole answer until it ends, so nobody could tell that it has not begun.
-        () = outdated(&flight), if streams => return Outcome::Lost(OUTDATED.to_owned()),
+        // A plain response arrives only once it is complete, so there is no telling whether it has begun.
+        () = until_weights_expire(&flight), if streams => return Outcome::Lost(WEIGHTS_EXPIRED.to_owned()),
     };
     let exchange = match answer {
         Ok(Ok(exchange)) => exchange,
@@ -140,39 +140,49 @@
         }
         Ok(Err(SendError::Broken(why))) => {
             flight.failed(clock::now());
-            loss::broke(core, job, &mut flight, sent, false).await;
+            loss::report_broken_connection(core, job, &mut flight, sent, false).await;
             return Outcome::Lost(why);
         }
         Err(_) => {
-            BrokenAnswer::new(job, &mut flight, sent, false).silent(core);
-            if flight.last_heard() < clock::now_less(patience) {
+            BrokenAnswer::new(job, &mut flight, sent, false).report_silence(core);
+            if flight.last_heard() < clock::now_less(head_timeout) {
                 flight.failed(clock::now());
             }
-            return Outcome::Lost("no head in time".to_owned());
+            return Outcome::Lost("no response head before the timeout".to_owned());
         }
     };
-    judge(core, job, flight, exchange, sent)
+    classify_answer(core, job, flight, exchange, sent)
 }
 
-/// Waits until a request that has not begun must be taken back from its engine.
+/// Waits until a request that has not begun must be withdrawn from its engine.
 ///
-/// What waits at an engine with old weights would else begin on them after nobody may use them any
-/// more; a caller would notice nothing but the wrong answer. Closing the connection has the engine
-/// drop it, and it goes elsewhere if it may be repeated.
-async fn outdated(flight: &Flight) {
+/// A request queued at an engine with old weights could otherwise begin on them after they must no longer be
+/// used, and the caller could not tell that the answer is wrong. The engine drops a request whose connection
+/// closes; it is then retried elsewhere if the route allows it.
+async fn until_weights_expire(flight: &Flight) {
     loop {
         let left = flight.left_to_begin(clock::now());
         if left.is_some_and(|left| left.is_zero()) {
-            sleep(READY).await;
+            sleep(READ_GRACE).await;
             return;
         }
-        // Weights may be named while it waits.
-        sleep(left.unwrap_or(NAMED).min(NAMED)).await;
+        // Newer weights may be announced while it waits.
+        sleep(
+            left.unwrap_or(WEIGHTS_POLL_INTERVAL)
+                .min(WEIGHTS_POLL_INTERVAL),
+        )
+        .await;
     }
 }
 
-/// Decides whether an answer is one to this request, and whether the request was run.
-fn judge(core: &Core, job: &Job, mut flight: Flight, exchange: Exchange, sent: Instant) -> Outcome {
+/// Checks that a response belongs to this request, and determines whether the request ran.
+fn classify_answer(
+    core: &Core,
+    job: &Job,
+    mut flight: Flight,
+    exchange: Exchange,
+    sent: Instant,
+) -> Outcome {
     let now = clock::now();
     flight.reached(now);
     let status = exchange.response.status();
@@ -181,14 +191,14 @@
         flight.loaded(load, now);
     }
     if answer_head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Outcome::NotRun(refused(core, job, &flight, &answer_head, status));
+        return Outcome::NotRun(handle_refusal(core, job, &flight, &answer_head, status));
     }
-    // A late or extra answer to another request would otherwise reach this caller.
+    // Keeps a late or extra response to another request from reaching this caller.
     if answer_head.id.as_ref().is_some_and(|id| *id != job.head.id) {
-        return Outcome::Lost("an answer to another request".to_owned());
+        return Outcome::Lost("response carries another request's id".to_owned());
     }
     if status.is_success() && !answer_head.sealed {
-        return Outcome::Lost("a success without a seal".to_owned());
+        return Outcome::Lost("successful response has no seal".to_owned());
     }
     flight.heard(now);
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
@@ -201,8 +211,8 @@
     }))
 }
 
-/// Learns from an upstream's refusal.
-fn refused(
+/// Records what a refusal says about the upstream and returns the reason for a retry.
+fn handle_refusal(
     core: &Core,
     job: &Job,
     flight: &Flight,
@@ -210,13 +220,14 @@
     status: StatusCode,
 ) -> NotRun {
     let now = clock::now();
-    let moved = status == StatusCode::MISDIRECTED_REQUEST
+    let replaced = status == StatusCode::MISDIRECTED_REQUEST
         && answer_head
             .upstream
             .as_ref()
             .is_some_and(|id| *id != flight.id);
-    if moved {
-        // The one that was meant is gone for good; the list drops it only after it missed heartbeats.
+    if replaced {
+        // Another instance has the address, so the intended one is gone for good. The fleet table drops it only
+        // after missed heartbeats.
         push(core, EngineNews::gone(flight.id.clone(), flight.born));
         return NotRun::Refused;
     }
@@ -226,18 +237,23 @@
             return NotRun::OtherWeights;
         }
     }
-    flight.paused(now + REFUSED_PAUSE);
+    flight.paused(now + REFUSAL_BACKOFF);
     NotRun::Refused
 }
 
-fn dispatch_for(core: &Core, job: &Job, flight: &mut Flight, after: Option<u64>) -> Dispatch {
+fn build_dispatch(
+    core: &Core,
+    job: &Job,
+    flight: &mut Flight,
+    resume_after: Option<u64>,
+) -> Dispatch {
     let isolated = job.team.as_ref().filter(|team| team.isolated);
     let is_prompt = job.head.model.is_some();
     let priority = job.team.as_ref().and_then(|team| team.priority);
     let priority = priority.unwrap_or(job.route.priority);
-    let namespace = namespace(flight.weights, isolated.map(|team| team.name.as_str()));
+    let namespace = cache_namespace(flight.weights, isolated.map(|team| team.name.as_str()));
     let transfer = if is_prompt {
-        transfer(core, job, flight)
+        plan_transfer(core, job, flight)
     } else {
         Transfer::default()
     };
@@ -250,11 +266,11 @@
         fetch: transfer.fetch,
         save: transfer.save,
         priority: is_prompt.then_some(priority),
-        after,
+        after: resume_after,
     }
 }
 
-fn build(
+fn build_request(
     core: &Core,
     job: &Job,
     dispatch: &Dispatch,
@@ -267,23 +283,26 @@
         .method(job.method.clone())
         .uri(target)
         .body(Full::new(job.body.clone()))?;
-    *request.headers_mut() = for_upstream(&job.headers, dispatch, core.ports.headers.as_ref());
+    *request.headers_mut() = upstream_headers(&job.headers, dispatch, core.ports.headers.as_ref());
     Ok(request)
 }
 
-/// Whether a status promises that nothing was run, which only an upstream that says so may do.
-pub fn is_false_promise(kind: Kind, status: StatusCode) -> bool {
-    let promises = [
+/// Whether a status would tell the caller that a non-idempotent request did not run.
+///
+/// Upstreams report that explicitly by a header; without it the request may have run, and a caller that
+/// reads the status as "not run" would send it again.
+pub fn falsely_implies_not_run(kind: Kind, status: StatusCode) -> bool {
+    let implied = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
     ];
-    kind != Kind::Idempotent && promises.contains(&status)
+    kind != Kind::Idempotent && implied.contains(&status)
 }
 
 impl NotRun {
-    /// A name for metrics.
+    /// The metric label.
     fn name(self) -> &'static str {
         match self {
             Self::Unreached => "unreached",
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -1,4 +1,4 @@
-//! Connections that break, or fall silent, under a request.
+//! Reports connections that break or go silent while a request is in flight.
 
 use super::Job;
 use crate::clock;
@@ -16,35 +16,41 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// A request whose answer stopped before its end.
+/// A request whose response stopped before its end.
 #[derive(Debug)]
 pub struct BrokenAnswer {
     request: SmolStr,
     loss: UpstreamLoss,
     addr: SocketAddr,
-    /// Held until the loss is reported, so that no other trial begins in between.
+    /// Held until the loss is reported, so that no other trial begins before.
     permit: Option<TrialPermit>,
-    /// Requests running there when it was sent.
-    beside: u32,
-    /// Time since the request was sent.
-    ran: Duration,
-    /// Whether any of its answer had come.
+    /// Other requests running at the upstream when this one was sent.
+    concurrent: u32,
+    /// Time from sending the request to the failure.
+    elapsed: Duration,
+    /// Whether part of the response had arrived.
     begun: bool,
 }
 
-/// Notes that the connection of a request broke.
+/// Reports that a request's connection broke.
 ///
-/// A request that may be sent again waits for what the upstream's probe finds, any other is answered at once.
-pub async fn broke(core: &Arc<Core>, job: &Job, flight: &mut Flight, sent: Instant, begun: bool) {
-    let reported = BrokenAnswer::new(job, flight, sent, begun).report(core);
+/// A retryable request waits for the result of the probe; any other fails at once.
+pub async fn report_broken_connection(
+    core: &Arc<Core>,
+    job: &Job,
+    flight: &mut Flight,
+    sent: Instant,
+    begun: bool,
+) {
+    let reported = BrokenAnswer::new(job, flight, sent, begun).probe_and_report(core);
     if job.route.kind.repeats() {
-        // The task ends by itself; one that panicked has nothing to tell.
+        // A panic of the probe task has nothing to report.
         drop(reported.await);
     }
 }
 
 impl BrokenAnswer {
-    /// A request at an upstream, as it is now.
+    /// Captures the request's current state; takes its trial permit.
     pub fn new(job: &Job, flight: &mut Flight, sent: Instant, begun: bool) -> Self {
         let permit = flight.permit.take();
         Self {
@@ -59,29 +65,29 @@
             },
             addr: flight.addr,
             permit,
-            beside: flight.running,
-            ran: sent.elapsed(),
+            concurrent: flight.running,
+            elapsed: sent.elapsed(),
             begun,
         }
     }
 
-    /// The fingerprint of the request.
     pub fn request(&self) -> Fingerprint {
         self.loss.request
     }
 
-    /// Notes that the upstream fell silent: whether it ended the list will tell, at no cost to one that is slow.
-    pub fn silent(self, core: &Core) {
+    /// Reports that the upstream went silent. Whether its process ended follows from the fleet table, so that an
+    /// upstream which is only slow is not blamed for a crash.
+    pub fn report_silence(self, core: &Core) {
         core.quarantine.unconfirmed(self.loss);
     }
 
-    /// Finds out in a task of its own whether the upstream's process ended, and reports it.
-    pub fn report(self, core: &Arc<Core>) -> JoinHandle<()> {
+    /// Spawns a task that probes whether the upstream's process is gone, and reports the result.
+    pub fn probe_and_report(self, core: &Arc<Core>) -> JoinHandle<()> {
         let core = Arc::clone(core);
-        tokio::spawn(async move { self.probe(&core).await })
+        tokio::spawn(async move { self.run_probe(&core).await })
     }
 
-    async fn probe(self, core: &Core) {
+    async fn run_probe(self, core: &Core) {
         let loss = &self.loss;
         let life = loss.crash.life;
         let process = core.quarantine.probes.probe(life, self.addr).await;
@@ -92,15 +98,15 @@
             upstream = %loss.upstream,
             life,
             trial = loss.crash.trial,
-            beside = self.beside,
-            ran_ms = clock::ms(self.ran),
+            beside = self.concurrent,
+            ran_ms = clock::ms(self.elapsed),
             begun = self.begun,
             process = ?process,
             "connection broke"
         );
         match process {
             Process::Gone => core.quarantine.crashed(loss),
-            // It may have started again at once, or be cut off: the list tells.
+            // It may have restarted at once or be partitioned; the fleet table decides.
             Process::Running | Process::Unreachable => core.quarantine.unconfirmed(loss.clone()),
         }
         drop(self.permit);
--- a/crates/sesamegap-entry/src/relay/mod.rs
+++ b/crates/sesamegap-entry/src/relay/mod.rs
@@ -1,16 +1,15 @@
-//! Sends a request to upstreams and its answer back.
+//! Forwards requests to upstreams and their responses to callers.
 //!
-//! [`plain`] relays whole answers, [`stream`] events as they come. Both go through [`attempt`]:
-//! what became of a request at one upstream decides what may follow. What was not run may always
-//! go to another upstream; what may have run is sent again only where the route allows it and the
-//! fleet's budget for repeats has room.
+//! [`plain`] buffers responses, [`stream`] forwards events as they arrive. Both use [`attempt`], whose outcome
+//! decides whether the request may be retried. A request that did not run may be sent to another upstream; one
+//! that may have run is sent again only if the route allows it and the fleet's retry budget is not exhausted.
 
 mod attempt;
-mod head;
+mod headers;
 mod loss;
 mod plain;
-mod progress;
 mod request_log;
+mod retry;
 pub mod sse;
 mod stream;
 mod transfer;
@@ -32,43 +31,43 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// A request that was taken in.
+/// An accepted request.
 #[derive(Debug)]
 pub struct Job {
-    /// What its head says.
+    /// Fields parsed from its headers.
     pub head: RequestHead,
-    /// The document that it is handled under.
+    /// The configuration in force when it was accepted.
     pub catalogue: Arc<Catalogue>,
-    /// Its route.
+    /// The matched route.
     pub route: Arc<Route>,
-    /// Its team, if it showed a key.
+    /// The team that its API key belongs to, if it carried one.
     pub team: Option<Arc<Team>>,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its target.
+    /// Request target.
     pub uri: Uri,
-    /// Its headers as the caller sent them.
+    /// Headers as the caller sent them.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Buffered request body.
     pub body: Bytes,
-    /// Room that its body takes, given back with the request.
+    /// Share of the body memory limit that it occupies, released when the request is dropped.
     pub body_permit: Option<OwnedSemaphorePermit>,
-    /// When it came.
+    /// When its head arrived.
     pub arrived: Instant,
-    /// When its caller or its route gives up.
+    /// The earlier of the caller's deadline and the route's timeout.
     pub deadline: Instant,
-    /// Its fingerprint, once it was asked for.
+    /// Computed on first use by [`Job::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Job {
-    /// Time left.
+    /// Time until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What to answer when it may have run and no whole answer came.
-    fn lost(&self) -> Refusal {
+    /// The error response if it may have run and no complete response arrived.
+    fn lost_refusal(&self) -> Refusal {
         if self.time_left().is_zero() {
             Refusal::Timeout
         } else {
@@ -76,14 +75,14 @@
         }
     }
 
-    /// A number that is the same for all attempts of this request.
+    /// Hash of the request id, the same for all attempts.
     fn hash(&self) -> u64 {
         let mut hasher = FxHasher::default();
         self.head.id.hash(&mut hasher);
         hasher.finish()
     }
 
-    /// The same for all sends of this request, by whichever VM.
+    /// Identifies the request across attempts and VMs.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let caller = self.team.as_ref().map(|team| team.name.as_str());
@@ -93,7 +92,7 @@
         })
     }
 
-    /// The service that it goes to, by the shares of its route.
+    /// The target service, selected by the route's weights.
     fn service(&self) -> &ServiceId {
         let targets = &self.route.targets;
         let total: u32 = targets.iter().map(|target| target.weight).sum();
@@ -107,20 +106,21 @@
         &targets[0].service
     }
 
-    /// Its prompt's shape, if it names a model.
-    fn shape(&self) -> Option<PromptShape> {
+    /// The hashes and token counts of its prompt, if it names a model.
+    fn prompt_shape(&self) -> Option<PromptShape> {
         let model = self.head.model.clone()?;
         let parts = &self.head.parts;
-        // A prompt without named parts goes anywhere too, but not on weights that are too old.
+        // A prompt without named parts has no prefix to route by either, but still needs a shape so that it
+        // does not run on outdated weights.
         let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
         let mut hasher = FxHasher::default();
         let mut tokens = 0;
-        // An isolated team's cache entries are found by no other team, so its prefixes are its own.
+        // Other teams cannot find an isolated team's cache entries, so its prefixes get hashes of their own.
         let isolated = self.team.as_ref().filter(|team| team.isolated);
         isolated.map(|team| team.name.as_str()).hash(&mut hasher);
-        // A prompt with nothing shared goes anywhere, which its own part decides as well as any.
-        let named = if shared.is_empty() { parts } else { shared };
-        let prefixes = named.iter().map(|part| {
+        // Without a shared prefix any engine will do; the prompt's own part spreads such prompts as well as any key.
+        let hashed_parts = if shared.is_empty() { parts } else { shared };
+        let prefixes = hashed_parts.iter().map(|part| {
             part.name.hash(&mut hasher);
             tokens += part.tokens.0;
             Prefix {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Serves a request.
+/// Forwards a request and returns the response for the caller.
 pub async fn run(core: &Arc<Core>, job: Job) -> Response<Body> {
     core.count_request(job.service());
     if job.route.kind.streams() {
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -1,15 +1,15 @@
-//! Whole answers of plain services.
+//! Relays buffered responses of plain services.
 //!
-//! An answer is read whole before its head goes to the caller, so that one that breaks off is
-//! never begun: it is asked for again where that is allowed, and is a plain failure elsewhere.
+//! A response is read to its end before its head is sent to the caller. If the upstream breaks off, the request
+//! can still be retried where the route allows it, and otherwise fails with an error status.
 
 use super::Job;
-use super::attempt::{Answered, Outcome, is_false_promise, send};
-use super::head::for_caller;
+use super::attempt::{Answered, Outcome, falsely_implies_not_run, send};
+use super::headers::caller_headers;
 use super::loss::{self, BrokenAnswer};
-use super::progress::Progress;
 use super::request_log::RequestLog;
-use super::waiting::upstream;
+use super::retry::RetryState;
+use super::waiting::wait_for_upstream;
 use crate::core::Core;
 use crate::intake::{Body, Refusal, full, refuse};
 use bytes::{Bytes, BytesMut};
@@ -20,44 +20,44 @@
 use std::sync::Arc;
 use tokio::time::timeout_at;
 
-/// Bytes of an answer that are held; of a longer one, what comes after them goes on as it comes.
-const HELD: usize = 256 << 10;
+/// Largest response that is buffered, in bytes; what follows in a longer one is streamed.
+const BUFFER_LIMIT: usize = 256 << 10;
 
-/// Relays a plain request.
+/// Relays a request to a plain service.
 pub async fn run(core: &Arc<Core>, job: &Job) -> Response<Body> {
     let mut log = RequestLog::new(core, job);
-    let mut progress = Progress::new(job);
-    let answer = answer(core, job, &mut progress).await;
+    let mut retry = RetryState::new(job);
+    let answer = try_upstreams(core, job, &mut retry).await;
     let (response, why) = match answer {
         Ok(response) => (response, String::new()),
         Err(refusal) => (refuse(refusal), refusal.to_string()),
     };
-    log.end(response.status().as_u16(), progress.runs, why);
+    log.record_end(response.status().as_u16(), retry.runs, why);
     response
 }
 
-async fn answer(
+async fn try_upstreams(
     core: &Arc<Core>,
     job: &Job,
-    progress: &mut Progress,
+    retry: &mut RetryState,
 ) -> Result<Response<Body>, Refusal> {
     let mut failure: Option<Response<Body>> = None;
     loop {
-        let flight = match upstream(core, job, progress).await {
+        let flight = match wait_for_upstream(core, job, retry).await {
             Ok(flight) => flight,
             Err(refusal) => return failure.ok_or(refusal),
         };
-        let last = !job.route.kind.repeats() || progress.runs + 1 >= job.route.attempts;
-        let time = if last {
+        let is_last = !job.route.kind.repeats() || retry.runs + 1 >= job.route.attempts;
+        let time = if is_last {
             job.time_left()
         } else {
             timeouts::plain(job.route.objective)
         };
         let (id, outcome) = send(core, job, flight, time, None).await;
         let may_have_run = match outcome {
-            Outcome::Answered(answered) => match whole(core, job, *answered).await {
-                Some(response) if !worth_another(&response) => {
-                    progress.ran(id);
+            Outcome::Answered(answered) => match read_answer(core, job, *answered).await {
+                Some(response) if !is_server_failure(&response) => {
+                    retry.record_run(id);
                     return Ok(response);
                 }
                 Some(response) => {
@@ -67,29 +67,33 @@
                 None => true,
             },
             Outcome::NotRun(why) => {
-                if !progress.after_not_run(core, id.clone(), why) {
-                    return failure.ok_or(progress.unserved());
+                if !retry.retry_after_not_run(core, id.clone(), why) {
+                    return failure.ok_or(retry.no_upstream());
                 }
                 false
             }
             Outcome::Lost(_) => true,
         };
-        if may_have_run && !progress.after_run(core, job, id) {
-            return failure.ok_or(job.lost());
+        if may_have_run && !retry.retry_after_run(core, job, id) {
+            return failure.ok_or(job.lost_refusal());
         }
     }
 }
 
-/// A failure of the upstream itself, which another may not share.
-fn worth_another(response: &Response<Body>) -> bool {
+/// Whether the upstream itself failed, so that another may succeed.
+fn is_server_failure(response: &Response<Body>) -> bool {
     response.status().is_server_error()
 }
 
-/// Reads an answer whole; none if it broke off.
-async fn whole(core: &Arc<Core>, job: &Job, mut answered: Answered) -> Option<Response<Body>> {
+/// Reads the body; `None` if it is incomplete or the status must not reach the caller.
+async fn read_answer(
+    core: &Arc<Core>,
+    job: &Job,
+    mut answered: Answered,
+) -> Option<Response<Body>> {
     let (head, mut body) = answered.exchange.response.into_parts();
-    if is_false_promise(job.route.kind, head.status) {
-        // An upstream that ran the request and answers so would have its caller send it again.
+    if falsely_implies_not_run(job.route.kind, head.status) {
+        // The caller would send the request again although it may have run.
         return None;
     }
     let mut bytes = BytesMut::new();
@@ -99,7 +103,14 @@
             Ok(None) => break,
             Ok(Some(Err(_))) => {
                 answered.flight.answered(answered.sent.elapsed(), true);
-                loss::broke(core, job, &mut answered.flight, answered.sent, true).await;
+                loss::report_broken_connection(
+                    core,
+                    job,
+                    &mut answered.flight,
+                    answered.sent,
+                    true,
+                )
+                .await;
                 return None;
             }
             Err(_) => {
@@ -110,11 +121,11 @@
         if let Ok(data) = frame.into_data() {
             bytes.extend_from_slice(&data);
         }
-        if bytes.len() > HELD {
+        if bytes.len() > BUFFER_LIMIT {
             let loss = BrokenAnswer::new(job, &mut answered.flight, answered.sent, true);
             let rest = (body, answered.exchange.connection, answered.flight);
-            let body = flowing(Arc::clone(core), bytes.freeze(), rest, loss);
-            return Some(respond(head.status, &head.headers, body));
+            let body = stream_rest(Arc::clone(core), bytes.freeze(), rest, loss);
+            return Some(caller_response(head.status, &head.headers, body));
         }
     }
     let failed = head.status.is_server_error();
@@ -122,24 +133,28 @@
         core.quarantine.succeeded(job.fingerprint());
     }
     answered.flight.answered(answered.sent.elapsed(), failed);
-    Some(respond(head.status, &head.headers, full(bytes.freeze())))
+    Some(caller_response(
+        head.status,
+        &head.headers,
+        full(bytes.freeze()),
+    ))
 }
 
-/// A body of which the beginning was read; the rest of the tuple lives as long as it.
-fn flowing<G: Send + 'static>(
+/// A body whose start has been read. The connection and the flight in `rest` live as long as the body.
+fn stream_rest<G: Send + 'static>(
     core: Arc<Core>,
-    begun: Bytes,
+    first_bytes: Bytes,
     rest: (Incoming, G, crate::fleet::Flight),
     loss: BrokenAnswer,
 ) -> Body {
     let stream = async_stream::stream! {
         let (mut body, _connection, _flight) = rest;
-        yield Ok(Frame::data(begun));
+        yield Ok(Frame::data(first_bytes));
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => yield Ok(frame),
                 Err(error) => {
-                    drop(loss.report(&core));
+                    drop(loss.probe_and_report(&core));
                     yield Err(std::io::Error::other(error));
                     return;
                 }
@@ -150,10 +165,10 @@
     StreamBody::new(stream).boxed_unsync()
 }
 
-/// An answer as the caller gets it.
-pub fn respond(status: StatusCode, headers: &HeaderMap, body: Body) -> Response<Body> {
+/// Builds the caller's response with filtered headers.
+pub fn caller_response(status: StatusCode, headers: &HeaderMap, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = for_caller(headers);
+    *response.headers_mut() = caller_headers(headers);
     response
 }
--- a/crates/sesamegap-entry/src/relay/request_log.rs
+++ b/crates/sesamegap-entry/src/relay/request_log.rs
@@ -1,4 +1,4 @@
-//! The line that tells how a request ended.
+//! The log line and metrics written when a request ends.
 
 use super::Job;
 use crate::catalogue::Kind;
@@ -20,15 +20,15 @@
     route: SmolStr,
     arrived: Instant,
     runs: u32,
-    first: Option<Duration>,
-    last: Option<Instant>,
-    pause: Duration,
+    first_event_after: Option<Duration>,
+    last_event_at: Option<Instant>,
+    longest_gap: Duration,
     status: Option<u16>,
-    why: SmolStr,
+    reason: SmolStr,
 }
 
 impl RequestLog {
-    /// A request that has not ended yet.
+    /// Starts the record of a request; without [`Self::record_end`] it is logged as left by its caller.
     pub fn new(core: &Arc<Core>, job: &Job) -> Self {
         Self {
             core: Arc::clone(core),
@@ -37,33 +37,33 @@
             route: job.route.name.clone(),
             arrived: job.arrived,
             runs: 0,
-            first: None,
-            last: None,
-            pause: Duration::ZERO,
+            first_event_after: None,
+            last_event_at: None,
+            longest_gap: Duration::ZERO,
             status: None,
-            why: SmolStr::default(),
+            reason: SmolStr::default(),
         }
     }
 
-    /// Notes that the first event goes to the caller.
-    pub fn first(&mut self) {
-        self.first = Some(self.arrived.elapsed());
+    /// Records that the first event is sent to the caller.
+    pub fn record_first_event(&mut self) {
+        self.first_event_after = Some(self.arrived.elapsed());
     }
 
-    /// Notes that events go to the caller: the longest time between two such tells a stream that was
-    /// stalled from one that began late.
-    pub fn passed(&mut self) {
+    /// Records that events are sent to the caller. The longest gap distinguishes a stream that stalled from one
+    /// that began late.
+    pub fn record_events(&mut self) {
         let now = Instant::now();
-        if let Some(last) = self.last.replace(now) {
-            self.pause = self.pause.max(now - last);
+        if let Some(last_event_at) = self.last_event_at.replace(now) {
+            self.longest_gap = self.longest_gap.max(now - last_event_at);
         }
     }
 
-    /// Notes how it ended.
-    pub fn end(&mut self, status: u16, runs: u32, why: impl Into<SmolStr>) {
+    /// Records how the request ended.
+    pub fn record_end(&mut self, status: u16, runs: u32, reason: impl Into<SmolStr>) {
         self.status = Some(status);
         self.runs = runs;
-        self.why = why.into();
+        self.reason = reason.into();
     }
 }
 
@@ -72,7 +72,7 @@
         let span = self.arrived.elapsed();
         self.core
             .metrics
-            .ended(self.kind, self.status, span, self.first);
+            .ended(self.kind, self.status, span, self.first_event_after);
         let took = clock::ms(span);
         let Some(status) = self.status else {
             info!(
@@ -90,10 +90,10 @@
             route = %self.route,
             status,
             runs = self.runs,
-            first_ms = self.first.map(clock::ms),
-            pause_ms = self.last.map(|_| clock::ms(self.pause)),
+            first_ms = self.first_event_after.map(clock::ms),
+            pause_ms = self.last_event_at.map(|_| clock::ms(self.longest_gap)),
             took_ms = took,
-            why = %self.why,
+            why = %self.reason,
             "ended"
         );
     }
--- /dev/null
+++ b/crates/sesamegap-entry/src/relay/retry.rs
@@ -0,0 +1,138 @@
+//! Tracks the attempts of a request and decides whether it may be retried.
+
+use super::Job;
+use super::attempt::NotRun;
+use crate::clock;
+use crate::core::Core;
+use crate::fleet::{Flight, PromptShape, Selection, Upstream};
+use crate::intake::Refusal;
+use crate::placing;
+use sesamegap_policy::routing::Availability;
+use sesamegap_wire::{ServiceId, UpstreamId};
+use std::time::Duration;
+
+/// Least time left for which a retry is worthwhile.
+pub const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(30);
+
+/// Refusals by upstreams after which the request is refused: the next upstream is most likely full too, and
+/// each retry counts against the fleet's retry budget.
+const MAX_REFUSALS: u32 = 3;
+
+/// Failed connects after which the request is refused.
+const MAX_CONNECT_FAILURES: u32 = 4;
+
+/// The attempts of one request so far.
+#[derive(Debug)]
+pub struct RetryState {
+    /// The target service.
+    pub service: ServiceId,
+    /// The prompt's shape, if the request is a prompt.
+    pub shape: Option<PromptShape>,
+    /// Attempts that may have run.
+    pub runs: u32,
+    excluded: Vec<UpstreamId>,
+    possibly_run_at: Vec<UpstreamId>,
+    refusals: u32,
+    connect_failures: u32,
+}
+
+impl RetryState {
+    /// The state of a request that has not been sent.
+    pub fn new(job: &Job) -> Self {
+        Self {
+            service: job.service().clone(),
+            shape: job.prompt_shape(),
+            runs: 0,
+            excluded: Vec::new(),
+            possibly_run_at: Vec::new(),
+            refusals: 0,
+            connect_failures: 0,
+        }
+    }
+
+    /// Chooses the next upstream; for a request on trial, the one with the fewest requests.
+    pub async fn choose(&self, core: &Core, job: &Job, on_trial: bool) -> Option<Flight> {
+        let spread = usize::try_from(job.hash() >> 40).unwrap_or(0);
+        let settings = core.settings();
+        let selection = Selection {
+            service: &self.service,
+            domain: &settings.domain,
+            stores: job.catalogue.kv_stores(),
+            shape: self.shape.as_ref(),
+            tried: &self.excluded,
+            spread,
+            shard: None,
+            apart: on_trial,
+        };
+        placing::choose(core, &selection, job.time_left()).await
+    }
+
+    /// Records that the request did not run at `at`; returns whether to try another upstream.
+    pub fn retry_after_not_run(&mut self, core: &Core, at: UpstreamId, why: NotRun) -> bool {
+        // Its weights are known now, so the same engine may be chosen again.
+        if why != NotRun::OtherWeights {
+            self.excluded.push(at);
+        }
+        match why {
+            NotRun::Unreached => {
+                self.connect_failures += 1;
+                self.connect_failures < MAX_CONNECT_FAILURES
+            }
+            NotRun::Refused | NotRun::OtherWeights => {
+                self.refusals += 1;
+                self.refusals < MAX_REFUSALS && core.may_repeat(&self.service)
+            }
+        }
+    }
+
+    /// Records that the request may have run at `at`; returns whether it may be sent again.
+    pub fn retry_after_run(&mut self, core: &Core, job: &Job, at: UpstreamId) -> bool {
+        self.record_run(at);
+        self.can_run_again(job) && core.may_repeat(&self.service)
+    }
+
+    /// Records that the request may have run at an upstream.
+    pub fn record_run(&mut self, at: UpstreamId) {
+        self.excluded.push(at.clone());
+        self.possibly_run_at.push(at);
+        self.runs += 1;
+    }
+
+    /// Whether the route and the time left allow another run.
+    pub fn can_run_again(&self, job: &Job) -> bool {
+        let allowed = job.route.kind.repeats() && self.runs < job.route.attempts;
+        allowed && job.time_left() > MIN_ATTEMPT_TIME
+    }
+
+    /// The error response if no upstream accepted the request.
+    pub fn no_upstream(&self) -> Refusal {
+        self.refusal_unless_run(Refusal::NoUpstream)
+    }
+
+    /// The error response for a refusal that tells the caller the request did not run.
+    pub fn refusal_unless_run(&self, refusal: Refusal) -> Refusal {
+        // That would be false once the request may have run.
+        if self.runs == 0 {
+            refusal
+        } else {
+            Refusal::Lost
+        }
+    }
+
+    /// Makes upstreams that refused the request eligible again. Those where it may have run stay excluded.
+    pub fn reset_refusals(&mut self) {
+        self.refusals = 0;
+        self.connect_failures = 0;
+        self.excluded.clone_from(&self.possibly_run_at);
+    }
+
+    /// Whether an upstream other than `except` is available for the request.
+    pub fn has_other_upstream(&self, core: &Core, except: Option<&UpstreamId>) -> bool {
+        let now = clock::now();
+        let fleet = core.fleet.lock();
+        let mut others = fleet.of(&self.service).filter(|up| Some(&up.id) != except);
+        let shape = self.shape.as_ref();
+        let is_open = |up: &Upstream| fleet.openness_for(up, shape, now) == Availability::Open;
+        others.any(|up| is_open(up) && !self.excluded.contains(&up.id))
+    }
+}
--- a/crates/sesamegap-entry/src/relay/sse.rs
+++ b/crates/sesamegap-entry/src/relay/sse.rs
@@ -1,63 +1,63 @@
-//! Cuts a stream of events at the ends of events.
+//! Splits a server-sent event stream at event boundaries.
 //!
-//! Upstreams stop in the middle of an event. Only whole events go to the caller, so that a stream
-//! that goes on elsewhere joins without a seam.
+//! An upstream may break off within an event. Only complete events are sent to the caller, so that the stream can
+//! be resumed at another upstream.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most; a longer one is not of this protocol.
-const LONGEST: usize = 256 << 10;
+/// Largest event, in bytes; a longer one is not valid in this protocol.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Whole events that came together.
+/// Complete events that were read together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventBatch {
-    /// Their bytes.
+    /// The events as received.
     pub bytes: Bytes,
-    /// Ids of those that have one.
+    /// Numeric ids of the events that have one.
     pub ids: Vec<u64>,
 }
 
-/// What was read of a stream and not passed on yet.
+/// Buffers a stream up to the next event boundary.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
-/// A stream that is not made of events of bearable length.
+/// An event exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
 impl EventSplitter {
-    /// Takes in bytes and gives back the events that are whole now.
+    /// Appends bytes and returns the events that are complete now.
     ///
     /// # Errors
-    /// If an event is too long.
+    /// If an incomplete event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<EventBatch>, EventTooLong> {
-        self.held.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.held) else {
-            return if self.held.len() > LONGEST {
+        self.buffer.extend_from_slice(bytes);
+        let Some(end) = end_of_last_event(&self.buffer) else {
+            return if self.buffer.len() > MAX_EVENT_BYTES {
                 Err(EventTooLong)
             } else {
                 Ok(None)
             };
         };
-        let whole = self.held.split_to(end).freeze();
+        let whole = self.buffer.split_to(end).freeze();
         let ids = whole.split(|byte| *byte == b'\n').filter_map(id).collect();
         Ok(Some(EventBatch { bytes: whole, ids }))
     }
 
-    /// Whether part of an event is held.
+    /// Whether part of an event is buffered.
     pub fn is_partial(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 }
 
-/// Where the last whole event ends: after an empty line.
-fn last_end(held: &[u8]) -> Option<usize> {
+/// The end of the last complete event, which is after an empty line.
+fn end_of_last_event(buffer: &[u8]) -> Option<usize> {
     let mut line_empty = false;
-    for at in (0..held.len()).rev() {
-        match held[at] {
-            b'\n' if line_empty => return Some(following(held, at)),
+    for at in (0..buffer.len()).rev() {
+        match buffer[at] {
+            b'\n' if line_empty => return Some(end_of_next_line(buffer, at)),
             b'\n' => line_empty = true,
             b'\r' => {}
             _ => line_empty = false,
@@ -66,14 +66,14 @@
     None
 }
 
-/// The end of the empty line that follows the line end at `at`.
-fn following(held: &[u8], at: usize) -> usize {
-    let rest = &held[at + 1..];
+/// The end of the line that follows the line feed at `at`.
+fn end_of_next_line(buffer: &[u8], at: usize) -> usize {
+    let rest = &buffer[at + 1..];
     let skipped = rest.iter().position(|byte| *byte == b'\n').unwrap_or(0);
     at + 1 + skipped + 1
 }
 
-/// The number in an `id` line.
+/// Parses the number of an `id` line.
 fn id(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(b"id:")?;
     let text = std::str::from_utf8(value).ok()?;
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -1,18 +1,19 @@
-//! Streams of events, passed on as they come.
+//! Relays event streams.
 //!
-//! The head goes to the caller with the first whole event, since until then a request that may be
-//! repeated can still go elsewhere unseen. A resumable stream that breaks off is gone on with at
-//! another upstream after the last event that was passed on; any other is broken off to the
-//! caller, which must not look like its end.
+//! The head is sent to the caller with the first complete event; until then a retryable request can move to
+//! another upstream unnoticed. A resumable stream that breaks off continues at another upstream after the last
+//! event sent to the caller. Any other is aborted so that the caller does not take it for complete.
 
 use super::Job;
-use super::attempt::{Answered, OUTDATED, Outcome, READY, is_false_promise, send};
+use super::attempt::{
+    Answered, Outcome, READ_GRACE, WEIGHTS_EXPIRED, falsely_implies_not_run, send,
+};
 use super::loss::{self, BrokenAnswer};
-use super::plain::respond;
-use super::progress::Progress;
+use super::plain::caller_response;
 use super::request_log::RequestLog;
-use super::sse::{EventSplitter, EventBatch};
-use super::waiting::upstream;
+use super::retry::RetryState;
+use super::sse::{EventBatch, EventSplitter};
+use super::waiting::wait_for_upstream;
 use crate::catalogue::Kind;
 use crate::clock;
 use crate::core::Core;
@@ -32,15 +33,15 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tracing::warn;
 
-/// How often a silent stream's outlook is taken anew: engines come and go meanwhile.
-const LOOK: Duration = Duration::from_millis(300);
+/// How often a waiting stream rechecks its deadlines, which change as engines join and leave.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Pause before a stream that broke off is tried at all engines again.
-const AGAIN: Duration = Duration::from_millis(150);
+/// Delay before all engines are tried again to resume a stream.
+const RESUME_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// A stream that has begun at an upstream.
+/// An event stream from an upstream.
 #[derive(Debug)]
-struct Live {
+struct UpstreamStream {
     flight: Flight,
     /// When the request was sent.
     sent: Instant,
@@ -49,188 +50,194 @@
     splitter: EventSplitter,
     status: StatusCode,
     headers: HeaderMap,
-    first: Option<EventBatch>,
-    /// Whether any byte of its body has come.
-    begun: bool,
-    /// Whether a whole event has come.
-    started: bool,
+    first_events: Option<EventBatch>,
+    /// Whether any byte of the body has arrived.
+    body_begun: bool,
+    /// Whether a complete event has arrived.
+    event_received: bool,
 }
 
-/// What an upstream came up with.
+/// An upstream's response to a stream request.
 #[derive(Debug)]
 enum Opened {
-    /// Events.
-    Live(Box<Live>),
-    /// A whole answer that is not a stream.
+    /// An event stream.
+    Stream(Box<UpstreamStream>),
+    /// A complete response that is not a stream.
     Whole(Response<Body>),
 }
 
-/// A request for a stream on its way.
+/// A stream request with its attempts so far.
 #[derive(Debug)]
-struct Relay {
+struct StreamRelay {
     core: Arc<Core>,
     job: Job,
-    progress: Progress,
-    /// Last event that was passed on.
-    passed: Option<u64>,
+    retry: RetryState,
+    /// Id of the last event sent to the caller.
+    last_event_id: Option<u64>,
 }
 
-/// Relays a request for a stream.
+/// Relays a stream request.
 pub async fn run(core: Arc<Core>, job: Job) -> Response<Body> {
     let mut log = RequestLog::new(&core, &job);
-    let progress = Progress::new(&job);
-    let mut relay = Relay {
+    let retry = RetryState::new(&job);
+    let mut relay = StreamRelay {
         core,
         job,
-        progress,
-        passed: None,
+        retry,
+        last_event_id: None,
     };
     match relay.open().await {
-        Ok(Opened::Live(live)) => {
-            log.first();
-            let status = live.status;
-            let headers = live.headers.clone();
-            let body = StreamBody::new(flow(relay, *live, log)).boxed_unsync();
-            respond(status, &headers, body)
+        Ok(Opened::Stream(stream)) => {
+            log.record_first_event();
+            let status = stream.status;
+            let headers = stream.headers.clone();
+            let body = StreamBody::new(relay_body(relay, *stream, log)).boxed_unsync();
+            caller_response(status, &headers, body)
         }
         Ok(Opened::Whole(response)) => {
-            log.end(response.status().as_u16(), relay.progress.runs + 1, "");
+            log.record_end(response.status().as_u16(), relay.retry.runs + 1, "");
             response
         }
         Err(refusal) => {
             let status = refusal.status().as_u16();
-            log.end(status, relay.progress.runs, refusal.to_string());
+            log.record_end(status, relay.retry.runs, refusal.to_string());
             refuse(refusal)
         }
     }
 }
 
-/// The body of the answer: events of one upstream after another.
-fn flow(
-    mut relay: Relay,
-    mut live: Live,
+/// The response body: events of one upstream, continued at others after failures.
+fn relay_body(
+    mut relay: StreamRelay,
+    mut stream: UpstreamStream,
     mut log: RequestLog,
 ) -> impl futures_util::Stream<Item = io::Result<Frame<Bytes>>> + Send {
     async_stream::stream! {
         loop {
-            match relay.next(&mut live).await {
+            match relay.next_events(&mut stream).await {
                 Ok(Some(bytes)) => {
-                    log.passed();
+                    log.record_events();
                     yield Ok(Frame::data(bytes));
                 }
                 Ok(None) => {
                     relay.core.quarantine.succeeded(relay.job.fingerprint());
-                    log.end(live.status.as_u16(), relay.progress.runs + 1, "");
+                    log.record_end(stream.status.as_u16(), relay.retry.runs + 1, "");
                     return;
                 }
                 Err(why) => {
-                    let next = relay.go_on(live, &why).await;
+                    let next = relay.resume(stream, &why).await;
                     let Some(next) = next else {
-                        // Its head went out as a success, whatever became of the rest.
-                        log.end(StatusCode::OK.as_u16(), relay.progress.runs, why.clone());
+                        // The head was sent with a success status before the stream failed.
+                        log.record_end(StatusCode::OK.as_u16(), relay.retry.runs, why.clone());
                         yield Err(io::Error::other(why));
                         return;
                     };
-                    live = next;
+                    stream = next;
                 }
             }
         }
     }
 }
 
-impl Live {
-    /// Time until it is taken back; none once it has begun, which spares the look at each of its events.
+impl UpstreamStream {
+    /// Time until the request is withdrawn because its weights expire. Returns `None` without locking the fleet
+    /// once the response has begun, as it is called for each event.
     fn left_to_begin(&self) -> Option<Duration> {
-        if self.begun {
+        if self.body_begun {
             return None;
         }
         self.flight.left_to_begin(clock::now())
     }
 
-    /// Whether it waits at an engine whose weights it may not begin on any more.
-    fn is_outdated(&self) -> bool {
+    /// Whether the response has not begun and the engine's weights must no longer be used.
+    fn weights_expired(&self) -> bool {
         self.left_to_begin().is_some_and(|left| left.is_zero())
     }
 
-    /// When its outlook is taken anew.
-    fn next_look(&self) -> Instant {
-        let left = self.left_to_begin().map_or(LOOK, |left| left.min(LOOK));
-        Instant::now() + left.max(READY)
+    /// When to recheck the deadlines.
+    fn next_check(&self) -> Instant {
+        let left = self
+            .left_to_begin()
+            .map_or(RECHECK_INTERVAL, |left| left.min(RECHECK_INTERVAL));
+        Instant::now() + left.max(READ_GRACE)
     }
 }
 
-impl Relay {
-    /// Sends the request until an upstream begins to answer.
+impl StreamRelay {
+    /// Sends the request until an upstream responds.
     async fn open(&mut self) -> Result<Opened, Refusal> {
         loop {
-            let flight = upstream(&self.core, &self.job, &self.progress).await?;
-            let time = self.head_patience(&flight.id);
-            let (id, outcome) = send(&self.core, &self.job, flight, time, self.passed).await;
+            let flight = wait_for_upstream(&self.core, &self.job, &self.retry).await?;
+            let time = self.head_timeout(&flight.id);
+            let (id, outcome) = send(&self.core, &self.job, flight, time, self.last_event_id).await;
             match outcome {
-                Outcome::Answered(answered) => match self.begin(*answered).await {
+                Outcome::Answered(answered) => match self.read_head(*answered).await {
                     Ok(opened) => return Ok(opened),
                     Err(why) => {
-                        warn!(event = events::ATTEMPT, request = %self.job.head.id, upstream = %id, why, "no stream");
+                        warn!(event = events::ATTEMPT, request = %self.job.head.id, upstream = %id, why, "invalid response to a stream request");
                     }
                 },
                 Outcome::NotRun(why) => {
-                    if !self.progress.after_not_run(&self.core, id, why) {
-                        return Err(self.progress.unserved());
+                    if !self.retry.retry_after_not_run(&self.core, id, why) {
+                        return Err(self.retry.no_upstream());
                     }
                     continue;
                 }
                 Outcome::Lost(_) => {}
             }
-            if !self.progress.after_run(&self.core, &self.job, id) {
-                return Err(self.job.lost());
+            if !self.retry.retry_after_run(&self.core, &self.job, id) {
+                return Err(self.job.lost_refusal());
             }
         }
     }
 
-    fn head_patience(&self, at: &UpstreamId) -> Duration {
-        // Without another to go to, giving up the one that was chosen only loses its answer.
-        if self.may_move() && self.progress.has_other(&self.core, Some(at)) {
+    fn head_timeout(&self, at: &UpstreamId) -> Duration {
+        // Without an alternative, abandoning the upstream would only lose its response.
+        if self.can_move() && self.retry.has_other_upstream(&self.core, Some(at)) {
             timeouts::FIRST_EVENT_BUSY
         } else {
             self.job.time_left()
         }
     }
 
-    fn may_move(&self) -> bool {
+    fn can_move(&self) -> bool {
         let route = &self.job.route;
-        route.kind == Kind::ResumableStream && self.progress.runs + 1 < route.attempts
+        route.kind == Kind::ResumableStream && self.retry.runs + 1 < route.attempts
     }
 
-    /// Reads up to the first whole event.
-    async fn begin(&mut self, answered: Answered) -> Result<Opened, String> {
+    /// Reads up to the first complete event, or an error response to its end.
+    async fn read_head(&mut self, answered: Answered) -> Result<Opened, String> {
         let Answered {
             mut flight,
             exchange,
             sent,
         } = answered;
         let (head, body) = exchange.response.into_parts();
-        if is_false_promise(self.job.route.kind, head.status) {
+        if falsely_implies_not_run(self.job.route.kind, head.status) {
             return Err(format!(
-                "{} from an upstream that may have run it",
+                "status {} from an upstream that may have run the request",
                 head.status
             ));
         }
         if !head.status.is_success() {
             let read = timeout_at(self.job.deadline, body.collect()).await;
-            let body = match read.map_err(|_| "no body in time".to_owned())? {
+            let body = match read
+                .map_err(|_| "response body did not end before the deadline".to_owned())?
+            {
                 Ok(body) => body.to_bytes(),
                 Err(error) => {
-                    loss::broke(&self.core, &self.job, &mut flight, sent, true).await;
+                    loss::report_broken_connection(&self.core, &self.job, &mut flight, sent, true)
+                        .await;
                     return Err(error.to_string());
                 }
             };
-            return Ok(Opened::Whole(respond(
+            return Ok(Opened::Whole(caller_response(
                 head.status,
                 &head.headers,
                 full(body),
             )));
         }
-        let mut live = Live {
+        let mut stream = UpstreamStream {
             flight,
             sent,
             body,
@@ -238,130 +245,150 @@
             splitter: EventSplitter::default(),
             status: head.status,
             headers: head.headers,
-            first: None,
-            begun: false,
-            started: false,
+            first_events: None,
+            body_begun: false,
+            event_received: false,
         };
-        let first = self.read(&mut live).await?;
-        live.first = Some(first.unwrap_or(EventBatch {
+        let first = self.read_events(&mut stream).await?;
+        stream.first_events = Some(first.unwrap_or(EventBatch {
             bytes: Bytes::new(),
             ids: Vec::new(),
         }));
-        Ok(Opened::Live(Box::new(live)))
+        Ok(Opened::Stream(Box::new(stream)))
     }
 
-    /// The next events to pass on; none at the end of the stream.
-    async fn next(&mut self, live: &mut Live) -> Result<Option<Bytes>, String> {
-        let events = match live.first.take() {
+    /// The next events for the caller; `None` at the end of the stream.
+    async fn next_events(&mut self, stream: &mut UpstreamStream) -> Result<Option<Bytes>, String> {
+        let events = match stream.first_events.take() {
             Some(events) => Some(events),
-            None => self.read(live).await?,
+            None => self.read_events(stream).await?,
         };
         let Some(events) = events else {
             return Ok(None);
         };
-        self.follows(&events)?;
+        self.check_order(&events)?;
         Ok(Some(events.bytes))
     }
 
-    /// Checks that events go on where the last ones ended.
-    fn follows(&mut self, events: &EventBatch) -> Result<(), String> {
+    /// Checks that event ids continue without gaps or repeats.
+    fn check_order(&mut self, events: &EventBatch) -> Result<(), String> {
         for id in &events.ids {
-            if let Some(passed) = self.passed
-                && *id != passed + 1
+            if let Some(last) = self.last_event_id
+                && *id != last + 1
             {
-                return Err(format!("event {id} after event {passed}"));
+                return Err(format!("event {id} arrived after event {last}"));
             }
-            self.passed = Some(*id);
+            self.last_event_id = Some(*id);
         }
         Ok(())
     }
 
-    /// Reads events from an upstream.
-    async fn read(&self, live: &mut Live) -> Result<Option<EventBatch>, String> {
-        let mut since = Instant::now();
+    /// Reads the next complete events from an upstream; `None` at the end of the stream.
+    async fn read_events(&self, stream: &mut UpstreamStream) -> Result<Option<EventBatch>, String> {
+        let mut silent_since = Instant::now();
         loop {
-            let until = self.silent_until(live, since).min(live.next_look());
-            let frame = match timeout_at(until, live.body.frame()).await {
+            let until = self
+                .silence_deadline(stream, silent_since)
+                .min(stream.next_check());
+            let frame = match timeout_at(until, stream.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(error))) => return Err(self.broken(live, &error.to_string()).await),
-                Ok(None) if live.splitter.is_partial() => {
-                    return Err(self.broken(live, "ended within an event").await);
+                Ok(Some(Err(error))) => {
+                    return Err(self.report_broken(stream, &error.to_string()).await);
+                }
+                Ok(None) if stream.splitter.is_partial() => {
+                    return Err(self
+                        .report_broken(stream, "stream ended within an event")
+                        .await);
                 }
                 Ok(None) => return Ok(None),
-                Err(_) if Instant::now() >= self.job.deadline => return Err("time is over".to_owned()),
-                Err(_) if live.is_outdated() => return Err(OUTDATED.to_owned()),
-                Err(_) if Instant::now() < self.silent_until(live, since) => continue,
-                Err(_) if Self::is_heard(live, since) => {
-                    return Err("its stream went silent".to_owned());
+                Err(_) if Instant::now() >= self.job.deadline => {
+                    return Err("request deadline expired".to_owned());
+                }
+                Err(_) if stream.weights_expired() => return Err(WEIGHTS_EXPIRED.to_owned()),
+                Err(_) if Instant::now() < self.silence_deadline(stream, silent_since) => continue,
+                Err(_) if Self::is_heard_elsewhere(stream, silent_since) => {
+                    return Err(
+                        "stream went silent while its upstream sent on other connections"
+                            .to_owned(),
+                    );
                 }
                 Err(_) => {
-                    live.flight.failed(clock::now());
-                    let loss =
-                        BrokenAnswer::new(&self.job, &mut live.flight, live.sent, live.begun);
-                    loss.silent(&self.core);
-                    return Err("the upstream went silent".to_owned());
+                    stream.flight.failed(clock::now());
+                    let loss = BrokenAnswer::new(
+                        &self.job,
+                        &mut stream.flight,
+                        stream.sent,
+                        stream.body_begun,
+                    );
+                    loss.report_silence(&self.core);
+                    return Err("upstream went silent".to_owned());
                 }
             };
-            live.flight.heard(clock::now());
-            since = Instant::now();
+            stream.flight.heard(clock::now());
+            silent_since = Instant::now();
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            live.begun = true;
-            let events = live.splitter.push(&data);
-            if let Some(events) = events.map_err(|_| "an event is too long".to_owned())? {
-                live.started = true;
+            stream.body_begun = true;
+            let events = stream.splitter.push(&data);
+            if let Some(events) = events.map_err(|_| "event exceeds the size limit".to_owned())? {
+                stream.event_received = true;
                 return Ok(Some(events));
             }
         }
     }
 
-    /// Notes that a stream's connection broke; why it ends.
-    async fn broken(&self, live: &mut Live, why: &str) -> String {
-        let (sent, begun) = (live.sent, live.begun);
-        loss::broke(&self.core, &self.job, &mut live.flight, sent, begun).await;
+    /// Reports that a stream's connection broke, and returns the reason.
+    async fn report_broken(&self, stream: &mut UpstreamStream, why: &str) -> String {
+        let (sent, body_begun) = (stream.sent, stream.body_begun);
+        loss::report_broken_connection(&self.core, &self.job, &mut stream.flight, sent, body_begun)
+            .await;
         why.to_owned()
     }
 
-    /// Until when silence is borne.
-    fn silent_until(&self, live: &Live, since: Instant) -> Instant {
-        // Silence alone ends no answer: without another engine to go on at, it may still come.
-        if !self.may_move() || !self.progress.has_other(&self.core, Some(&live.flight.id)) {
+    /// Until when silence is tolerated.
+    fn silence_deadline(&self, stream: &UpstreamStream, silent_since: Instant) -> Instant {
+        // Without another engine to resume at, waiting is better: the response may still continue.
+        if !self.can_move()
+            || !self
+                .retry
+                .has_other_upstream(&self.core, Some(&stream.flight.id))
+        {
             return self.job.deadline;
         }
-        let heard = Self::is_heard(live, since);
-        let borne = timeouts::stream(live.started, heard);
-        self.job.deadline.min(since + borne)
+        let heard_elsewhere = Self::is_heard_elsewhere(stream, silent_since);
+        let tolerated = timeouts::stream(stream.event_received, heard_elsewhere);
+        self.job.deadline.min(silent_since + tolerated)
     }
 
-    /// Whether the upstream was heard on another connection since.
-    fn is_heard(live: &Live, since: Instant) -> bool {
-        let silent = clock::now().since(live.flight.last_heard());
-        silent + Duration::from_millis(1) < since.elapsed()
+    /// Whether bytes arrived from the upstream on another connection since.
+    fn is_heard_elsewhere(stream: &UpstreamStream, silent_since: Instant) -> bool {
+        let silent = clock::now().since(stream.flight.last_heard());
+        silent + Duration::from_millis(1) < silent_since.elapsed()
     }
 
-    /// Goes on at another upstream after a stream broke off.
-    async fn go_on(&mut self, live: Live, why: &str) -> Option<Live> {
-        let id = live.flight.id.clone();
-        warn!(event = events::ATTEMPT, request = %self.job.head.id, upstream = %id, why, passed = self.passed, "stream broke off");
-        // Closes the connection first: two upstreams must not work on one request.
-        drop(live);
-        // Before the first event there is nothing to go on from.
-        self.passed?;
-        self.progress.ran(id);
-        while self.progress.may_run_again(&self.job) {
-            // Only a try that can be made counts against the fleet's bound.
-            let other = self.progress.has_other(&self.core, None);
-            if other && self.core.may_repeat(&self.progress.service) {
+    /// Resumes a stream that broke off at another upstream.
+    async fn resume(&mut self, stream: UpstreamStream, why: &str) -> Option<UpstreamStream> {
+        let id = stream.flight.id.clone();
+        warn!(event = events::ATTEMPT, request = %self.job.head.id, upstream = %id, why, passed = self.last_event_id, "stream broke off");
+        // Closes the connection so that two upstreams do not work on one request.
+        drop(stream);
+        // Without an event id there is no position to resume from.
+        self.last_event_id?;
+        self.retry.record_run(id);
+        while self.retry.can_run_again(&self.job) {
+            // Counts against the retry budget only if an upstream is available.
+            let other = self.retry.has_other_upstream(&self.core, None);
+            if other && self.core.may_repeat(&self.retry.service) {
                 match self.open().await {
-                    Ok(Opened::Live(live)) => return Some(*live),
+                    Ok(Opened::Stream(stream)) => return Some(*stream),
                     Ok(Opened::Whole(_)) => return None,
                     Err(_) => {}
                 }
             }
-            // The caller has part of its answer, and nothing but the rest is of use to it.
-            self.progress.forgive();
-            sleep(AGAIN).await;
+            // The caller has part of the response and needs the rest, so all engines are tried again.
+            self.retry.reset_refusals();
+            sleep(RESUME_RETRY_DELAY).await;
         }
         None
     }
--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -1,4 +1,4 @@
-//! Which transfers of cached parts a prompt is worth.
+//! Decides which KV cache transfers a prompt is worth.
 
 use super::Job;
 use crate::catalogue::KvStore;
@@ -11,17 +11,17 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::net::SocketAddr;
 
-/// Where cached parts come from and go to.
+/// Source and destination of KV cache transfers.
 #[derive(Debug, Default)]
 pub struct Transfer {
-    /// Where the engine fetches from.
+    /// Address that the engine fetches from.
     pub fetch: Option<SocketAddr>,
-    /// Where the engine saves to.
+    /// Address that the engine saves to.
     pub save: Option<SocketAddr>,
 }
 
-/// Decides which transfers a prompt is worth, and counts what it fetches from a store.
-pub fn transfer(core: &Core, job: &Job, flight: &mut Flight) -> Transfer {
+/// Plans the transfers for a prompt, and counts a fetch from a kept-KV store as in flight there.
+pub fn plan_transfer(core: &Core, job: &Job, flight: &mut Flight) -> Transfer {
     let Some((own, shared)) = job.head.parts.split_last() else {
         return Transfer::default();
     };
@@ -29,7 +29,7 @@
     let store = KvStore::nearest(job.catalogue.kv_stores(), &flight.domain);
     let store = store.filter(|store| !core.fleet.lock().is_store_out(store.addr, now));
     let tokens: u64 = shared.iter().map(|part| part.tokens.0).sum();
-    let wish = transfers::plan(&PlacedPrompt {
+    let plan = transfers::plan(&PlacedPrompt {
         shared: tokens,
         own: own.tokens.0,
         served: flight.last_served().map(|at| now.since(at)),
@@ -40,19 +40,25 @@
             engines: flight.engines,
         }),
     });
-    if wish.from_store {
-        flight.on_way = store.and_then(|store| on_way(core, job, flight, store, tokens));
+    if plan.from_store {
+        flight.on_way = store.and_then(|store| start_fetch(core, job, flight, store, tokens));
     }
     let store = store.map(|store| store.addr);
-    let from_engine = flight.source.filter(|_| wish.from_engine);
+    let from_engine = flight.source.filter(|_| plan.from_engine);
     Transfer {
         fetch: store.filter(|_| flight.on_way.is_some()).or(from_engine),
-        save: store.filter(|_| wish.save),
+        save: store.filter(|_| plan.save),
     }
 }
 
-/// Asks a store for tokens, unless they would arrive too late for the caller.
-fn on_way(core: &Core, job: &Job, flight: &Flight, store: &KvStore, tokens: u64) -> Option<OnWay> {
+/// Counts a fetch at a store, unless it would finish too late for the latency objective.
+fn start_fetch(
+    core: &Core,
+    job: &Job,
+    flight: &Flight,
+    store: &KvStore,
+    tokens: u64,
+) -> Option<OnWay> {
     let service = job.catalogue.service(job.service());
     let engine = service.and_then(|service| service.engine.as_ref());
     let token_bytes = engine.map_or(0, |engine| engine.token_bytes);
@@ -68,8 +74,8 @@
     arrives.then(|| OnWay::new(&core.fleet, store.addr, tokens))
 }
 
-/// Cache entries are found only under the weights that made them and, for isolated teams, the team.
-pub fn namespace(weights: Option<WeightsVersion>, team: Option<&str>) -> SmolStr {
+/// Cache namespace of the weights that computed the entries and, for isolated teams, of the team.
+pub fn cache_namespace(weights: Option<WeightsVersion>, team: Option<&str>) -> SmolStr {
     let version = weights.unwrap_or_default();
     if let Some(team) = team {
         format_smolstr!("w{version}.{team}")
--- a/crates/sesamegap-entry/src/relay/waiting.rs
+++ b/crates/sesamegap-entry/src/relay/waiting.rs
@@ -1,11 +1,12 @@
-//! How a request waits while no upstream can take it.
+//! Waits briefly for an upstream when none is available.
 //!
-//! Load: for a moment all upstreams of a service take new weights, are full, or leave, or another suspect
-//! is on trial. Prevents refusals for what a moment's wait would serve, and callers held for nothing. An
-//! eighth of the objective is waited, then the caller is told when to come back.
+//! All upstreams of a service may be loading weights, full or draining, or another suspect request may be on
+//! trial. Such states often end within moments, so refusing at once would fail requests that a short wait would
+//! serve; a long wait would only keep the caller from retrying. After an eighth of the latency objective the
+//! request is refused with a `Retry-After` time.
 
 use super::Job;
-use super::progress::Progress;
+use super::retry::RetryState;
 use crate::core::Core;
 use crate::fleet::Flight;
 use crate::intake::Refusal;
@@ -14,45 +15,51 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Part of the objective that is waited for an upstream.
-const PART: u32 = 8;
+/// Fraction of the latency objective to wait for an upstream, as a divisor.
+const WAIT_DIVISOR: u32 = 8;
 
-/// How often the fleet is looked at again; a few typical answers.
-const LOOK: Duration = Duration::from_millis(15);
+/// How often the fleet is checked again; the duration of a few typical responses.
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// How often a suspect asks for its trial: after a lost rack hundreds of them ask one VM.
-const ASK: Duration = Duration::from_millis(60);
+/// How often a suspect request asks for its trial. After the loss of a rack, hundreds of them ask one VM.
+const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The upstream for a request, waiting a little if none is open.
+/// Chooses the upstream for a request, waiting briefly if none is available.
 ///
 /// # Errors
-/// What to answer if there is none, or the request may not run.
-pub async fn upstream(core: &Arc<Core>, job: &Job, progress: &Progress) -> Result<Flight, Refusal> {
-    let until = job.deadline.min(Instant::now() + job.route.objective / PART);
+/// If no upstream becomes available or the request must not run; the error is the caller's response.
+pub async fn wait_for_upstream(
+    core: &Arc<Core>,
+    job: &Job,
+    retry: &RetryState,
+) -> Result<Flight, Refusal> {
+    let deadline = job
+        .deadline
+        .min(Instant::now() + job.route.objective / WAIT_DIVISOR);
     loop {
-        let mut pause = LOOK;
+        let mut poll_interval = POLL_INTERVAL;
         let refusal = match admit(core, job).await {
-            Admission::Free => match progress.choose(core, job, false).await {
+            Admission::Free => match retry.choose(core, job, false).await {
                 Some(flight) => return Ok(flight),
                 None => Refusal::NoUpstream,
             },
             Admission::Trial(permit) => {
-                if let Some(mut flight) = progress.choose(core, job, true).await {
+                if let Some(mut flight) = retry.choose(core, job, true).await {
                     flight.permit = Some(permit);
                     return Ok(flight);
                 }
-                pause = ASK;
+                poll_interval = TRIAL_POLL_INTERVAL;
                 Refusal::NoUpstream
             }
             Admission::Deferred => {
-                pause = ASK;
+                poll_interval = TRIAL_POLL_INTERVAL;
                 Refusal::Suspect
             }
-            Admission::Refused => return Err(progress.refused(Refusal::Quarantined)),
+            Admission::Refused => return Err(retry.refusal_unless_run(Refusal::Quarantined)),
         };
-        if Instant::now() + pause >= until {
-            return Err(progress.refused(refusal));
+        if Instant::now() + poll_interval >= deadline {
+            return Err(retry.refusal_unless_run(refusal));
         }
-        sleep(pause).await;
+        sleep(poll_interval).await;
     }
 }
