--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -171,7 +171,7 @@
             let time = self.head_timeout(&flight.id);
             let (id, outcome) = send(&self.core, &self.job, flight, time, self.last_event_id).await;
             match outcome {
-                Outcome::Answered(answered) => match self.read_head(*answered).await {
+                Outcome::Answered(answered) => match self.read_start(*answered).await {
                     Ok(opened) => return Ok(opened),
                     Err(why) => {
                         warn!(event = events::ATTEMPT, request = %self.job.head.id, upstream = %id, why, "invalid response to a stream request");
@@ -206,7 +206,7 @@
     }
 
     /// Reads up to the first complete event, or an error response to its end.
-    async fn read_head(&mut self, answered: Answered) -> Result<Opened, String> {
+    async fn read_start(&mut self, answered: Answered) -> Result<Opened, String> {
         let Answered {
             mut flight,
             exchange,
