--- a/crates/sesamegap-entry/tests/testsuite/sse.rs
+++ b/crates/sesamegap-entry/tests/testsuite/sse.rs
@@ -1,9 +1,9 @@
 use sesamegap_entry::relay::sse::EventSplitter;
 
-/// Bytes arrive cut at any place. An event passed on in two pieces could end in a crash between
-/// them, and the stream could not be joined elsewhere.
+/// Bytes arrive split at any position. If an event were forwarded in two pieces and the engine crashed in
+/// between, the stream could not be resumed elsewhere.
 #[test]
-fn events_come_out_whole_wherever_the_bytes_are_cut() {
+fn events_are_complete_wherever_the_bytes_are_split() {
     let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nversion: 3\nid: 3\ndata: c\n\n";
     for size in 1..text.len() {
         let mut splitter = EventSplitter::default();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_event_that_never_ends_is_refused() {
+fn an_event_over_the_size_limit_is_rejected() {
     let mut splitter = EventSplitter::default();
     let piece = vec![b'x'; 64 << 10];
     assert!((0..8).any(|_| splitter.push(&piece).is_err()));
