--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test]
-async fn events_go_to_the_caller_in_order() {
+async fn events_reach_the_caller_in_order() {
     let process = Process::new().await;
     let engine = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", engine.addr);
@@ -26,10 +26,10 @@
     );
 }
 
-/// An engine has new weights, and this VM, cut off from its peers, has not heard of it. Its callers
-/// would be told to come back while the engine is free, until the list tells of the weights.
+/// An engine has loaded new weights, and this VM is partitioned from its peers and does not know. Without the
+/// retry, callers would get a 503 although the engine is free, until the fleet table reports the weights.
 #[tokio::test]
-async fn an_engine_that_has_other_weights_is_asked_again_for_those() {
+async fn a_prompt_is_retried_with_the_weights_that_the_engine_reports() {
     let process = Process::new().await;
     let engine = Upstream::start(vec![Act::OtherWeights(2), Act::Events(1..6)]).await;
     process.add("e1", "engines", engine.addr);
@@ -40,14 +40,14 @@
     assert_eq!(seen.len(), 2);
     assert!(
         seen[0].contains("x-space: w1") && seen[1].contains("x-space: w2"),
-        "cached parts of other weights must not be found: {seen:?}"
+        "cache entries of other weights must not be found: {seen:?}"
     );
 }
 
-/// Engines crash and come back at their addresses under new ids, and the list drops the old ones
-/// seconds later. If each VM found that out for itself, each would lose a request at each engine.
+/// Engines crash and restart at the same addresses under new ids, and the fleet table drops the old ids seconds
+/// later. If each VM had to find that out by itself, each would lose a request at each engine.
 #[tokio::test]
-async fn that_another_instance_has_an_address_is_told_to_all_vms() {
+async fn a_reused_address_is_reported_to_all_vms() {
     let process = Process::new().await;
     let gone = Upstream::start(vec![Act::Elsewhere("e9")]).await;
     process.add("e1", "engines", gone.addr);
@@ -58,9 +58,9 @@
     assert!(told[0].out_ms >= 5_000 && told[0].weights.is_none());
 }
 
-/// An engine that never says the same twice must not be asked for ever.
+/// An engine reports different weights in each response. Retries must not go on indefinitely.
 #[tokio::test]
-async fn an_engine_whose_weights_always_differ_is_given_up() {
+async fn retries_end_when_an_engine_reports_other_weights_each_time() {
     let process = Process::new().await;
     let acts = (2..40).map(Act::OtherWeights).collect();
     let engine = Upstream::start(acts).await;
@@ -70,37 +70,37 @@
     assert!(engine.seen().len() <= 3, "{}", engine.seen().len());
 }
 
-/// An engine crashes in the middle of an event of a stream that may run only once. The caller
-/// must see that its answer is not whole.
+/// An engine crashes within an event of a stream that must not be retried. The caller must be able to tell that
+/// its response is incomplete.
 #[tokio::test]
-async fn a_stream_that_breaks_off_does_not_look_whole() {
+async fn a_broken_stream_does_not_look_complete() {
     let process = Process::new().await;
     let one = Upstream::start(vec![Act::CutEvents(1..4)]).await;
     let two = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", one.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert!(!answer.whole);
-    assert_eq!(answer.body, events(1..4), "no half event is passed on");
+    assert_eq!(answer.body, events(1..4), "no partial event is forwarded");
     assert_eq!(two.seen().len(), 0);
 }
 
-/// An engine crashes in the middle of a stream that may go on elsewhere. The caller must see one
-/// stream, with no event missing and none twice.
+/// An engine crashes in the middle of a resumable stream. The caller must see one stream without missing or
+/// duplicate events.
 #[tokio::test]
-async fn a_resumable_stream_goes_on_at_another_engine() {
+async fn a_resumable_stream_continues_at_another_engine() {
     let process = Process::new().await;
     let one = Upstream::start(vec![Act::CutEvents(1..4), Act::Events(4..9)]).await;
     let two = Upstream::start(vec![Act::CutEvents(1..4), Act::Events(4..9)]).await;
     process.add("e1", "engines", one.addr);
     process.add("e2", "engines", two.addr);
-    // Whichever engine comes first breaks off; the other has not been asked yet, so it plays its
-    // first act too and breaks off once more, which ends the route's attempts.
+    // Whichever engine is chosen first breaks off. The other then runs its first act too and starts over
+    // instead of resuming, which uses up the route's attempts.
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
     assert!(!answer.whole);
     assert_eq!(
         answer.body,
         events(1..4),
-        "events of a second start are not joined on"
+        "events of a restarted stream are not appended"
     );
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
     assert_eq!(answer.body, events(4..9));
@@ -111,15 +111,15 @@
     assert_eq!(after.count(), 1, "{resumed:?}");
 }
 
-/// As above, with an engine that goes on where it is asked to.
+/// As above, with a second engine that resumes where it is asked to.
 #[tokio::test]
-async fn a_resumed_stream_is_joined_without_a_seam() {
+async fn a_resumed_stream_has_no_gaps_or_duplicates() {
     let process = Process::new().await;
     let one = Upstream::start(vec![Act::CutEvents(1..4)]).await;
     process.add("e1", "engines", one.addr);
     let two = Upstream::start(vec![Act::Events(4..9)]).await;
     let mut caller = Caller::connect(process.callers).await;
-    // The second engine joins once the first has the request.
+    // The second engine is added once the first has the request.
     caller.send(&request("POST", "/review/", CHAT, "")).await;
     while one.seen().is_empty() {
         tokio::task::yield_now().await;
@@ -131,14 +131,14 @@
     assert_eq!(
         answer.header("x-seal"),
         Some("s-r1"),
-        "the head stays the first engine's"
+        "the head is the first engine's"
     );
 }
 
-/// An engine goes silent in the middle of a resumable stream without closing. Its caller would
-/// wait until it gives up.
+/// An engine goes silent in the middle of a resumable stream without closing the connection. The caller would
+/// wait until its own timeout.
 #[tokio::test]
-async fn a_silent_engine_is_left_for_another() {
+async fn a_stream_moves_from_a_silent_engine_to_another() {
     let process = Process::new().await;
     let stuck = Upstream::start(vec![Act::Stuck(1..3)]).await;
     process.add("e1", "engines", stuck.addr);
@@ -156,9 +156,9 @@
     );
 }
 
-/// A caller goes away in the middle of its stream. Its engine would go on working for nobody.
+/// A caller disconnects in the middle of its stream. The engine must not keep generating for nobody.
 #[tokio::test]
-async fn an_engine_is_left_when_its_caller_leaves() {
+async fn a_callers_disconnect_closes_the_engine_connection() {
     let process = Process::new().await;
     let engine = Upstream::start(vec![Act::Stuck(1..3)]).await;
     process.add("e1", "engines", engine.addr);
@@ -172,9 +172,9 @@
     assert_eq!(process.core.active(), 0);
 }
 
-/// As above, before the engine has said anything.
+/// As above, before the engine has sent anything.
 #[tokio::test]
-async fn an_engine_is_left_when_its_caller_leaves_before_the_first_event() {
+async fn a_callers_disconnect_before_the_first_event_closes_the_engine_connection() {
     let process = Process::new().await;
     let engine = Upstream::start(vec![Act::Silent]).await;
     process.add("e1", "engines", engine.addr);
@@ -189,9 +189,9 @@
     }
 }
 
-/// A chat was given to an engine that broke off before its first event. It may run only once.
+/// An engine closes the connection of a chat before the first event. The chat must not run twice.
 #[tokio::test]
-async fn a_chat_that_may_have_run_is_not_repeated() {
+async fn a_chat_that_may_have_run_is_not_retried() {
     let process = Process::new().await;
     let one = Upstream::start(vec![Act::Close]).await;
     let two = Upstream::start(vec![Act::Close]).await;
@@ -202,9 +202,9 @@
     assert_eq!(one.seen().len() + two.seen().len(), 1);
 }
 
-/// An engine that takes new weights says that it did not run the chat.
+/// An engine that is loading weights reports that it did not run the chat.
 #[tokio::test]
-async fn a_chat_that_was_not_run_goes_to_another_engine() {
+async fn a_chat_that_did_not_run_is_retried_at_another_engine() {
     let process = Process::new().await;
     let full = Upstream::start(vec![Act::NotRun(503)]).await;
     let good = Upstream::start(vec![Act::Events(1..3)]).await;
@@ -216,10 +216,10 @@
     }
 }
 
-/// The only engine pauses for seconds in the middle of a resumable stream, since it is full. Leaving
-/// it would cut an answer that it is still working on.
+/// The only engine is full and pauses for seconds in the middle of a resumable stream. Abandoning it would cut
+/// off a response that it is still generating.
 #[tokio::test]
-async fn a_silent_engine_is_not_left_when_there_is_no_other() {
+async fn a_stream_stays_at_a_silent_engine_without_an_alternative() {
     let process = Process::new().await;
     let pause = Duration::from_millis(2_600);
     let slow = Upstream::start(vec![Act::Halting(1..3, pause, 6)]).await;
@@ -230,10 +230,10 @@
     assert_eq!(slow.seen().len(), 1);
 }
 
-/// An engine dies in the middle of a resumable stream while the others refuse work for a moment.
-/// Giving up then would cut an answer that could be gone on with a little later.
+/// An engine crashes in the middle of a resumable stream while the others briefly refuse requests. Giving up
+/// would cut off a response that could be resumed a little later.
 #[tokio::test]
-async fn a_resumed_stream_waits_for_an_engine_that_takes_it() {
+async fn resumption_waits_for_an_available_engine() {
     let process = Process::new().await;
     let one = Upstream::start(vec![Act::CutEvents(1..4)]).await;
     process.add("e1", "engines", one.addr);
