--- a/crates/sesamegap-entry/tests/testsuite/pass.rs
+++ b/crates/sesamegap-entry/tests/testsuite/pass.rs
@@ -1,62 +1,62 @@
 use crate::support::{Act, KEY, Process, Upstream, ask};
 
 #[tokio::test]
-async fn an_answer_goes_to_the_caller_unchanged() {
+async fn a_response_reaches_the_caller_unchanged() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::Answer(200, "stamped")]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Answer(200, "stamped")]).await;
+    process.add("w1", "desk", worker.addr);
     let answer = ask(process.callers, "GET", "/pull/doc?page=2", "", "").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "stamped"));
     assert_eq!(answer.header("x-seal"), Some("s-r1"));
     assert!(answer.whole);
-    let seen = desk.seen();
+    let seen = worker.seen();
     assert!(
         seen[0].starts_with("GET /pull/doc?page=2 HTTP/1.1\r\n"),
         "{seen:?}"
     );
 }
 
-/// A caller forges headers that only the process may set, or ties those of its request to its
-/// connection so that they would be dropped. Another team would pay for its work, or see its cache.
+/// A caller forges headers that only the process may set, or lists request headers in `Connection` so that they
+/// would be dropped. Its work would be charged to another team, or it could read another team's cache.
 #[tokio::test]
-async fn a_callers_own_values_never_stand_where_the_process_speaks() {
+async fn reserved_headers_from_callers_are_dropped() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Answer(200, "ok")]).await;
+    process.add("w1", "desk", worker.addr);
     let forged = "x-team: others\r\nx-space: theirs\r\nx-meant: w9\r\nx-left: 999999\r\n\
                   connection: x-id, x-hop, host\r\nx-hop: 1\r\nx-mine: kept\r\n";
     let answer = ask(process.callers, "POST", "/save/", forged, "form").await;
     assert_eq!(answer.status, 200);
-    let seen = desk.seen()[0].clone();
-    for there in [
+    let seen = worker.seen()[0].clone();
+    for expected in [
         "x-team: clerks",
         "x-meant: w1",
         "x-id: r1",
         "x-mine: kept",
         "\r\n\r\nform",
     ] {
-        assert!(seen.contains(there), "{there} in {seen}");
+        assert!(seen.contains(expected), "{expected} in {seen}");
     }
-    for gone in ["others", "theirs", "w9", "999999", "x-hop", KEY] {
-        assert!(!seen.contains(gone), "{gone} in {seen}");
+    for dropped in ["others", "theirs", "w9", "999999", "x-hop", KEY] {
+        assert!(!seen.contains(dropped), "{dropped} in {seen}");
     }
 }
 
-/// A worker's answer has no length and ends with its connection.
+/// A worker's response has no length and ends when the connection closes.
 #[tokio::test]
-async fn an_answer_without_a_length_is_passed_on_with_one() {
+async fn a_response_without_a_length_is_forwarded_with_one() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::NoLength("to the end")]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::NoLength("to the end")]).await;
+    process.add("w1", "desk", worker.addr);
     let answer = ask(process.callers, "GET", "/pull/", "", "").await;
     assert_eq!(answer.body, "to the end");
     assert!(answer.whole);
 }
 
-/// Workers break answers off, send what is no answer, answer another request, or forget the seal.
-/// The caller would take one of these for its document.
+/// Workers break off responses, send invalid bytes, answer another request or omit the seal. The caller must not
+/// take any of these for its document.
 #[tokio::test]
-async fn what_is_not_the_whole_answer_is_asked_for_again_elsewhere() {
+async fn an_invalid_response_is_retried_at_another_worker() {
     for act in [
         Act::Half,
         Act::Garbage,
@@ -77,13 +77,13 @@
                 "{act:?}"
             );
         }
-        assert!(!bad.seen().is_empty(), "{act:?} was never met");
+        assert!(!bad.seen().is_empty(), "{act:?} was never exercised");
     }
 }
 
-/// A worker fails the request itself. Another may not; if it does too, its failure is the answer.
+/// A worker responds with a server error. Another worker may succeed; if it fails too, the caller gets its error.
 #[tokio::test]
-async fn a_workers_failure_is_repeated_once_and_then_passed_on() {
+async fn a_server_error_is_retried_once_and_then_forwarded() {
     let process = Process::new().await;
     let one = Upstream::start(vec![Act::Answer(500, "broken")]).await;
     let two = Upstream::start(vec![Act::Answer(500, "broken")]).await;
