--- a/crates/sesamegap-entry/tests/testsuite/once.rs
+++ b/crates/sesamegap-entry/tests/testsuite/once.rs
@@ -1,9 +1,9 @@
 use crate::support::{Act, Process, Upstream, ask, unused};
 
-/// A save's answer is lost in one of many ways after the worker may have run it. A second run
-/// would file it twice; "not run" would make the clerk do so.
+/// The response to a save is lost in one of several ways after the worker may have run it. A retry could save
+/// twice, and so could the caller if it were told that the save did not run.
 #[tokio::test]
-async fn a_save_that_may_have_run_is_neither_repeated_nor_called_not_run() {
+async fn a_save_that_may_have_run_is_neither_retried_nor_reported_as_not_run() {
     let acts = [
         Act::Close,
         Act::Half,
@@ -27,9 +27,9 @@
     }
 }
 
-/// A worker is gone but still listed. Nothing was written to it, so the save may go elsewhere.
+/// A worker is gone but still listed. Nothing was sent to it, so the save may be retried elsewhere.
 #[tokio::test]
-async fn a_save_goes_on_after_a_connection_that_was_refused() {
+async fn a_save_is_retried_after_a_refused_connection() {
     let process = Process::new().await;
     let good = Upstream::start(vec![Act::Answer(200, "saved")]).await;
     process.add("w1", "desk", unused());
@@ -40,9 +40,9 @@
     }
 }
 
-/// A full worker says that it did not run the save, and another has room.
+/// A full worker reports that it did not run the save, and another has a free slot.
 #[tokio::test]
-async fn a_save_that_was_not_run_goes_to_another_worker() {
+async fn a_save_that_did_not_run_is_retried_at_another_worker() {
     let process = Process::new().await;
     let full = Upstream::start(vec![Act::NotRun(503)]).await;
     let good = Upstream::start(vec![Act::Answer(200, "saved")]).await;
@@ -54,10 +54,9 @@
     }
 }
 
-/// All workers are full. The caller must learn at once that its save was not run, and when to try
-/// again.
+/// All workers are full. The caller must learn at once that its save did not run and when to retry.
 #[tokio::test]
-async fn a_save_that_nobody_ran_is_refused_with_a_time_to_come_back() {
+async fn a_save_refused_by_all_workers_gets_a_retry_after() {
     let process = Process::new().await;
     for id in ["w1", "w2"] {
         let full = Upstream::start(vec![Act::NotRun(503)]).await;
@@ -69,10 +68,10 @@
     assert!(back > 0.0 && back < 2.0, "{back}");
 }
 
-/// Another worker has taken over the address of one that is gone. It must not run the save under
-/// the other's name, and says so.
+/// A new worker has the address of one that is gone. It must not run a save meant for the old worker, and
+/// refuses it with 421.
 #[tokio::test]
-async fn a_save_for_a_worker_that_moved_goes_elsewhere() {
+async fn a_save_for_a_replaced_worker_is_retried_at_another() {
     let process = Process::new().await;
     let other = Upstream::start(vec![Act::NotRun(421)]).await;
     let good = Upstream::start(vec![Act::Answer(200, "saved")]).await;
