--- a/crates/sesamegap-entry/tests/testsuite/refusals.rs
+++ b/crates/sesamegap-entry/tests/testsuite/refusals.rs
@@ -2,17 +2,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// All VMs restart at once and callers come before the settings. They must learn that nothing was
-/// run and come back; "no such route" would make them give up.
+/// All VMs restart at once, and requests arrive before the configuration document. Callers must learn that nothing
+/// ran and when to retry; a 404 would make them give up.
 #[tokio::test]
-async fn a_process_without_settings_says_come_back() {
+async fn a_process_without_a_document_answers_with_a_retry_after() {
     let process = Process::empty().await;
     let answer = ask(process.callers, "GET", "/pull/", "", "").await;
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
     process.core.adopt(&Arc::new(document(1)), "test");
-    let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Answer(200, "ok")]).await;
+    process.add("w1", "desk", worker.addr);
     assert_eq!(
         ask(process.callers, "GET", "/pull/", "", "").await.status,
         200
@@ -20,10 +20,10 @@
 }
 
 #[tokio::test]
-async fn requests_that_settings_do_not_allow_reach_no_upstream() {
+async fn requests_that_the_document_does_not_allow_reach_no_upstream() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Answer(200, "ok")]).await;
+    process.add("w1", "desk", worker.addr);
     assert_eq!(
         ask(process.callers, "GET", "/unknown/", "", "")
             .await
@@ -39,13 +39,13 @@
         .send("GET /pull/ HTTP/1.1\r\nhost: desk.example\r\n\r\n")
         .await;
     assert_eq!(caller.answer().await.status, 400);
-    assert_eq!(desk.seen(), Vec::<String>::new());
+    assert_eq!(worker.seen(), Vec::<String>::new());
 }
 
-/// A caller sends more than it may and is still sending when the refusal goes out. A reset would
-/// leave it without a reason, and it would send all of it again.
+/// A caller sends a body over the limit and is still sending when the refusal is written. After a connection reset
+/// it would not know the reason and would send the whole body again.
 #[tokio::test]
-async fn a_body_over_the_limit_is_refused_so_that_its_sender_reads_it() {
+async fn the_caller_can_read_the_refusal_of_a_body_over_the_limit() {
     let process = Process::new().await;
     let body = "x".repeat(1 << 20);
     let declared = ask(process.callers, "POST", "/save/", "", &body).await;
@@ -70,7 +70,8 @@
     assert_eq!(answer.status, 431);
 }
 
-/// A worker is silent. The route's time ends before the caller's, and the caller must hear it then.
+/// A worker does not respond. The route's timeout is shorter than the caller's, and the caller must get an error
+/// when it expires.
 #[tokio::test]
 async fn a_request_ends_at_its_routes_timeout() {
     let process = Process::empty().await;
@@ -79,8 +80,8 @@
         route.timeout = Duration::from_millis(300);
     }
     process.core.adopt(&Arc::new(document), "test");
-    let desk = Upstream::start(vec![Act::Silent]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Silent]).await;
+    process.add("w1", "desk", worker.addr);
     let answer = ask(
         process.callers,
         "POST",
@@ -90,10 +91,10 @@
     )
     .await;
     assert_eq!(answer.status, 504);
-    assert_eq!(desk.seen().len(), 1);
+    assert_eq!(worker.seen().len(), 1);
 }
 
-/// Nobody can serve the request. Waiting would only keep the caller from trying again.
+/// No worker can serve the request. Waiting would only keep the caller from retrying.
 #[tokio::test]
 async fn a_request_for_a_service_without_workers_is_refused() {
     let process = Process::new().await;
@@ -102,12 +103,12 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// A connection is used for several requests, some of which are refused.
+/// A connection carries several requests, one of which is refused.
 #[tokio::test]
-async fn a_connection_goes_on_after_a_refusal() {
+async fn a_connection_stays_usable_after_a_refusal() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Answer(200, "ok")]).await;
+    process.add("w1", "desk", worker.addr);
     let mut caller = Caller::connect(process.callers).await;
     for (path, status) in [("/pull/", 200), ("/none/", 404), ("/pull/", 200)] {
         let text = format!(
@@ -118,14 +119,14 @@
     }
 }
 
-/// The only worker breaks off an answer, and no other can take the request. It may have run, so "not
-/// run" would be false, even where it may run again.
+/// The only worker closes the connection without a response, and no other can take the request. It may have run,
+/// so "not run" would be false even on a route that allows retries.
 #[tokio::test]
-async fn a_request_that_may_have_run_is_never_called_not_run() {
+async fn a_request_that_may_have_run_is_never_reported_as_not_run() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::Close]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Close]).await;
+    process.add("w1", "desk", worker.addr);
     let answer = ask(process.callers, "GET", "/pull/", "", "").await;
     assert_eq!(answer.status, 502);
-    assert_eq!(desk.seen().len(), 1);
+    assert_eq!(worker.seen().len(), 1);
 }
