--- a/crates/sesamegap-entry/tests/testsuite/crossing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/crossing.rs
@@ -1,11 +1,9 @@
-//! Requests that come at the moment at which their idle connection is closed.
+//! Requests that arrive just as their idle connection is closed.
 //!
-//! A caller keeps a connection open and sends its next request on it just when the process closes
-//! idle connections, because it stops or because the bound on idle ones is reached. A process that
-//! was busy or stood still has the request in its socket and does not know of it, and closed the
-//! connection unread: in the older router's log `connection closed with a caller's bytes unread`
-//! stood beside the caller's error in two of four traced failures. The caller sees a closed
-//! connection and cannot tell whether its filing was saved.
+//! The process closes idle connections when it shuts down and when they reach the idle limit. If it was busy or
+//! paused, a request may already be in the socket unread; closing the connection then leaves the caller unable to
+//! tell whether its request ran. In the older router, two of four traced failures showed
+//! `connection closed with a caller's bytes unread` in the log beside the caller's error.
 
 use crate::support::{Act, Caller, Process, Upstream, ask, document};
 use sesamegap_entry::core::Phase;
@@ -13,34 +11,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const SAVE: &str = "POST /save/ HTTP/1.1\r\nhost: desk.example\r\nx-id: r2\r\nauthorization: clerks-key\r\ncontent-length: 0\r\n\r\n";
+const SAVE_REQUEST: &str = "POST /save/ HTTP/1.1\r\nhost: desk.example\r\nx-id: r2\r\nauthorization: clerks-key\r\ncontent-length: 0\r\n\r\n";
 
-/// A bound on idle connections that no test reaches.
-const LONG: Duration = Duration::from_mins(1);
+/// An idle limit that no test reaches.
+const NO_IDLE_LIMIT: Duration = Duration::from_mins(1);
 
-/// Tries of each, since a close could be second by chance.
-const TRIES: usize = 12;
+/// Repetitions of each race, as the close could come second by chance.
+const REPETITIONS: usize = 12;
 
-/// A process whose worker answers anything, and a caller whose connection there is idle.
-async fn idle_caller(bound: Duration) -> (Process, Upstream, Caller) {
+/// A process whose worker answers all requests, and a caller with an idle connection to it.
+async fn idle_caller(idle_limit: Duration) -> (Process, Upstream, Caller) {
     let process = Process::empty().await;
     let mut document = document(1);
-    document.limits.idle_time = bound;
+    document.limits.idle_time = idle_limit;
     process.core.adopt(&Arc::new(document), "test");
-    let desk = Upstream::start(vec![Act::Answer(200, "ok"); 3]).await;
-    process.add("w1", "desk", desk.addr);
+    let worker = Upstream::start(vec![Act::Answer(200, "ok"); 3]).await;
+    process.add("w1", "desk", worker.addr);
     let mut caller = Caller::connect(process.callers).await;
-    caller.send(SAVE).await;
+    caller.send(SAVE_REQUEST).await;
     assert_eq!(caller.answer().await.body, "ok");
-    (process, desk, caller)
+    (process, worker, caller)
 }
 
 #[tokio::test]
-async fn a_request_in_the_socket_is_answered_before_a_stop_closes_it() {
-    for _ in 0..TRIES {
-        let (process, _desk, mut caller) = idle_caller(LONG).await;
+async fn an_unread_request_is_answered_before_shutdown_closes_the_connection() {
+    for _ in 0..REPETITIONS {
+        let (process, _desk, mut caller) = idle_caller(NO_IDLE_LIMIT).await;
         process.core.enter(Phase::Leaving);
-        caller.send_at_once(SAVE);
+        caller.send_at_once(SAVE_REQUEST);
         process.core.enter(Phase::Closing);
         let answer = caller.answer().await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ok"));
@@ -49,27 +47,27 @@
     }
 }
 
-/// The VM stands still for longer than a connection may be idle. When it goes on, it finds the
-/// time over and the request in its socket at once.
+/// The VM is paused for longer than the idle limit. When it resumes, the limit has expired and the request
+/// is already in the socket.
 #[tokio::test]
-async fn a_request_in_the_socket_is_answered_after_the_bound_on_idle_ones() {
-    for _ in 0..TRIES {
-        let bound = Duration::from_millis(100);
-        let (_process, _desk, mut caller) = idle_caller(bound).await;
-        caller.send_at_once(SAVE);
-        // Blocks the one thread of the process, as a pause of the VM does.
-        std::thread::sleep(bound + Duration::from_millis(20));
+async fn an_unread_request_is_answered_after_the_idle_limit() {
+    for _ in 0..REPETITIONS {
+        let idle_limit = Duration::from_millis(100);
+        let (_process, _desk, mut caller) = idle_caller(idle_limit).await;
+        caller.send_at_once(SAVE_REQUEST);
+        // Blocks the runtime's only thread, as a pause of the VM does.
+        std::thread::sleep(idle_limit + Duration::from_millis(20));
         assert_eq!(caller.answer().await.body, "ok");
     }
 }
 
-/// Half of a head has come when the process stops. The rest is on its way.
+/// Part of a request head has arrived when the process shuts down. The rest follows.
 #[tokio::test]
-async fn a_head_that_has_begun_is_read_to_its_end() {
-    let (process, _desk, mut caller) = idle_caller(LONG).await;
-    let (half, rest) = SAVE.split_at(20);
+async fn a_partial_head_is_read_to_its_end_during_shutdown() {
+    let (process, _desk, mut caller) = idle_caller(NO_IDLE_LIMIT).await;
+    let (half, rest) = SAVE_REQUEST.split_at(20);
     caller.send(half).await;
-    // Once another request was answered, the half head has been read too.
+    // Once another request has been answered, the partial head has been read too.
     let other = ask(process.callers, "POST", "/save/", "", "").await;
     assert_eq!(other.status, 200);
     process.core.enter(Phase::Closing);
@@ -80,29 +78,28 @@
     assert_eq!(caller.answer().await.body, "ok");
 }
 
-/// A caller has connected and sent its request, but the process, which ends, has not yet accepted
-/// the connection. Closing the port would reset it.
+/// A caller has connected and sent its request, but the process shuts down before it accepts the connection.
+/// Closing the listening socket would reset it.
 #[tokio::test]
-async fn a_connection_that_waits_at_the_port_is_still_taken() {
-    for _ in 0..TRIES {
+async fn a_connection_in_the_accept_queue_is_served_during_shutdown() {
+    for _ in 0..REPETITIONS {
         let process = Process::new().await;
-        let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
-        process.add("w1", "desk", desk.addr);
-        // Lets the process begin to accept.
+        let worker = Upstream::start(vec![Act::Answer(200, "ok")]).await;
+        process.add("w1", "desk", worker.addr);
+        // Lets the process start accepting connections.
         tokio::time::sleep(Duration::from_millis(5)).await;
         let mut stream = std::net::TcpStream::connect(process.callers).unwrap();
-        stream.write_all(SAVE.as_bytes()).unwrap();
+        stream.write_all(SAVE_REQUEST.as_bytes()).unwrap();
         process.core.enter(Phase::Ended);
         let mut caller = Caller::of(stream);
         assert_eq!(caller.answer().await.body, "ok");
     }
 }
 
-/// Callers keep coming while a process ends. Were each of them taken in its turn, the port would
-/// stay open, and a chat that came three seconds after the process was told to stop would be cut in
-/// the middle by the kill.
+/// Callers keep connecting while a process shuts down. If it accepted all of them, the port would stay open, and
+/// a chat that arrived three seconds after the stop signal would be cut off when the process is killed.
 #[tokio::test]
-async fn callers_that_keep_coming_do_not_hold_the_port_open() {
+async fn new_connections_do_not_keep_the_port_open() {
     let process = Process::new().await;
     process.core.enter(Phase::Ended);
     for _ in 0..1_000 {
