--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -1,4 +1,4 @@
-//! Records of other writers in the tables that a process follows.
+//! Records that other writers put into the tables that a process reads.
 
 use crate::support::{
     Act, Lines, Platform, Process, Upstream, ask, document, entry, offset, route, settings, unused,
@@ -12,7 +12,7 @@
 use sesamegap_wire::{Offset, UpstreamId};
 use std::sync::Arc;
 
-fn vm() -> Arc<Core> {
+fn new_core() -> Arc<Core> {
     let platform = Arc::new(Platform::default());
     let core = Core::new(
         settings("vm-1", Vec::new()),
@@ -26,115 +26,114 @@
     format!("i-{no}").parse().unwrap()
 }
 
-fn sound(no: usize, beat: u64) -> Record {
+fn valid_entry(no: usize, beat: u64) -> Record {
     let mut entry = entry("desk", unused());
     entry.beat = beat;
     Record::Upstream(id(no), Box::new(entry))
 }
 
-fn broken(no: usize, offset: u64, why: &str) -> Record {
+fn malformed_entry(no: usize, offset: u64, why: &str) -> Record {
     let record = Unreadable::new(Table::Fleet, Offset(offset), id(no).as_str(), &why);
     Record::Unreadable(record.at("state"))
 }
 
-/// Takes records in that begin at an offset.
-fn read(core: &Core, from: u64, records: Vec<Record>) -> Reading {
+/// Applies records that start at an offset.
+fn read_records(core: &Core, from: u64, records: Vec<Record>) -> Reading {
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
     take(core, Table::Fleet, offset(from), Batch { records, next })
 }
 
-fn known(core: &Core) -> Vec<usize> {
+fn known_upstreams(core: &Core) -> Vec<usize> {
     let fleet = core.fleet.lock();
     (0..9).filter(|no| fleet.get(&id(*no)).is_some()).collect()
 }
 
-/// Another writer puts something that is no entry over that of an upstream which serves. Nobody can
-/// tell any more what is at its address, and requests sent there may be lost. Its next heartbeat says
-/// that it is there after all; left out for good, its callers would be refused with servers free.
+/// Another writer overwrites the entry of a serving upstream with a malformed one. What listens at its address is
+/// then unknown, and requests sent there may be lost. The next heartbeat shows that the upstream is still there;
+/// if it stayed removed, callers would be refused while it is free.
 #[test]
-fn a_malformed_entry_over_a_sound_one_takes_the_upstream_out_until_its_next_heartbeat() {
-    let (reader, hearer) = (vm(), vm());
-    hearer
+fn a_malformed_entry_removes_the_upstream_until_its_next_heartbeat() {
+    let (reader, receiver) = (new_core(), new_core());
+    receiver
         .known(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
-    let words = [
-        (vec![sound(1, 1), sound(2, 1), sound(3, 1)], vec![1, 2, 3]),
+    let steps = [
+        (vec![valid_entry(1, 1), valid_entry(2, 1), valid_entry(3, 1)], vec![1, 2, 3]),
         (
-            vec![sound(1, 2), broken(2, 4, "missing"), sound(3, 2)],
+            vec![valid_entry(1, 2), malformed_entry(2, 4, "missing"), valid_entry(3, 2)],
             vec![1, 3],
         ),
-        (vec![sound(1, 3), sound(3, 3)], vec![1, 3]),
-        (vec![sound(2, 3)], vec![1, 2, 3]),
+        (vec![valid_entry(1, 3), valid_entry(3, 3)], vec![1, 3]),
+        (vec![valid_entry(2, 3)], vec![1, 2, 3]),
     ];
     let mut from = 0;
-    for (records, expected) in words {
+    for (records, expected) in steps {
         let count = records.len() as u64;
-        let reading = read(&reader, from, records);
+        let reading = read_records(&reader, from, records);
         from += count;
-        assert_eq!(known(&reader), expected, "whoever reads, at {from}");
-        hear(&hearer, reading);
-        assert_eq!(known(&hearer), expected, "whoever is told, at {from}");
+        assert_eq!(known_upstreams(&reader), expected, "VM that reads, at {from}");
+        hear(&receiver, reading);
+        assert_eq!(known_upstreams(&receiver), expected, "VM that receives the reading, at {from}");
     }
 }
 
-/// An upstream writes its entry again after another writer's, with the heartbeat that it last had, and
-/// two VMs read both records and tell of them. Nothing is written after that for as long as nothing
-/// changes, so a VM that leaves the upstream out then leaves it out for good, and refuses callers with
-/// servers free.
+/// An upstream restores its overwritten entry with its previous heartbeat, and two VMs read both records and
+/// forward them. No further record is written until something changes, so a VM that removed the upstream then
+/// would never add it back, and would refuse callers while the upstream is free.
 #[test]
-fn a_sound_entry_after_a_malformed_one_holds_however_often_it_is_told() {
-    let (one, two, hearer) = (vm(), vm(), vm());
-    let mut words = Vec::new();
-    for core in [&one, &two, &hearer] {
+fn a_valid_entry_after_a_malformed_one_survives_repeated_readings() {
+    let (one, two, receiver) = (new_core(), new_core(), new_core());
+    let mut readings = Vec::new();
+    for core in [&one, &two, &receiver] {
         core.known(Table::Fleet)
             .position()
             .read(offset(1), clock::now());
-        read(core, 0, vec![sound(1, 5)]);
+        read_records(core, 0, vec![valid_entry(1, 5)]);
     }
     for reader in [&one, &two] {
-        words.push(read(reader, 1, vec![broken(1, 1, "missing"), sound(1, 5)]));
-        assert_eq!(known(reader), [1]);
+        readings.push(read_records(reader, 1, vec![malformed_entry(1, 1, "missing"), valid_entry(1, 5)]));
+        assert_eq!(known_upstreams(reader), [1]);
     }
-    for word in words {
-        hear(&hearer, word);
-        assert_eq!(known(&hearer), [1]);
+    for reading in readings {
+        hear(&receiver, reading);
+        assert_eq!(known_upstreams(&receiver), [1]);
     }
 }
 
-/// The store was away and is back, when upstreams whose entries lapsed get time to write again. An
-/// entry that cannot be read is no lapsed one: it says now that nobody knows what is at its address.
+/// After a store outage, upstreams whose entries lapsed get time to write them again. A malformed entry is not a
+/// lapsed one: it means that what listens at the address is unknown now.
 #[test]
-fn a_malformed_entry_takes_the_upstream_out_right_after_an_outage_too() {
-    let core = vm();
-    read(&core, 0, vec![sound(1, 1), sound(2, 1)]);
+fn a_malformed_entry_removes_the_upstream_right_after_a_store_outage() {
+    let core = new_core();
+    read_records(&core, 0, vec![valid_entry(1, 1), valid_entry(2, 1)]);
     core.fleet.lock().store(false, clock::now());
     core.fleet.lock().store(true, clock::now());
-    read(
+    read_records(
         &core,
         2,
-        vec![broken(1, 2, "missing"), Record::Removed(id(2))],
+        vec![malformed_entry(1, 2, "missing"), Record::Removed(id(2))],
     );
-    assert_eq!(known(&core), [2]);
+    assert_eq!(known_upstreams(&core), [2]);
 }
 
-/// An upstream has left, and another writer then writes under its id. A late heartbeat of the upstream
-/// must not bring it back.
+/// An upstream has left, and another writer then writes a malformed entry under its id. A late heartbeat of the
+/// upstream must not add it back.
 #[test]
-fn a_malformed_entry_does_not_open_the_way_for_a_late_heartbeat() {
-    let core = vm();
-    read(&core, 0, vec![sound(1, 5), Record::Removed(id(1))]);
-    read(&core, 2, vec![broken(1, 2, "missing"), sound(1, 5)]);
-    assert_eq!(known(&core), Vec::<usize>::new());
+fn a_late_heartbeat_after_a_malformed_entry_does_not_restore_a_removed_upstream() {
+    let core = new_core();
+    read_records(&core, 0, vec![valid_entry(1, 5), Record::Removed(id(1))]);
+    read_records(&core, 2, vec![malformed_entry(1, 2, "missing"), valid_entry(1, 5)]);
+    assert_eq!(known_upstreams(&core), Vec::<usize>::new());
 }
 
-/// Lines with the number of unreadable records that something writes.
-fn reports(act: impl FnOnce()) -> Vec<String> {
-    // A place in the code that logs decides when it is first reached whether anybody listens. If that happens in
-    // another test, without a subscriber, while this one installs its own, the place stays mute: so it
-    // is reached here before.
-    read(&vm(), 0, vec![broken(0, 0, "missing")]);
+/// The lines that `act` logs with the event number of unreadable records.
+fn logged_reports(act: impl FnOnce()) -> Vec<String> {
+    // tracing caches for each callsite, when it is first reached, whether a subscriber is interested. If another
+    // test reached it without a subscriber while this test installs its own, the callsite would stay
+    // disabled. So it is reached here first.
+    read_records(&new_core(), 0, vec![malformed_entry(0, 0, "missing")]);
     let lines = Lines::default();
     let (subscriber, logging) = lines.subscriber();
     tracing::subscriber::with_default(subscriber, act);
@@ -142,49 +141,49 @@
     lines.of(712)
 }
 
-/// Another writer repeats its malformed entry with each of its heartbeats, and each VM reads them all. A
-/// line for each would bury the rest of the log and cost processor time.
+/// Another writer repeats a malformed entry with each heartbeat, and each VM reads them all. A line for each would
+/// drown the rest of the log and cost CPU time.
 #[test]
-fn a_malformed_entry_is_reported_once_however_often_it_is_read() {
-    let core = vm();
-    let lines = reports(|| {
+fn a_repeated_malformed_entry_is_logged_once() {
+    let core = new_core();
+    let lines = logged_reports(|| {
         for offset in 0..50 {
-            read(&core, offset, vec![broken(1, offset, "missing")]);
+            read_records(&core, offset, vec![malformed_entry(1, offset, "missing")]);
         }
-        read(&core, 50, vec![broken(1, 50, "another type")]);
-        read(&core, 51, vec![broken(2, 51, "missing")]);
+        read_records(&core, 50, vec![malformed_entry(1, 50, "another type")]);
+        read_records(&core, 51, vec![malformed_entry(2, 51, "missing")]);
     });
     assert_eq!(lines.len(), 3, "{lines:#?}");
-    for there in [
+    for expected in [
         "\"key\":\"i-1\"",
         "\"field\":\"state\"",
         "\"offset\":0",
         "missing",
     ] {
-        assert!(lines[0].contains(there), "{there} in {}", lines[0]);
+        assert!(lines[0].contains(expected), "{expected} in {}", lines[0]);
     }
 }
 
-/// Another writer makes up a new key for each of its malformed entries. The log would fill with them.
+/// Another writer uses a new key for each malformed entry. Lines for all of them would fill the log.
 #[test]
-fn malformed_entries_under_many_keys_fill_no_log() {
-    let core = vm();
-    let lines = reports(|| {
+fn log_lines_for_malformed_entries_under_many_keys_are_bounded() {
+    let core = new_core();
+    let lines = logged_reports(|| {
         for (no, offset) in (0..3_000).zip(0..) {
-            read(&core, offset, vec![broken(no, offset, "missing")]);
+            read_records(&core, offset, vec![malformed_entry(no, offset, "missing")]);
         }
     });
     assert!((10..500).contains(&lines.len()), "{} lines", lines.len());
 }
 
-/// Upstreams of a new service register before the document that names it is published. They must get
-/// no work before, cost no other service anything, and serve as soon as the document is there.
+/// Upstreams of a new service register before the document that names the service is published. They must get no
+/// requests before, must not affect other services, and must serve as soon as the document is in force.
 #[tokio::test]
-async fn an_upstream_of_an_unnamed_service_serves_once_a_document_names_it() {
+async fn an_upstream_of_an_unconfigured_service_serves_once_a_document_names_it() {
     let process = Process::new().await;
-    let desk = Upstream::start(vec![Act::Answer(200, "a"), Act::Answer(200, "b")]).await;
+    let worker = Upstream::start(vec![Act::Answer(200, "a"), Act::Answer(200, "b")]).await;
     let later = Upstream::start(vec![Act::Answer(200, "c")]).await;
-    process.add("w1", "desk", desk.addr);
+    process.add("w1", "desk", worker.addr);
     process.add("w2", "annex", later.addr);
     for _ in 0..2 {
         assert_eq!(
