--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -60,9 +60,16 @@
         .position()
         .read(offset(0), clock::now());
     let steps = [
-        (vec![valid_entry(1, 1), valid_entry(2, 1), valid_entry(3, 1)], vec![1, 2, 3]),
         (
-            vec![valid_entry(1, 2), malformed_entry(2, 4, "missing"), valid_entry(3, 2)],
+            vec![valid_entry(1, 1), valid_entry(2, 1), valid_entry(3, 1)],
+            vec![1, 2, 3],
+        ),
+        (
+            vec![
+                valid_entry(1, 2),
+                malformed_entry(2, 4, "missing"),
+                valid_entry(3, 2),
+            ],
             vec![1, 3],
         ),
         (vec![valid_entry(1, 3), valid_entry(3, 3)], vec![1, 3]),
@@ -73,9 +80,17 @@
         let count = records.len() as u64;
         let reading = read_records(&reader, from, records);
         from += count;
-        assert_eq!(known_upstreams(&reader), expected, "VM that reads, at {from}");
+        assert_eq!(
+            known_upstreams(&reader),
+            expected,
+            "VM that reads, at {from}"
+        );
         hear(&receiver, reading);
-        assert_eq!(known_upstreams(&receiver), expected, "VM that receives the reading, at {from}");
+        assert_eq!(
+            known_upstreams(&receiver),
+            expected,
+            "VM that receives the reading, at {from}"
+        );
     }
 }
 
@@ -93,7 +108,11 @@
         read_records(core, 0, vec![valid_entry(1, 5)]);
     }
     for reader in [&one, &two] {
-        readings.push(read_records(reader, 1, vec![malformed_entry(1, 1, "missing"), valid_entry(1, 5)]));
+        readings.push(read_records(
+            reader,
+            1,
+            vec![malformed_entry(1, 1, "missing"), valid_entry(1, 5)],
+        ));
         assert_eq!(known_upstreams(reader), [1]);
     }
     for reading in readings {
@@ -124,7 +143,11 @@
 fn a_late_heartbeat_after_a_malformed_entry_does_not_restore_a_removed_upstream() {
     let core = new_core();
     read_records(&core, 0, vec![valid_entry(1, 5), Record::Removed(id(1))]);
-    read_records(&core, 2, vec![malformed_entry(1, 2, "missing"), valid_entry(1, 5)]);
+    read_records(
+        &core,
+        2,
+        vec![malformed_entry(1, 2, "missing"), valid_entry(1, 5)],
+    );
     assert_eq!(known_upstreams(&core), Vec::<usize>::new());
 }
 
