--- a/crates/sesamegap-entry/tests/testsuite/main.rs
+++ b/crates/sesamegap-entry/tests/testsuite/main.rs
@@ -6,10 +6,10 @@
 
 mod belief;
 mod catalogue;
-mod crossing;
 mod fetches;
 mod fleet;
 mod foreign;
+mod idle_close;
 mod logs;
 mod once;
 mod pages;
