--- a/crates/sesamegap-entry/tests/testsuite/main.rs
+++ b/crates/sesamegap-entry/tests/testsuite/main.rs
@@ -8,7 +8,7 @@
 mod catalogue;
 mod fetches;
 mod fleet;
-mod foreign;
+mod fleet_records;
 mod idle_close;
 mod logs;
 mod once;
