--- a/crates/sesamegap-entry/tests/testsuite/main.rs
+++ b/crates/sesamegap-entry/tests/testsuite/main.rs
@@ -11,7 +11,7 @@
 mod fleet_records;
 mod idle_close;
 mod logs;
-mod once;
+mod non_idempotent;
 mod pages;
 mod pass;
 mod peers;
