--- a/crates/sesamegap-entry/src/relay/headers.rs
+++ b/crates/sesamegap-entry/src/relay/headers.rs
@@ -43,7 +43,7 @@
     // hyper sets the length of the body that is actually sent.
     forwarded.remove(CONTENT_LENGTH);
     for name in connection_options(from) {
-        // Routes are matched by host.
+        // Without the host, requests of different routes cannot be told apart.
         if name != HOST && !essential.contains(&name) {
             forwarded.remove(name);
         }
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -24,7 +24,7 @@
     addr: SocketAddr,
     /// Held until the loss is reported, so that no other trial begins before.
     permit: Option<TrialPermit>,
-    /// Other requests running at the upstream when this one was sent.
+    /// Requests running at the upstream when this one was sent.
     concurrent: u32,
     /// Time from sending the request to the failure.
     elapsed: Duration,
--- a/crates/sesamegap-entry/src/relay/mod.rs
+++ b/crates/sesamegap-entry/src/relay/mod.rs
@@ -110,8 +110,8 @@
     fn prompt_shape(&self) -> Option<PromptShape> {
         let model = self.head.model.clone()?;
         let parts = &self.head.parts;
-        // A prompt without named parts has no prefix to route by either, but still needs a shape so that it
-        // does not run on outdated weights.
+        // A prompt without named parts may go to any engine too, but needs a shape so that it does not run on
+        // outdated weights.
         let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
         let mut hasher = FxHasher::default();
         let mut tokens = 0;
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -67,14 +67,14 @@
                 None => true,
             },
             Outcome::NotRun(why) => {
-                if !retry.retry_after_not_run(core, id.clone(), why) {
+                if !retry.should_retry_not_run(core, id.clone(), why) {
                     return failure.ok_or(retry.no_upstream());
                 }
                 false
             }
             Outcome::Lost(_) => true,
         };
-        if may_have_run && !retry.retry_after_run(core, job, id) {
+        if may_have_run && !retry.should_retry_possible_run(core, job, id) {
             return failure.ok_or(job.lost_refusal());
         }
     }
--- a/crates/sesamegap-entry/src/relay/retry.rs
+++ b/crates/sesamegap-entry/src/relay/retry.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records that the request did not run at `at`; returns whether to try another upstream.
-    pub fn retry_after_not_run(&mut self, core: &Core, at: UpstreamId, why: NotRun) -> bool {
+    pub fn should_retry_not_run(&mut self, core: &Core, at: UpstreamId, why: NotRun) -> bool {
         // Its weights are known now, so the same engine may be chosen again.
         if why != NotRun::OtherWeights {
             self.excluded.push(at);
@@ -86,7 +86,7 @@
     }
 
     /// Records that the request may have run at `at`; returns whether it may be sent again.
-    pub fn retry_after_run(&mut self, core: &Core, job: &Job, at: UpstreamId) -> bool {
+    pub fn should_retry_possible_run(&mut self, core: &Core, job: &Job, at: UpstreamId) -> bool {
         self.record_run(at);
         self.can_run_again(job) && core.may_repeat(&self.service)
     }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -63,7 +63,7 @@
     /// An event stream.
     Stream(Box<UpstreamStream>),
     /// A complete response that is not a stream.
-    Whole(Response<Body>),
+    Complete(Response<Body>),
 }
 
 /// A stream request with its attempts so far.
@@ -94,7 +94,7 @@
             let body = StreamBody::new(relay_body(relay, *stream, log)).boxed_unsync();
             caller_response(status, &headers, body)
         }
-        Ok(Opened::Whole(response)) => {
+        Ok(Opened::Complete(response)) => {
             log.record_end(response.status().as_u16(), relay.retry.runs + 1, "");
             response
         }
@@ -178,14 +178,17 @@
                     }
                 },
                 Outcome::NotRun(why) => {
-                    if !self.retry.retry_after_not_run(&self.core, id, why) {
+                    if !self.retry.should_retry_not_run(&self.core, id, why) {
                         return Err(self.retry.no_upstream());
                     }
                     continue;
                 }
                 Outcome::Lost(_) => {}
             }
-            if !self.retry.retry_after_run(&self.core, &self.job, id) {
+            if !self
+                .retry
+                .should_retry_possible_run(&self.core, &self.job, id)
+            {
                 return Err(self.job.lost_refusal());
             }
         }
@@ -231,7 +234,7 @@
                     return Err(error.to_string());
                 }
             };
-            return Ok(Opened::Whole(caller_response(
+            return Ok(Opened::Complete(caller_response(
                 head.status,
                 &head.headers,
                 full(body),
@@ -382,7 +385,7 @@
             if other && self.core.may_repeat(&self.retry.service) {
                 match self.open().await {
                     Ok(Opened::Stream(stream)) => return Some(*stream),
-                    Ok(Opened::Whole(_)) => return None,
+                    Ok(Opened::Complete(_)) => return None,
                     Err(_) => {}
                 }
             }
--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -41,7 +41,7 @@
         }),
     });
     if plan.from_store {
-        flight.on_way = store.and_then(|store| start_fetch(core, job, flight, store, tokens));
+        flight.on_way = store.and_then(|store| register_fetch(core, job, flight, store, tokens));
     }
     let store = store.map(|store| store.addr);
     let from_engine = flight.source.filter(|_| plan.from_engine);
@@ -52,7 +52,7 @@
 }
 
 /// Counts a fetch at a store, unless it would finish too late for the latency objective.
-fn start_fetch(
+fn register_fetch(
     core: &Core,
     job: &Job,
     flight: &Flight,
--- a/crates/sesamegap-entry/tests/testsuite/idle_close.rs
+++ b/crates/sesamegap-entry/tests/testsuite/idle_close.rs
@@ -14,7 +14,7 @@
 const SAVE_REQUEST: &str = "POST /save/ HTTP/1.1\r\nhost: desk.example\r\nx-id: r2\r\nauthorization: clerks-key\r\ncontent-length: 0\r\n\r\n";
 
 /// An idle limit that no test reaches.
-const NO_IDLE_LIMIT: Duration = Duration::from_mins(1);
+const LONG_IDLE_LIMIT: Duration = Duration::from_mins(1);
 
 /// Repetitions of each race, as the close could come second by chance.
 const REPETITIONS: usize = 12;
@@ -36,7 +36,7 @@
 #[tokio::test]
 async fn an_unread_request_is_answered_before_shutdown_closes_the_connection() {
     for _ in 0..REPETITIONS {
-        let (process, _desk, mut caller) = idle_caller(NO_IDLE_LIMIT).await;
+        let (process, _worker, mut caller) = idle_caller(LONG_IDLE_LIMIT).await;
         process.core.enter(Phase::Leaving);
         caller.send_at_once(SAVE_REQUEST);
         process.core.enter(Phase::Closing);
@@ -53,7 +53,7 @@
 async fn an_unread_request_is_answered_after_the_idle_limit() {
     for _ in 0..REPETITIONS {
         let idle_limit = Duration::from_millis(100);
-        let (_process, _desk, mut caller) = idle_caller(idle_limit).await;
+        let (_process, _worker, mut caller) = idle_caller(idle_limit).await;
         caller.send_at_once(SAVE_REQUEST);
         // Blocks the runtime's only thread, as a pause of the VM does.
         std::thread::sleep(idle_limit + Duration::from_millis(20));
@@ -64,7 +64,7 @@
 /// Part of a request head has arrived when the process shuts down. The rest follows.
 #[tokio::test]
 async fn a_partial_head_is_read_to_its_end_during_shutdown() {
-    let (process, _desk, mut caller) = idle_caller(NO_IDLE_LIMIT).await;
+    let (process, _worker, mut caller) = idle_caller(LONG_IDLE_LIMIT).await;
     let (half, rest) = SAVE_REQUEST.split_at(20);
     caller.send(half).await;
     // Once another request has been answered, the partial head has been read too.
--- a/crates/sesamegap-entry/tests/testsuite/non_idempotent.rs
+++ b/crates/sesamegap-entry/tests/testsuite/non_idempotent.rs
@@ -64,8 +64,8 @@
     }
     let answer = ask(process.callers, "POST", "/save/", "", "form").await;
     assert_eq!(answer.status, 503);
-    let back: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-    assert!(back > 0.0 && back < 2.0, "{back}");
+    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_after > 0.0 && retry_after < 2.0, "{retry_after}");
 }
 
 /// A new worker has the address of one that is gone. It must not run a save meant for the old worker, and
--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -52,10 +52,10 @@
     let gone = Upstream::start(vec![Act::Elsewhere("e9")]).await;
     process.add("e1", "engines", gone.addr);
     ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
-    let told = process.core.peers.outbox.take();
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert_eq!(told[0].engine.as_str(), "e1");
-    assert!(told[0].out_ms >= 5_000 && told[0].weights.is_none());
+    let reports = process.core.peers.outbox.take();
+    assert_eq!(reports.len(), 1, "{reports:?}");
+    assert_eq!(reports[0].engine.as_str(), "e1");
+    assert!(reports[0].out_ms >= 5_000 && reports[0].weights.is_none());
 }
 
 /// An engine reports different weights in each response. Retries must not go on indefinitely.
