--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -97,9 +97,9 @@
         uri: head.uri,
         headers: head.headers,
         body: body.bytes,
-        room: body.room,
+        body_permit: body.room,
         arrived,
-        ends,
+        deadline: ends,
         fingerprint: OnceLock::new(),
     })
 }
--- a/crates/sesamegap-entry/tests/testsuite/main.rs
+++ b/crates/sesamegap-entry/tests/testsuite/main.rs
@@ -6,14 +6,14 @@
 
 mod belief;
 mod catalogue;
-mod crossing;
 mod fetches;
 mod fleet;
-mod foreign;
+mod fleet_records;
+mod forwarding;
+mod idle_close;
 mod logs;
-mod once;
+mod non_idempotent;
 mod pages;
-mod pass;
 mod peers;
 mod placing;
 mod quarantine;
