--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -103,7 +103,7 @@
         }
     };
     core.desk.open(Arc::clone(&socket));
-    core.quarantine.open(Arc::clone(&socket));
+    core.quarantine.set_socket(Arc::clone(&socket));
     tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
     let mut last: Vec<Held> = Vec::new();
     let mut telling = RecipientSelector::default();
--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -90,7 +90,7 @@
 
 impl Quarantine {
     /// Sends over this socket from now on.
-    pub fn open(&self, socket: Arc<UdpSocket>) {
+    pub fn set_socket(&self, socket: Arc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
             info!("the quarantine has its socket already");
         }
