--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -174,7 +174,7 @@
         unconfirmed.retain(|unconfirmed| now < unconfirmed.until);
         drop((fleet, unconfirmed));
         for loss in &gone {
-            self.crashed(loss);
+            self.record_crash(loss);
         }
     }
 
--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -107,7 +107,7 @@
     }
 
     /// Notes that an upstream ended under a request of this VM.
-    pub fn crashed(&self, loss: &UpstreamLoss) {
+    pub fn record_crash(&self, loss: &UpstreamLoss) {
         let report = Report::Crashed {
             request: loss.request,
             crash: loss.crash,
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -99,7 +99,7 @@
             "connection broke"
         );
         match process {
-            Process::Gone => core.quarantine.crashed(loss),
+            Process::Gone => core.quarantine.record_crash(loss),
             // It may have started again at once, or be cut off: the list tells.
             Process::Running | Process::Unreachable => core.quarantine.unconfirmed(loss.clone()),
         }
