--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -116,7 +116,7 @@
     }
 
     /// Notes that an upstream could not be reached after it broke off a request: whether it ended, the list will tell.
-    pub fn unconfirmed(&self, loss: UpstreamLoss) {
+    pub fn record_unconfirmed_loss(&self, loss: UpstreamLoss) {
         let mut unconfirmed = lock(&self.unconfirmed);
         if unconfirmed.len() < MOST_UNCONFIRMED {
             unconfirmed.push(Unconfirmed {
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -72,7 +72,7 @@
 
     /// Notes that the upstream fell silent: whether it ended the list will tell, at no cost to one that is slow.
     pub fn silent(self, core: &Core) {
-        core.quarantine.unconfirmed(self.loss);
+        core.quarantine.record_unconfirmed_loss(self.loss);
     }
 
     /// Finds out in a task of its own whether the upstream's process ended, and reports it.
@@ -101,7 +101,7 @@
         match process {
             Process::Gone => core.quarantine.record_crash(loss),
             // It may have started again at once, or be cut off: the list tells.
-            Process::Running | Process::Unreachable => core.quarantine.unconfirmed(loss.clone()),
+            Process::Running | Process::Unreachable => core.quarantine.record_unconfirmed_loss(loss.clone()),
         }
         drop(self.permit);
     }
