--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -127,7 +127,7 @@
     }
 
     /// Notes that a request of this VM ran to its end, if anything is held against it.
-    pub fn succeeded(&self, request: Fingerprint) {
+    pub fn record_completion(&self, request: Fingerprint) {
         let epoch = self.registry().get(request).map(|record| record.epoch);
         if let Some(epoch) = epoch {
             self.report(Report::Completed { request, epoch });
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -119,7 +119,7 @@
     }
     let failed = head.status.is_server_error();
     if head.status.is_success() {
-        core.quarantine.succeeded(job.fingerprint());
+        core.quarantine.record_completion(job.fingerprint());
     }
     answered.flight.answered(answered.sent.elapsed(), failed);
     Some(respond(head.status, &head.headers, full(bytes.freeze())))
@@ -145,7 +145,7 @@
                 }
             }
         }
-        core.quarantine.succeeded(loss.request());
+        core.quarantine.record_completion(loss.request());
     };
     StreamBody::new(stream).boxed_unsync()
 }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -119,7 +119,7 @@
                     yield Ok(Frame::data(bytes));
                 }
                 Ok(None) => {
-                    relay.core.quarantine.succeeded(relay.job.fingerprint());
+                    relay.core.quarantine.record_completion(relay.job.fingerprint());
                     log.end(live.status.as_u16(), relay.progress.runs + 1, "");
                     return;
                 }
