--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -16,7 +16,7 @@
 pub use admission::{Admission, TrialPermit, admit};
 pub use exchange::{receive, tick};
 pub use message::{Answer, Ask, Message, Report};
-pub use probe::{Probes, Process};
+pub use probe::{Probes, ProcessState};
 pub use sync::sync;
 
 use crate::clock;
--- a/crates/sesamegap-entry/src/quarantine/probe.rs
+++ b/crates/sesamegap-entry/src/quarantine/probe.rs
@@ -21,7 +21,7 @@
 
 /// What a probe found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Process {
+pub enum ProcessState {
     /// Nothing listens at its address.
     Gone,
     /// It takes connections.
@@ -30,7 +30,7 @@
     Unreachable,
 }
 
-type Probe = Arc<OnceCell<Process>>;
+type Probe = Arc<OnceCell<ProcessState>>;
 
 /// Probes of upstreams, one for all requests that lose the same one.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
 
 impl Probes {
     /// Probes an upstream in one of its lives.
-    pub async fn probe(&self, life: u64, addr: SocketAddr) -> Process {
+    pub async fn probe(&self, life: u64, addr: SocketAddr) -> ProcessState {
         let probe = self.shared(life);
         *probe.get_or_init(|| connect(addr)).await
     }
@@ -52,10 +52,10 @@
     }
 }
 
-async fn connect(addr: SocketAddr) -> Process {
+async fn connect(addr: SocketAddr) -> ProcessState {
     match timeout(CONNECT, TcpStream::connect(addr)).await {
-        Ok(Ok(_)) => Process::Running,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Process::Gone,
-        Ok(Err(_)) | Err(_) => Process::Unreachable,
+        Ok(Ok(_)) => ProcessState::Running,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProcessState::Gone,
+        Ok(Err(_)) | Err(_) => ProcessState::Unreachable,
     }
 }
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::quarantine::{Process, TrialPermit, UpstreamLoss};
+use crate::quarantine::{ProcessState, TrialPermit, UpstreamLoss};
 use crate::telemetry::events;
 use sesamegap_policy::quarantine::Crash;
 use sesamegap_wire::Fingerprint;
@@ -99,9 +99,9 @@
             "connection broke"
         );
         match process {
-            Process::Gone => core.quarantine.record_crash(loss),
+            ProcessState::Gone => core.quarantine.record_crash(loss),
             // It may have started again at once, or be cut off: the list tells.
-            Process::Running | Process::Unreachable => core.quarantine.record_unconfirmed_loss(loss.clone()),
+            ProcessState::Running | ProcessState::Unreachable => core.quarantine.record_unconfirmed_loss(loss.clone()),
         }
         drop(self.permit);
     }
