--- a/crates/sesamegap-entry/src/quarantine/admission.rs
+++ b/crates/sesamegap-entry/src/quarantine/admission.rs
@@ -1,6 +1,6 @@
-//! Whether a request may be sent to an upstream.
+//! Admission of requests to upstreams, subject to the quarantine.
 
-use super::message::{Ask, Message, Report};
+use super::message::{Message, Report, TrialRequest};
 use super::{Quarantine, lock};
 use crate::clock;
 use crate::core::Core;
@@ -15,23 +15,23 @@
 use tokio::time::timeout;
 use tracing::info;
 
-/// Longest wait for the answer of the coordinator, some ten times what it takes across failure domains.
-const ANSWER: Duration = Duration::from_millis(50);
+/// Maximum wait for the coordinator's response, about ten times the usual response time across failure domains.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Whether a request may be sent.
+/// Decision on whether a request may be sent to an upstream.
 #[derive(Debug)]
 pub enum Admission {
-    /// Like any other.
+    /// It may be sent without restrictions.
     Free,
-    /// On trial, by itself.
+    /// It may be sent as a trial, to the upstream that runs the fewest other requests.
     Trial(TrialPermit),
-    /// Not now.
+    /// It may not be sent now and must ask again later.
     Deferred,
-    /// Not at all.
+    /// It is quarantined and may not be sent.
     Refused,
 }
 
-/// A suspect's turn to run, which ends when this is dropped.
+/// Permission to run a suspect as a trial. Dropping it reports the end of the trial.
 #[derive(Debug)]
 pub struct TrialPermit {
     core: Arc<Core>,
@@ -41,7 +41,9 @@
 impl Drop for TrialPermit {
     fn drop(&mut self) {
         let request = self.request;
-        self.core.quarantine.report(Report::Released { request });
+        self.core
+            .quarantine
+            .submit_report(Report::Released { request });
     }
 }
 
@@ -55,9 +57,9 @@
     let grant = match quarantine.standing(request) {
         Standing::Clear => return Admission::Free,
         Standing::Quarantined => Grant::Refused,
-        Standing::Suspect => ask(core, request, job.left()).await,
+        Standing::Suspect => request_trial(core, request, job.left()).await,
     };
-    // One that is put off asks again, and its end says why it was not served.
+    // Not logged for deferred requests: they ask again, and the log line of their end says why they were not served.
     if grant != Grant::Busy {
         info!(event = events::ADMISSION, request = %job.head.id, fingerprint = %request, grant = ?grant, "a request under which upstreams ended");
     }
@@ -72,8 +74,8 @@
     }
 }
 
-/// Asks the coordinator; one that does not answer grants nothing.
-async fn ask(core: &Core, request: Fingerprint, left: Duration) -> Grant {
+/// Asks the coordinator for permission to run a suspect; without a response in time, the request is deferred.
+async fn request_trial(core: &Core, request: Fingerprint, left: Duration) -> Grant {
     let quarantine = &core.quarantine;
     let Some(coordinator) = core.peers.first(1, COORDINATOR_RANKING_KEY).pop().flatten() else {
         let mut registry = quarantine.registry();
@@ -82,27 +84,31 @@
     let Some(record) = quarantine.registry().get(request).cloned() else {
         return Grant::Free;
     };
-    let answer = timeout(ANSWER, quarantine.question(record, left, coordinator)).await;
+    let answer = timeout(
+        RESPONSE_TIMEOUT,
+        quarantine.send_trial_request(record, left, coordinator),
+    )
+    .await;
     answer.unwrap_or_else(|_| {
-        info!(event = events::PEER, peer = %coordinator, "the coordinator does not answer");
+        info!(event = events::PEER, peer = %coordinator, "no response from the quarantine coordinator");
         Grant::Busy
     })
 }
 
 impl Quarantine {
-    async fn question(&self, record: Record, left: Duration, to: SocketAddr) -> Grant {
+    async fn send_trial_request(&self, record: Record, left: Duration, to: SocketAddr) -> Grant {
         let (sender, answer) = oneshot::channel();
         let number = {
-            let mut asks = lock(&self.asks);
-            // What nobody waits for any more needs no answer.
-            asks.open.retain(|_, open| !open.is_closed());
-            asks.next = asks.next.max(clock::unix_ms() << 20) + 1;
-            let number = asks.next;
-            asks.open.insert(number, sender);
+            let mut pending = lock(&self.pending_responses);
+            // Drop requests that have timed out.
+            pending.senders.retain(|_, sender| !sender.is_closed());
+            pending.last_number = pending.last_number.max(clock::unix_ms() << 20) + 1;
+            let number = pending.last_number;
+            pending.senders.insert(number, sender);
             number
         };
         let left_ms = clock::ms_told(left);
-        let ask = Ask {
+        let ask = TrialRequest {
             number,
             record,
             left_ms,
--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -1,6 +1,6 @@
-//! Datagrams about requests under which upstreams ended.
+//! Exchange of quarantine messages between VMs in datagrams.
 
-use super::message::{Answer, Ask, Message};
+use super::message::{Message, TrialRequest, TrialResponse};
 use super::{Quarantine, UpstreamLoss, is_coordinator, lock};
 use crate::clock;
 use crate::core::Core;
@@ -9,19 +9,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Reports in one datagram, of some 35 bytes each.
-const REPORTS: usize = 32;
+/// Maximum number of reports in a datagram; each has about 35 bytes.
+const REPORTS_PER_DATAGRAM: usize = 32;
 
-/// Records in one datagram, of up to 130 bytes each.
-const RECORDS: usize = 8;
+/// Maximum number of records in a datagram; each has up to 130 bytes.
+const RECORDS_PER_DATAGRAM: usize = 8;
 
-/// Ticks between two rounds of gossip, for VMs that missed a broadcast.
-const GOSSIP: u32 = 20;
+/// Ticks between two gossip rounds, which bring records to VMs that missed a broadcast.
+const GOSSIP_INTERVAL_TICKS: u32 = 20;
 
-/// Peers in one round of gossip.
-const FANOUT: usize = 3;
+/// Number of peers that receive records in a gossip round.
+const GOSSIP_FANOUT: usize = 3;
 
-/// Sends what is due; called at a fixed pace.
+/// Sends the messages that are due; called at fixed intervals.
 pub async fn tick(core: &Core, ticks: u32) {
     let quarantine = &core.quarantine;
     quarantine.settle_unconfirmed(core);
@@ -30,13 +30,13 @@
     }
     send_reports(core).await;
     judge(core);
-    let records = lock(&quarantine.outbox).records();
-    let gossips = ticks.is_multiple_of(GOSSIP);
+    let records = lock(&quarantine.outbox).take_records();
+    let gossips = ticks.is_multiple_of(GOSSIP_INTERVAL_TICKS);
     if records.is_empty() && !gossips {
         return;
     }
     let alive = core.peers.datagram_addrs();
-    for records in records.chunks(RECORDS) {
+    for records in records.chunks(RECORDS_PER_DATAGRAM) {
         for to in &alive {
             quarantine
                 .send(Message::Records(records.to_vec()), *to)
@@ -44,27 +44,27 @@
         }
     }
     if gossips {
-        gossip(core, &alive, ticks / GOSSIP).await;
+        gossip(core, &alive, ticks / GOSSIP_INTERVAL_TICKS).await;
     }
 }
 
-/// Sends what this VM saw to the coordinator and its replicas.
+/// Sends this VM's reports to the coordinator and its replicas.
 async fn send_reports(core: &Core) {
     let quarantine = &core.quarantine;
-    let reports = lock(&quarantine.outbox).reports();
+    let reports = lock(&quarantine.outbox).take_reports();
     if reports.is_empty() {
         return;
     }
     let replicas = core.peers.first(REPORT_REPLICAS, COORDINATOR_RANKING_KEY);
     for to in replicas.into_iter().flatten() {
-        for reports in reports.chunks(REPORTS) {
+        for reports in reports.chunks(REPORTS_PER_DATAGRAM) {
             let reports = Message::Reports(reports.to_vec());
             quarantine.send(reports, to).await;
         }
     }
 }
 
-/// Judges trials and broadcasts what changed, if this VM is the coordinator.
+/// If this VM is the coordinator, judges trials and queues changed records for broadcast.
 fn judge(core: &Core) {
     let quarantine = &core.quarantine;
     let is_coordinator = is_coordinator(core);
@@ -79,13 +79,13 @@
         registry.take_unpublished()
     };
     if is_coordinator && !news.is_empty() {
-        lock(&quarantine.outbox).broadcast(news);
+        lock(&quarantine.outbox).queue_broadcast(news);
         quarantine.changed.notify_one();
     }
 }
 
-/// Sends some records to some peers, both by turns.
-async fn gossip(core: &Core, alive: &[SocketAddr], turn: u32) {
+/// Sends a part of the records to some of the peers, rotating through both from round to round.
+async fn gossip(core: &Core, alive: &[SocketAddr], round: u32) {
     let quarantine = &core.quarantine;
     let mut records: Vec<Record> = {
         let registry = quarantine.registry();
@@ -95,26 +95,26 @@
         return;
     }
     records.sort_unstable_by_key(|record| record.fingerprint);
-    let turn = turn as usize;
-    let records = around(&records, turn * RECORDS, RECORDS);
-    for to in around(alive, turn * FANOUT, FANOUT) {
+    let round = round as usize;
+    let records = cyclic_slice(&records, round * RECORDS_PER_DATAGRAM, RECORDS_PER_DATAGRAM);
+    for to in cyclic_slice(alive, round * GOSSIP_FANOUT, GOSSIP_FANOUT) {
         quarantine.send(Message::Records(records.clone()), to).await;
     }
 }
 
-/// Up to `count` items from a place on, going on at the begin.
-fn around<T: Clone>(items: &[T], from: usize, count: usize) -> Vec<T> {
+/// Returns up to `count` items starting at index `from`, wrapping around at the end.
+fn cyclic_slice<T: Clone>(items: &[T], from: usize, count: usize) -> Vec<T> {
     let places = (0..count.min(items.len())).map(|no| (from + no) % items.len());
     places.map(|at| items[at].clone()).collect()
 }
 
-/// Takes in a message.
+/// Handles a message from a peer.
 pub async fn receive(core: &Core, from: SocketAddr, message: Message) {
     let quarantine = &core.quarantine;
     match message {
         Message::Reports(reports) => {
             for report in &reports {
-                quarantine.handle(report, "peer");
+                quarantine.apply_report(report, "peer");
             }
         }
         Message::Records(records) => {
@@ -123,39 +123,44 @@
             }
         }
         Message::Ask(ask) => {
-            let answer = quarantine.answer(&ask);
+            let answer = quarantine.respond(&ask);
             quarantine.send(Message::Answer(answer), from).await;
         }
         Message::Answer(answer) => {
             if let Some(record) = &answer.record {
                 quarantine.merge(record, "peer");
             }
-            let open = lock(&quarantine.asks).open.remove(&answer.number);
-            if let Some(open) = open
-                && open.send(answer.grant).is_err()
+            let sender = lock(&quarantine.pending_responses)
+                .senders
+                .remove(&answer.number);
+            if let Some(sender) = sender
+                && sender.send(answer.grant).is_err()
             {
-                tracing::debug!(number = answer.number, "an answer came too late");
+                tracing::debug!(
+                    number = answer.number,
+                    "response arrived after the request timed out"
+                );
             }
         }
     }
 }
 
 impl Quarantine {
-    /// Answers a question, by what this VM and the asker know.
-    fn answer(&self, ask: &Ask) -> Answer {
+    /// Decides on a trial request, from the records of this VM and of the sender.
+    fn respond(&self, ask: &TrialRequest) -> TrialResponse {
         self.merge(&ask.record, "peer");
         let request = ask.record.fingerprint;
         let left = Duration::from_millis(u64::from(ask.left_ms));
         let mut registry = self.registry();
         let grant = registry.request_trial(request, left, clock::now(), clock::unix_ms());
-        Answer {
+        TrialResponse {
             number: ask.number,
             grant,
             record: registry.get(request).cloned(),
         }
     }
 
-    /// Counts unconfirmed losses whose upstreams have left the list since.
+    /// Records a crash for each unconfirmed loss whose upstream has left the list since, and drops expired losses.
     fn settle_unconfirmed(&self, core: &Core) {
         let now = clock::now();
         let mut unconfirmed = lock(&self.unconfirmed);
@@ -171,19 +176,19 @@
             .extract_if(.., |unconfirmed| is_gone(&unconfirmed.loss))
             .map(|unconfirmed| unconfirmed.loss)
             .collect();
-        unconfirmed.retain(|unconfirmed| now < unconfirmed.until);
+        unconfirmed.retain(|unconfirmed| now < unconfirmed.expires_at);
         drop((fleet, unconfirmed));
         for loss in &gone {
             self.record_crash(loss);
         }
     }
 
-    /// Sends a message, if there is a socket and the link takes it.
+    /// Sends a message if the socket is set; ignores errors.
     pub(super) async fn send(&self, message: Message, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
             && let Some(bytes) = peers::quarantine(message)
         {
-            // What is lost is sent again.
+            // Lost messages are sent again.
             drop(socket.send_to(&bytes, to).await);
         }
     }
--- a/crates/sesamegap-entry/src/quarantine/message.rs
+++ b/crates/sesamegap-entry/src/quarantine/message.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of requests under which upstreams ended.
+//! Messages between VMs about requests that crash upstreams.
 
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::quarantine::{Crash, Grant, Record};
@@ -7,58 +7,58 @@
 /// A message between entry VMs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
-    /// What a VM saw, to the coordinator and its replicas.
+    /// Reports from a VM to the coordinator and its replicas.
     Reports(Vec<Report>),
-    /// What is known, from the coordinator or from any VM by turns.
+    /// Records, broadcast by the coordinator or gossiped by any VM.
     Records(Vec<Record>),
-    /// May this request run?
-    Ask(Ask),
-    /// Whether it may.
-    Answer(Answer),
+    /// Asks the coordinator whether a suspect may run.
+    Ask(TrialRequest),
+    /// The coordinator's response.
+    Answer(TrialResponse),
 }
 
-/// What a VM saw of a request.
+/// Report of one event of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
-    /// An upstream ended under it.
+    /// An upstream crashed while it ran the request.
     Crashed {
         /// The request.
         request: Fingerprint,
-        /// The upstream.
+        /// The crash.
         crash: Crash,
     },
-    /// It ran to its end.
+    /// The request completed.
     Completed {
         /// The request.
         request: Fingerprint,
-        /// Times that it was cleared before.
+        /// Epoch of the request's record, which increases each time the request is cleared.
         epoch: u32,
     },
-    /// Its trial is over, whatever came of it.
+    /// The trial of the request ended, with any outcome.
     Released {
         /// The request.
         request: Fingerprint,
     },
 }
 
-/// A question to the coordinator.
+/// Request to the coordinator for permission to run a suspect.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Ask {
-    /// Number that the asker gave it.
+pub struct TrialRequest {
+    /// Number by which the sender matches the response.
     pub number: u64,
-    /// What the asker knows of the request.
+    /// The sender's record of the request.
     pub record: Record,
-    /// Time left to the caller, in milliseconds.
+    /// Remaining time until the request's deadline, in milliseconds.
     pub left_ms: u32,
 }
 
-/// The answer to a question.
+/// Response to a [`TrialRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Answer {
-    /// Number that the asker gave.
+pub struct TrialResponse {
+    /// Number of the trial request.
     pub number: u64,
-    /// What it may do.
+    /// The decision.
     pub grant: Grant,
-    /// What is known of the request.
+    /// The coordinator's record of the request.
     pub record: Option<Record>,
 }
--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -1,10 +1,10 @@
-//! Requests under which upstreams end, as all entry VMs know them together.
+//! Quarantine of requests that crash upstreams, shared by all entry VMs.
 //!
-//! A VM whose connection broke probes whether the upstream's process is gone ([`Probes`]) and reports each request that it
-//! had there to the coordinator and its replicas. The coordinator grants trials and judges them; its verdicts are
-//! broadcast to all VMs ([`exchange`]) and written to the store ([`sync`]), for VMs that were restarted together and for those
-//! that no peer reaches. Before each attempt of a request [`admit`] says whether it runs, runs on trial, or is refused.
-//! What is decided lies in [`sesamegap_policy::quarantine`].
+//! A VM whose connection to an upstream broke probes whether the upstream's process is gone ([`Probes`]) and reports each
+//! request that it had there to the coordinator and its replicas. The coordinator grants trials and judges them. Its
+//! verdicts are broadcast to all VMs ([`exchange`]) and written to the store ([`sync`]), for VMs that were all restarted
+//! at once and for VMs that no peer can reach. Before each attempt of a request, [`admit`] decides whether it runs
+//! normally, runs as a trial, is deferred or is refused. The policy is in [`sesamegap_policy::quarantine`].
 
 mod admission;
 mod exchange;
@@ -15,7 +15,7 @@
 
 pub use admission::{Admission, TrialPermit, admit};
 pub use exchange::{receive, tick};
-pub use message::{Answer, Ask, Message, Report};
+pub use message::{Message, Report, TrialRequest, TrialResponse};
 pub use probe::{Probes, ProcessState};
 pub use sync::sync;
 
@@ -34,52 +34,53 @@
 use tokio::sync::{Notify, oneshot};
 use tracing::{info, warn};
 
-/// How long an upstream that cannot be reached may take to leave the list, after which it counts as cut off.
-const CONFIRMATION: Duration = Duration::from_secs(10);
+/// Time within which an upstream must leave the list for its loss to count as a crash. If it stays listed for longer,
+/// it counts as disconnected.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Unconfirmed losses remembered: all requests at a few upstreams.
-const MOST_UNCONFIRMED: usize = 512;
+/// Maximum number of unconfirmed losses: enough for all requests at a few upstreams.
+const MAX_UNCONFIRMED: usize = 512;
 
-/// A request at an upstream that could not be reached after its connection broke.
+/// Loss of an upstream that is not yet known to have crashed.
 #[derive(Debug)]
-struct Unconfirmed {
+struct UnconfirmedLoss {
     loss: UpstreamLoss,
-    until: Moment,
+    expires_at: Moment,
 }
 
-/// An upstream that was lost while it ran a request.
+/// Loss of an upstream while it ran a request.
 #[derive(Debug, Clone)]
 pub struct UpstreamLoss {
     /// The request.
     pub request: Fingerprint,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Its life, and whether the request was on trial there.
+    /// The upstream's instance, and whether the request ran there as a trial.
     pub crash: Crash,
 }
 
-/// What this VM knows of such requests, and its messages to others about them.
+/// The quarantine as known to this VM, and its messages to other VMs.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     registry: Mutex<Registry>,
     outbox: Mutex<Outbox>,
-    unconfirmed: Mutex<Vec<Unconfirmed>>,
-    asks: Mutex<Asks>,
+    unconfirmed: Mutex<Vec<UnconfirmedLoss>>,
+    pending_responses: Mutex<PendingResponses>,
     socket: OnceLock<Arc<UdpSocket>>,
-    /// Wakes the task that writes to the store.
+    /// Wakes the task that synchronizes with the store.
     changed: Notify,
-    /// Probes of upstreams whose connections broke.
+    /// Probes of upstreams after broken connections.
     pub probes: Probes,
 }
 
-/// Questions that are still open.
+/// Trial requests that wait for the coordinator's response.
 #[derive(Debug, Default)]
-struct Asks {
-    next: u64,
-    open: FxHashMap<u64, oneshot::Sender<Grant>>,
+struct PendingResponses {
+    last_number: u64,
+    senders: FxHashMap<u64, oneshot::Sender<Grant>>,
 }
 
-/// Whether this VM grants trials and judges them.
+/// Whether this VM is the coordinator, which grants and judges trials.
 fn is_coordinator(core: &Core) -> bool {
     core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]
 }
@@ -89,94 +90,94 @@
 }
 
 impl Quarantine {
-    /// Sends over this socket from now on.
+    /// Sets the socket over which messages are sent.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
-            info!("the quarantine has its socket already");
+            info!("quarantine socket is already set");
         }
     }
 
-    /// What is known, for a moment.
+    /// Locks the registry of crash records.
     pub fn registry(&self) -> MutexGuard<'_, Registry> {
         lock(&self.registry)
     }
 
-    /// What is to be done with a request now.
+    /// Returns how a request is currently treated.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         self.registry().standing(request, clock::unix_ms())
     }
 
-    /// Notes that an upstream ended under a request of this VM.
+    /// Records that an upstream crashed while it ran a request of this VM, and reports it.
     pub fn record_crash(&self, loss: &UpstreamLoss) {
         let report = Report::Crashed {
             request: loss.request,
             crash: loss.crash,
         };
-        self.report(report);
+        self.submit_report(report);
     }
 
-    /// Notes that an upstream could not be reached after it broke off a request: whether it ended, the list will tell.
+    /// Records a loss for which no probe showed a crash. It counts as a crash once the upstream leaves the list.
     pub fn record_unconfirmed_loss(&self, loss: UpstreamLoss) {
         let mut unconfirmed = lock(&self.unconfirmed);
-        if unconfirmed.len() < MOST_UNCONFIRMED {
-            unconfirmed.push(Unconfirmed {
+        if unconfirmed.len() < MAX_UNCONFIRMED {
+            unconfirmed.push(UnconfirmedLoss {
                 loss,
-                until: clock::now() + CONFIRMATION,
+                expires_at: clock::now() + CONFIRMATION_TIMEOUT,
             });
         }
     }
 
-    /// Notes that a request of this VM ran to its end, if anything is held against it.
+    /// Records and reports that a request of this VM completed, if there is a record of it.
     pub fn record_completion(&self, request: Fingerprint) {
         let epoch = self.registry().get(request).map(|record| record.epoch);
         if let Some(epoch) = epoch {
-            self.report(Report::Completed { request, epoch });
+            self.submit_report(Report::Completed { request, epoch });
         }
     }
 
-    /// Takes in what this VM saw, and reports it.
-    fn report(&self, report: Report) {
-        self.handle(&report, "own");
-        lock(&self.outbox).report(report);
+    /// Applies a report of this VM and queues it for the coordinator and its replicas.
+    fn submit_report(&self, report: Report) {
+        self.apply_report(&report, "own");
+        lock(&self.outbox).queue_report(report);
     }
 
-    /// Takes in a report, of this VM or another.
-    fn handle(&self, report: &Report, by: &str) {
+    /// Applies a report from this VM or another.
+    fn apply_report(&self, report: &Report, source: &str) {
         let now = clock::now();
         match report {
-            Report::Crashed { request, crash } => self.change(*request, by, |registry| {
+            Report::Crashed { request, crash } => self.update(*request, source, |registry| {
                 registry.record_crash(*request, *crash, now, clock::unix_ms());
             }),
-            Report::Completed { request, epoch } => self.change(*request, by, |registry| {
+            Report::Completed { request, epoch } => self.update(*request, source, |registry| {
                 registry.record_completion(*request, *epoch, now);
             }),
             Report::Released { request } => self.registry().end_trial(*request),
         }
     }
 
-    /// Takes in what another VM or the store knows of a request.
-    fn merge(&self, record: &Record, by: &str) {
-        self.change(record.fingerprint, by, |registry| {
+    /// Merges a record from another VM or the store.
+    fn merge(&self, record: &Record, source: &str) {
+        self.update(record.fingerprint, source, |registry| {
             registry.merge(record, clock::now(), clock::unix_ms());
         });
     }
 
-    /// Lets a request run like any other again, as an operator asks; whether it did not.
+    /// Clears a request on behalf of an operator; returns whether it had any crashes.
     pub fn lift(&self, request: Fingerprint) -> bool {
         let mut lifted = false;
-        self.change(request, "operator", |registry| {
+        self.update(request, "operator", |registry| {
             lifted = registry.lift(request, clock::now());
         });
         if lifted {
             let record = self.registry().get(request).cloned();
-            lock(&self.outbox).broadcast(record);
+            lock(&self.outbox).queue_broadcast(record);
             self.changed.notify_one();
         }
         lifted
     }
 
-    /// Changes what is known of a request, and logs it if that changes what is done with it.
-    fn change(&self, request: Fingerprint, by: &str, act: impl FnOnce(&mut Registry)) {
+    /// Updates the registry and logs the request's standing if it changed.
+    fn update(&self, request: Fingerprint, source: &str, act: impl FnOnce(&mut Registry)) {
         let unix_ms = clock::unix_ms();
         let (was, is, record) = {
             let mut registry = self.registry();
@@ -188,23 +189,23 @@
             (was, is, changed.cloned())
         };
         if was != is {
-            log(request, is, record.as_ref(), by);
+            log(request, is, record.as_ref(), source);
         }
     }
 }
 
-/// Logs requests that another one's condemnation cleared.
+/// Logs suspects that were cleared because condemned requests explain their crashes.
 fn log_cleared(registry: &mut Registry) {
     for request in registry.take_cleared() {
         log(request, Standing::Clear, registry.get(request), "explained");
     }
 }
 
-/// Logs what is to be done with a request from now on.
-fn log(request: Fingerprint, standing: Standing, record: Option<&Record>, by: &str) {
+/// Logs the new standing of a request.
+fn log(request: Fingerprint, standing: Standing, record: Option<&Record>, source: &str) {
     let lives = record.map(|record| record.crashes.iter().map(|crash| crash.life));
     let ended: Vec<u64> = lives.into_iter().flatten().collect();
     let trials = record.map_or(0, Record::failed_trials);
     let epoch = record.map_or(0, |record| record.epoch);
-    warn!(event = events::QUARANTINE, fingerprint = %request, standing = ?standing, ended = ?ended, trials, epoch, by, "standing of a request changed");
+    warn!(event = events::QUARANTINE, fingerprint = %request, standing = ?standing, ended = ?ended, trials, epoch, by = source, "standing of a request changed");
 }
--- a/crates/sesamegap-entry/src/quarantine/outbox.rs
+++ b/crates/sesamegap-entry/src/quarantine/outbox.rs
@@ -1,13 +1,13 @@
-//! Reports and records on their way to other VMs.
+//! Queue of reports and records to be sent to other VMs.
 
 use super::message::Report;
 use crate::peers::take_repeated;
 use sesamegap_policy::quarantine::Record;
 
-/// How often each is sent: a lost datagram costs the fleet an upstream.
-const REPEATS: u8 = 3;
+/// How many times each item is sent: if a report or record is lost, the request may crash one more upstream.
+const TRANSMISSIONS: u8 = 3;
 
-/// Reports and records that are still to be sent, and how often.
+/// Reports and records, each with its number of remaining transmissions.
 #[derive(Debug, Default)]
 pub struct Outbox {
     reports: Vec<(Report, u8)>,
@@ -15,28 +15,28 @@
 }
 
 impl Outbox {
-    /// Sends a report to the coordinator and its replicas.
-    pub fn report(&mut self, report: Report) {
-        self.reports.push((report, REPEATS));
+    /// Queues a report for the coordinator and its replicas.
+    pub fn queue_report(&mut self, report: Report) {
+        self.reports.push((report, TRANSMISSIONS));
     }
 
-    /// Sends records to all VMs, in place of older ones of the same requests.
-    pub fn broadcast(&mut self, records: impl IntoIterator<Item = Record>) {
+    /// Queues records for all VMs, replacing queued records of the same requests.
+    pub fn queue_broadcast(&mut self, records: impl IntoIterator<Item = Record>) {
         for record in records {
             let request = record.fingerprint;
             self.records
                 .retain(|(older, _)| older.fingerprint != request);
-            self.records.push((record, REPEATS));
+            self.records.push((record, TRANSMISSIONS));
         }
     }
 
-    /// Reports that go out now.
-    pub fn reports(&mut self) -> Vec<Report> {
+    /// Returns the reports to send now, and counts them as sent once.
+    pub fn take_reports(&mut self) -> Vec<Report> {
         take_repeated(&mut self.reports)
     }
 
-    /// Records that go out now.
-    pub fn records(&mut self) -> Vec<Record> {
+    /// Returns the records to send now, and counts them as sent once.
+    pub fn take_records(&mut self) -> Vec<Record> {
         take_repeated(&mut self.records)
     }
 }
--- a/crates/sesamegap-entry/src/quarantine/probe.rs
+++ b/crates/sesamegap-entry/src/quarantine/probe.rs
@@ -1,8 +1,8 @@
-//! Whether the process of an upstream is gone.
+//! Probes whether an upstream's process is gone.
 //!
-//! A connection that breaks under a request looks alike for a process that crashed, a link that was cut, and an
-//! upstream that gave up one answer. A refused connection is the word of the upstream's own VM that nothing listens there
-//! any more; a new one that is taken shows that it does.
+//! From a broken connection alone, a crashed process, a network failure and an upstream that aborted a single response
+//! look the same. If a new connection is refused, the upstream's own VM confirms that nothing listens there any more; if
+//! it is accepted, a process is listening.
 
 use rustc_hash::FxHashMap;
 use std::io::ErrorKind;
@@ -13,47 +13,47 @@
 use tokio::sync::OnceCell;
 use tokio::time::{Instant, timeout};
 
-/// Longest wait for the connection: many times the delay within a region.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Maximum time to connect: many times the network delay within a region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a finding serves all requests whose connections break together.
-const SHARED: Duration = Duration::from_millis(500);
+/// How long a probe's result is shared by requests whose connections break at the same time.
+const RESULT_TTL: Duration = Duration::from_millis(500);
 
-/// What a probe found.
+/// State of an upstream's process as found by a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessState {
     /// Nothing listens at its address.
     Gone,
-    /// It takes connections.
+    /// It accepts connections.
     Running,
-    /// It cannot be reached.
+    /// The connection timed out or failed for another reason than a refusal.
     Unreachable,
 }
 
 type Probe = Arc<OnceCell<ProcessState>>;
 
-/// Probes of upstreams, one for all requests that lose the same one.
+/// Probes of upstreams, shared by all requests that lose the same one.
 #[derive(Debug, Default)]
 pub struct Probes(Mutex<FxHashMap<u64, (Instant, Probe)>>);
 
 impl Probes {
-    /// Probes an upstream in one of its lives.
+    /// Probes the given instance of an upstream.
     pub async fn probe(&self, life: u64, addr: SocketAddr) -> ProcessState {
-        let probe = self.shared(life);
+        let probe = self.shared_probe(life);
         *probe.get_or_init(|| connect(addr)).await
     }
 
-    fn shared(&self, life: u64) -> Probe {
+    fn shared_probe(&self, life: u64) -> Probe {
         let now = Instant::now();
         let mut probes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        probes.retain(|_, (begun, _)| now - *begun < SHARED);
+        probes.retain(|_, (started_at, _)| now - *started_at < RESULT_TTL);
         let (_, probe) = probes.entry(life).or_insert((now, Probe::default()));
         Arc::clone(probe)
     }
 }
 
 async fn connect(addr: SocketAddr) -> ProcessState {
-    match timeout(CONNECT, TcpStream::connect(addr)).await {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Ok(_)) => ProcessState::Running,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProcessState::Gone,
         Ok(Err(_)) | Err(_) => ProcessState::Unreachable,
--- a/crates/sesamegap-entry/src/quarantine/sync.rs
+++ b/crates/sesamegap-entry/src/quarantine/sync.rs
@@ -1,7 +1,7 @@
-//! The store's copy of requests under which upstreams ended.
+//! Synchronization of quarantine records with the store.
 //!
-//! Peers pass news on sooner. The store has it for a fleet of which all VMs lost their memory, and for a VM that
-//! reaches the store and no peer.
+//! Peers exchange changes faster. The store keeps the records for the case that all VMs lose their memory, and for a VM
+//! that reaches the store but no peer.
 
 use super::{Quarantine, is_coordinator};
 use crate::clock;
@@ -14,60 +14,61 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// Pace of reading while all peers answer.
-const PACE: Duration = Duration::from_mins(10);
+/// Interval between reads while all peers respond.
+const POLL_INTERVAL: Duration = Duration::from_mins(10);
 
-/// Pace of reading while some peer does not: what it and others beyond it found is in the store alone.
-const APART: Duration = Duration::from_millis(1_200);
+/// Interval between reads while some peer does not respond: records from its side of a partition arrive through the
+/// store only.
+const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Time over which changes are written together.
-const TOGETHER: Duration = Duration::from_millis(200);
+/// Time over which changes are collected into one write.
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 
-/// Records written in one call.
-const MOST_WRITTEN: usize = 64;
+/// Maximum number of records written in one call.
+const MAX_BATCH: usize = 64;
 
-/// Pause after a call that failed; calls are priced and rates are bounded, refused ones too.
-const RETRY: Duration = Duration::from_millis(900);
+/// Delay after a failed call: the store charges for calls and limits their rate, including rejected ones.
+const RETRY_DELAY: Duration = Duration::from_millis(900);
 
-/// Keeps this VM and the store at the same knowledge until the process ends.
+/// Synchronizes records with the store until the process ends.
 pub async fn sync(core: Arc<Core>) {
     while core.phase() < Phase::Ended {
         if let Err(error) = exchange(&core).await {
-            info!(event = events::STORE_LOST, table = ?Table::Quarantine, %error, "quarantined requests not exchanged with the store");
-            sleep(RETRY).await;
+            info!(event = events::STORE_LOST, table = ?Table::Quarantine, %error, "failed to synchronize quarantine records with the store");
+            sleep(RETRY_DELAY).await;
         } else {
-            wait(&core).await;
-            sleep(TOGETHER).await;
+            wait_for_changes(&core).await;
+            sleep(BATCH_DELAY).await;
         }
     }
 }
 
-/// Waits until the store may have news, or lacks what this VM is to write.
-async fn wait(core: &Core) {
+/// Waits until the store may have new records, or this VM has records to write to it.
+async fn wait_for_changes(core: &Core) {
     let began = clock::now();
     let timeline = core.store.timeline();
-    while core.phase() < Phase::Ended && clock::now().since(began) < pace(core) {
+    while core.phase() < Phase::Ended && clock::now().since(began) < poll_interval(core) {
         // A restored store may have lost what was written.
         if is_coordinator(core) && core.store.timeline() != timeline {
             return;
         }
         let changed = core.quarantine.changed.notified();
-        if timeout(APART, changed).await.is_ok() {
+        if timeout(PARTITION_POLL_INTERVAL, changed).await.is_ok() {
             return;
         }
     }
 }
 
-fn pace(core: &Core) -> Duration {
-    let apart = !core.peers.known().doubted.is_empty();
-    if apart && is_coordinator(core) {
-        APART
+fn poll_interval(core: &Core) -> Duration {
+    let has_unreachable_peers = !core.peers.known().doubted.is_empty();
+    if has_unreachable_peers && is_coordinator(core) {
+        PARTITION_POLL_INTERVAL
     } else {
-        PACE
+        POLL_INTERVAL
     }
 }
 
-/// Reads what the store has, and writes what it lacks if this VM is the one that does.
+/// Merges the store's records and, if this VM is the coordinator, writes those that the store lacks.
 async fn exchange(core: &Core) -> Result<(), StoreError> {
     let batch = core.store.snapshot(Table::Quarantine).await?;
     let stored: Vec<Record> = batch
@@ -84,25 +85,30 @@
     if !is_coordinator(core) {
         return Ok(());
     }
-    for records in core.quarantine.lacking(&stored).chunks(MOST_WRITTEN) {
+    for records in core
+        .quarantine
+        .missing_from_store(&stored)
+        .chunks(MAX_BATCH)
+    {
         core.store.quarantine(records).await?;
     }
     Ok(())
 }
 
 impl Quarantine {
-    /// Records that the store should have otherwise than it has them.
-    fn lacking(&self, stored: &[Record]) -> Vec<Record> {
+    /// Returns the published records that are missing from the store or differ there. A clear record is only written
+    /// to replace a stored one.
+    fn missing_from_store(&self, stored: &[Record]) -> Vec<Record> {
         let registry = self.registry();
         let unix_ms = clock::unix_ms();
         let published = registry.published(unix_ms);
         published
             .filter(|record| !stored.contains(record))
             .filter(|record| {
-                let there = stored
+                let is_stored = stored
                     .iter()
                     .any(|old| old.fingerprint == record.fingerprint);
-                there || record.standing(unix_ms) != Standing::Clear
+                is_stored || record.standing(unix_ms) != Standing::Clear
             })
             .cloned()
             .collect()
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -182,7 +182,8 @@
 /// Ends so many upstreams under a request, the last four in trials, that nothing else matters.
 fn condemn(core: &Core, request: Fingerprint) {
     for life in 0..6 {
-        core.quarantine.record_crash(&lost(request, life, life >= 2));
+        core.quarantine
+            .record_crash(&lost(request, life, life >= 2));
     }
 }
 
