--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -1,8 +1,8 @@
-//! One engine on its way to new weights.
+//! Update of a single engine to new weights: drain, order, and wait for the load.
 
-use super::Behind;
+use super::OutdatedEngine;
 use super::lease::Lease;
-use super::round::{Outage, Turn};
+use super::progress::{LoadPermit, OutGuard};
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Change, Upstream};
@@ -16,133 +16,149 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// Time for which an engine is named as out; said again while it drains, so that engines of a VM
-/// that dies in a roll take work again by themselves.
-const OUT: Duration = Duration::from_secs(3);
+/// Time for which an engine is announced as out of service. The announcement is renewed while the engine drains and
+/// loads; if this VM crashes during a roll, it expires and the engine receives work again.
+const OUT_TTL: Duration = Duration::from_secs(3);
 
-/// Time in which all VMs hear that an engine is out; whoever has not finds out from its refusal.
-const HEARD: Duration = Duration::from_millis(100);
+/// Time within which all VMs learn that an engine is out; a VM that has not learned it by then is refused by the
+/// engine.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(100);
 
-/// How often a draining engine is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a draining engine, or one that waits for a load permit, is checked.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often an engine that loads is asked; its reports are some hundred milliseconds old.
-const ASK: Duration = Duration::from_millis(120);
+/// Interval at which a loading engine is asked for its state; its reports are about a hundred milliseconds old.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Longest wait for one load.
-const LONGEST: Duration = Duration::from_secs(4);
+/// Maximum wait for a load.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Tries to order one engine in one go.
-const TRIES: u32 = 3;
+/// Maximum number of attempts to order a load in one update.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Brings an engine to the newest weights, or gives up for now.
-pub async fn bring(core: &Core, lease: &Lease, outage: &Outage, mut target: Behind) {
+/// Updates an engine to the newest weights, or gives up until the next step of the roll.
+pub async fn update_engine(
+    core: &Core,
+    lease: &Lease,
+    guard: &OutGuard,
+    mut target: OutdatedEngine,
+) {
     let engine = target.engine.clone();
     let Some(addr) = core.fleet.lock().get(&engine).map(|up| up.entry.addr) else {
         return;
     };
     if !drain(core, &target).await {
-        push(core, news(&target, Duration::ZERO, false));
-        info!(event = events::ORDER, engine = %engine, "too few engines are open; it takes work again");
+        push(core, engine_news(&target, Duration::ZERO, false));
+        info!(event = events::ORDER, engine = %engine, "too few engines accept work; engine returns to service without an update");
         return;
     }
-    let turn = turn(core, outage, &target, addr).await;
-    // A newer version may have been named meanwhile; the one in between is never loaded.
+    let permit = acquire_load_permit(core, guard, &target, addr).await;
+    // A newer version may have been named meanwhile; a superseded version is never loaded.
     if let Some(newest) = core.fleet.lock().namings().newest_of(&target.model) {
         target.version = newest.version;
     }
-    let done = turn.is_some() && load(core, lease, outage, &mut target, addr).await;
-    drop(turn);
+    let done = permit.is_some() && load_weights(core, lease, guard, &mut target, addr).await;
+    drop(permit);
     if !done {
         core.fleet.lock().failed(&engine, clock::now());
     }
     let gone = |up: &Upstream| up.is_gone(clock::now());
     if !core.fleet.lock().get(&engine).is_some_and(gone) {
-        push(core, news(&target, Duration::ZERO, done));
+        push(core, engine_news(&target, Duration::ZERO, done));
     }
 }
 
-/// Keeps work away from an engine until its requests have ended, or for as long as a roll can wait.
+/// Keeps new requests away from an engine until its running requests have ended or the maximum drain time has passed.
 ///
-/// False if it must take work again instead.
-async fn drain(core: &Core, target: &Behind) -> bool {
+/// Returns false if the engine must return to service instead.
+async fn drain(core: &Core, target: &OutdatedEngine) -> bool {
     let began = clock::now();
-    push(core, news(target, OUT, false));
-    if let Some(view) = look(core, target, began, began) {
-        info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = view.running, longest_ms = clock::ms(view.longest), overtaken_ms = view.overtaken.map(clock::ms), "drains before its order");
+    push(core, engine_news(target, OUT_TTL, false));
+    if let Some(status) = drain_status(core, target, began, began) {
+        info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = status.running, longest_ms = clock::ms(status.max_drain), overtaken_ms = status.superseded_for.map(clock::ms), "draining before the load order");
     }
-    sleep(HEARD).await;
-    let mut said = clock::now();
+    sleep(PROPAGATION_DELAY).await;
+    let mut announced_at = clock::now();
     loop {
         let now = clock::now();
-        let Some(view) = look(core, target, began, now) else {
+        let Some(status) = drain_status(core, target, began, now) else {
             return true;
         };
-        if view.running == 0 || now.since(began) >= view.longest {
+        if status.running == 0 || now.since(began) >= status.max_drain {
             return true;
         }
-        if view.returns {
+        if status.must_return {
             return false;
         }
-        said = stay_out(core, target, said);
-        sleep(LOOK).await;
+        announced_at = renew_out(core, target, announced_at);
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// Waits for a turn to load; none if the engine does not answer or is not there any more.
+/// Waits for a permit to load; returns `None` if the engine does not respond or is no longer listed.
 ///
-/// It is asked before it gets a turn: a dead one would keep the others from loading for as long as it takes to
-/// find out.
-async fn turn(core: &Core, outage: &Outage, target: &Behind, addr: SocketAddr) -> Option<Turn> {
+/// The engine is asked for its state first: a dead engine with a permit would keep others from loading until its
+/// failure is detected.
+async fn acquire_load_permit(
+    core: &Core,
+    guard: &OutGuard,
+    target: &OutdatedEngine,
+    addr: SocketAddr,
+) -> Option<LoadPermit> {
     if let Err(error) = core.ports.engines.report(addr).await {
-        info!(event = events::ORDER, engine = %target.engine, error, "no report");
+        info!(event = events::ORDER, engine = %target.engine, error, "engine did not report its state");
         return None;
     }
-    let mut said = clock::now();
+    let mut announced_at = clock::now();
     loop {
         let catalogue = core.catalogue();
         let all = {
             let fleet = core.fleet.lock();
             fleet.get(&target.engine)?;
-            super::engines(&fleet, catalogue.as_deref()).count()
+            super::managed_engines(&fleet, catalogue.as_deref()).count()
         };
-        if let Some(turn) = outage.turn(all) {
-            return Some(turn);
+        if let Some(permit) = guard.try_acquire_load_permit(all) {
+            return Some(permit);
         }
-        said = stay_out(core, target, said);
-        sleep(LOOK).await;
+        announced_at = renew_out(core, target, announced_at);
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// Says again that an engine is out before the last word ends; when it was last said.
+/// Renews the announcement that an engine is out before it expires; returns the time of the last announcement.
 ///
-/// Engines that load side by side need seconds, and would be sent requests in the middle of it.
-fn stay_out(core: &Core, target: &Behind, said: Moment) -> Moment {
+/// Engines that load concurrently take seconds; without renewal, requests would be sent to them during the load.
+fn renew_out(core: &Core, target: &OutdatedEngine, announced_at: Moment) -> Moment {
     let now = clock::now();
-    if now.since(said) <= OUT / 2 {
-        return said;
+    if now.since(announced_at) <= OUT_TTL / 2 {
+        return announced_at;
     }
-    push(core, news(target, OUT, false));
+    push(core, engine_news(target, OUT_TTL, false));
     now
 }
 
-/// What decides about an engine that drains.
+/// State of a draining engine.
 #[derive(Debug)]
-struct View {
+struct DrainStatus {
     running: u32,
-    longest: Duration,
-    /// How long ago newer weights than its own were named.
-    overtaken: Option<Duration>,
-    returns: bool,
+    max_drain: Duration,
+    /// Time since weights newer than the engine's were named.
+    superseded_for: Option<Duration>,
+    must_return: bool,
 }
 
-/// How an engine stands that drains since `began`.
-fn look(core: &Core, target: &Behind, began: Moment, now: Moment) -> Option<View> {
+/// Returns the state of an engine that has been draining since `began`, or `None` if it is no longer listed.
+fn drain_status(
+    core: &Core,
+    target: &OutdatedEngine,
+    began: Moment,
+    now: Moment,
+) -> Option<DrainStatus> {
     let bound = core.settings().spans.weights;
     let catalogue = core.catalogue();
     let fleet = core.fleet.lock();
     let engine = fleet.get(&target.engine)?;
-    let engines = || super::engines(&fleet, catalogue.as_deref());
+    let engines = || super::managed_engines(&fleet, catalogue.as_deref());
     let namings = fleet.namings();
     let newest = namings
         .newest_of(&target.model)
@@ -150,86 +166,87 @@
     let done = engines().filter(|up| up.version(&target.model) >= newest);
     let open = engines().filter(|up| fleet.openness(up, now) == Availability::Open);
     let held = engine.version(&target.model).unwrap_or_default();
-    let overtaken = namings.superseded_at(&target.model, held);
-    let left = |at: Moment| bound.saturating_sub(overtaken.map_or(Duration::ZERO, |o| at.since(o)));
+    let superseded_at = namings.superseded_at(&target.model, held);
+    let left =
+        |at: Moment| bound.saturating_sub(superseded_at.map_or(Duration::ZERO, |o| at.since(o)));
     let all = engines().count();
-    Some(View {
-        overtaken: overtaken.map(|at| now.since(at)),
+    Some(DrainStatus {
+        superseded_for: superseded_at.map(|at| now.since(at)),
         running: fleet.running_here(engine),
-        longest: rolls::drain(done.count(), all, left(began)),
-        returns: rolls::must_return(open.count(), all, left(now)),
+        max_drain: rolls::drain(done.count(), all, left(began)),
+        must_return: rolls::must_return(open.count(), all, left(now)),
     })
 }
 
-fn news(target: &Behind, out: Duration, done: bool) -> EngineNews {
+fn engine_news(target: &OutdatedEngine, out: Duration, done: bool) -> EngineNews {
     EngineNews {
         engine: target.engine.clone(),
         born: target.born,
         out_ms: clock::ms_told(out),
-        weights: done.then(|| wanted(target)),
+        weights: done.then(|| target_weights(target)),
         gone: false,
     }
 }
 
-fn wanted(target: &Behind) -> Weights {
+fn target_weights(target: &OutdatedEngine) -> Weights {
     Weights {
         model: target.model.clone(),
         version: target.version,
     }
 }
 
-/// Orders the load and waits until it is done.
-async fn load(
+/// Orders a load and waits for it to complete; returns whether the engine has the target weights.
+async fn load_weights(
     core: &Core,
     lease: &Lease,
-    outage: &Outage,
-    target: &mut Behind,
+    guard: &OutGuard,
+    target: &mut OutdatedEngine,
     addr: SocketAddr,
 ) -> bool {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let report = match core.ports.engines.report(addr).await {
             Ok(report) => report,
             Err(error) => {
-                info!(event = events::ORDER, engine = %target.engine, error, "no report");
+                info!(event = events::ORDER, engine = %target.engine, error, "engine did not report its state");
                 return false;
             }
         };
-        // An engine that started again has taken no order of before, whatever it answered to one.
+        // A restarted engine has not accepted any earlier order, whatever its former instance answered.
         let change = core.fleet.lock().reported(&target.engine, &report);
         if change == Change::Restarted {
-            info!(event = events::UPSTREAM, upstream = %target.engine, change = ?change, born = report.born.map(|born| born.0), "its report is of a newer life");
+            info!(event = events::UPSTREAM, upstream = %target.engine, change = ?change, born = report.born.map(|born| born.0), "report comes from a newer instance of the engine");
         }
         target.born = report.born;
-        if holds(&report, target) {
+        if has_target_weights(&report, target) {
             return true;
         }
         if report.busy {
-            if wait(core, outage, target, addr).await == Loading::Done {
+            if await_load(core, guard, target, addr).await == LoadOutcome::Done {
                 return true;
             }
             continue;
         }
-        // A pause of this process may have outlasted the lease since the last look.
+        // The lease may have expired since the last check, if this process was paused.
         let Some(fence) = lease.may_order() else {
             return false;
         };
-        match give(core, fence, target, addr, report.orders).await {
+        match send_order(core, fence, target, addr, report.orders).await {
             Ok(answer @ (OrderAnswer::Taken | OrderAnswer::Holds)) => {
                 let ordered = clock::now();
-                match wait(core, outage, target, addr).await {
-                    Loading::Done => {
+                match await_load(core, guard, target, addr).await {
+                    LoadOutcome::Done => {
                         if answer == OrderAnswer::Taken {
-                            outage.loaded(clock::now().since(ordered));
+                            guard.record_load_time(clock::now().since(ordered));
                         }
                         return true;
                     }
-                    Loading::Failed => return false,
-                    Loading::Restarted => {}
+                    LoadOutcome::Failed => return false,
+                    LoadOutcome::Restarted => {}
                 }
             }
             Ok(OrderAnswer::Conflict) => {}
             Ok(OrderAnswer::Fenced) => {
-                lease.lose();
+                lease.invalidate();
                 return false;
             }
             Ok(OrderAnswer::Elsewhere) => {
@@ -238,24 +255,24 @@
             }
             Ok(OrderAnswer::Invalid) => return false,
             Err(error) => {
-                // It may have been taken, or may come late; the next report tells, and a late one
-                // fails since it names the number of orders taken before it.
-                info!(event = events::ORDER, engine = %target.engine, error, "no answer to an order");
+                // The order may have been accepted, or may arrive late. The next report shows which, and a
+                // late order is rejected because its expected number of earlier orders no longer matches.
+                info!(event = events::ORDER, engine = %target.engine, error, "no answer to a load order");
             }
         }
     }
     false
 }
 
-async fn give(
+async fn send_order(
     core: &Core,
     fence: Fence,
-    target: &Behind,
+    target: &OutdatedEngine,
     addr: SocketAddr,
     expected: u64,
 ) -> Result<OrderAnswer, String> {
     let order = LoadOrder {
-        weights: wanted(target),
+        weights: target_weights(target),
         running: Running::GoOn,
         holder: core.settings().vm.clone(),
         fence,
@@ -270,46 +287,51 @@
     answer
 }
 
-/// What became of a load.
+/// Outcome of waiting for a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Loading {
-    /// The engine holds the weights.
+enum LoadOutcome {
+    /// The engine has the weights.
     Done,
-    /// It does not say so.
+    /// The engine did not report the weights in time, did not respond, or is no longer listed.
     Failed,
-    /// It started again and knows of no order.
+    /// The engine restarted and has lost the order.
     Restarted,
 }
 
-/// Waits until an engine reports the new weights.
-async fn wait(core: &Core, outage: &Outage, target: &Behind, addr: SocketAddr) -> Loading {
+/// Waits until an engine reports the target weights.
+async fn await_load(
+    core: &Core,
+    guard: &OutGuard,
+    target: &OutdatedEngine,
+    addr: SocketAddr,
+) -> LoadOutcome {
     let began = clock::now();
-    let mut said = began;
-    // Half of a load, so that one that has become quicker is seen to be.
-    sleep(outage.load() / 2).await;
-    while clock::now().since(began) < LONGEST {
-        sleep(ASK).await;
-        said = stay_out(core, target, said);
+    let mut announced_at = began;
+    // Waits only half of the expected time, so that faster loads are noticed.
+    sleep(guard.expected_load_time() / 2).await;
+    while clock::now().since(began) < LOAD_TIMEOUT {
+        sleep(LOAD_POLL_INTERVAL).await;
+        announced_at = renew_out(core, target, announced_at);
         if core.fleet.lock().get(&target.engine).is_none() {
-            return Loading::Failed;
+            return LoadOutcome::Failed;
         }
         match core.ports.engines.report(addr).await {
             Ok(report) if report.born != target.born => {
-                warn!(event = events::ORDER, engine = %target.engine, "started again while loading");
-                return Loading::Restarted;
+                warn!(event = events::ORDER, engine = %target.engine, "engine restarted while loading");
+                return LoadOutcome::Restarted;
             }
-            Ok(report) if holds(&report, target) => return Loading::Done,
+            Ok(report) if has_target_weights(&report, target) => return LoadOutcome::Done,
             Ok(_) => {}
             Err(error) => {
-                warn!(event = events::ORDER, engine = %target.engine, error, "no report while loading");
-                return Loading::Failed;
+                warn!(event = events::ORDER, engine = %target.engine, error, "engine did not report its state while loading");
+                return LoadOutcome::Failed;
             }
         }
     }
-    Loading::Failed
+    LoadOutcome::Failed
 }
 
-fn holds(report: &Report, target: &Behind) -> bool {
+fn has_target_weights(report: &Report, target: &OutdatedEngine) -> bool {
     let held = report.weights.iter().find(|w| w.model == target.model);
     !report.busy && held.is_some_and(|held| held.version >= target.version)
 }
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which engines are ordered, kept in the store.
+//! The lease, stored in the store's log, that permits a VM to order engines to load weights.
 
 use crate::clock;
 use crate::core::Core;
@@ -13,92 +13,95 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// How long one record gives the lease: a few store calls at their slowest.
-const TERM: Duration = Duration::from_millis(1_500);
+/// How long one claim holds the lease: enough for a few store calls of maximum duration.
+const LEASE_TERM: Duration = Duration::from_millis(1_500);
 
-/// Pause before looking again whether the lease is free; calls are priced.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval at which the lease is checked while another VM holds it or the store cannot be read; the store charges for
+/// calls.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The lease of one process, shared with the tasks that order.
+/// The lease as seen by this process, shared with the tasks that give orders.
 #[derive(Debug, Clone)]
 pub struct Lease {
     state: Arc<Mutex<CasLease>>,
-    /// The store's, which may rise while an engine is on its way to new weights.
+    /// The store's timeline, which may increase while an engine is being updated.
     timeline: watch::Receiver<Timeline>,
-    free: Option<Moment>,
-    /// The wait that was logged last.
-    told: Moment,
+    /// When another holder's lease ends, if the last attempt had to wait for it.
+    free_at: Option<Moment>,
+    /// End of the last wait that was logged.
+    logged_wait: Moment,
 }
 
 impl Lease {
-    /// Starts without it.
+    /// Creates the state of a process that does not hold the lease.
     pub fn new(core: &Core) -> Self {
-        let terms = LeaseTiming {
-            term: TERM,
+        let timing = LeaseTiming {
+            term: LEASE_TERM,
             handover_delay: core.settings().spans.lease,
         };
-        let lease = CasLease::new(core.peers.me().clone(), terms);
+        let lease = CasLease::new(core.peers.me().clone(), timing);
         Self {
             state: Arc::new(Mutex::new(lease)),
             timeline: core.store.timelines(),
-            free: None,
-            told: Moment::default(),
+            free_at: None,
+            logged_wait: Moment::default(),
         }
     }
 
-    /// Who held it by the last record seen.
+    /// Returns the holder according to the last claim seen.
     pub fn last_holder(&self) -> Option<ProcessId> {
         self.lock().holder().cloned()
     }
 
-    /// The fencing number, if an order sent now falls into the lease.
+    /// Returns the fencing number if the lease permits an order now.
     pub fn may_order(&self) -> Option<Fence> {
         self.lock().may_order(clock::now())
     }
 
-    /// Gives it up, as when an engine has seen a higher fencing number.
-    pub fn lose(&self) {
+    /// Drops the lease, for instance when an engine has seen a higher fencing number.
+    pub fn invalidate(&self) {
         self.lock().invalidate();
     }
 
-    /// How long to wait before trying again.
-    pub fn pause(&self) -> Duration {
-        let left = self.free.map(|free| free.since(clock::now()));
-        left.unwrap_or(LOOK).clamp(LOOK / 5, LOOK * 4)
+    /// Returns the delay before the next attempt to acquire the lease.
+    pub fn retry_delay(&self) -> Duration {
+        let left = self.free_at.map(|free_at| free_at.since(clock::now()));
+        left.unwrap_or(CHECK_INTERVAL)
+            .clamp(CHECK_INTERVAL / 5, CHECK_INTERVAL * 4)
     }
 
-    /// Reads the log once, so that its last record ages from now.
-    pub async fn look(&mut self, core: &Core) {
+    /// Reads the log once, so that the wait for the last claim's expiry starts now.
+    pub async fn observe(&mut self, core: &Core) {
         let from = self.lock().end();
-        self.read(core, from).await;
+        self.read_claims(core, from).await;
     }
 
-    /// Takes or keeps the lease; the fencing number if it is held.
-    pub async fn hold(&mut self, core: &Core) -> Option<Fence> {
-        self.free = None;
+    /// Acquires or renews the lease; returns the fencing number if it is held.
+    pub async fn acquire(&mut self, core: &Core) -> Option<Fence> {
+        self.free_at = None;
         if self.may_order().is_none() {
-            // What was read before may be old, and a claim on it would only be refused.
+            // The log may have changed since it was read; the store would then reject a claim.
             self.lock().require_read();
         }
-        // A claim follows a read, and a read that shows another's record ends the try.
+        // An attempt takes a read and a claim at most; a read that shows another holder's claim ends it.
         for _ in 0..3 {
             let step = self.lock().step(clock::now());
             match step {
                 Step::Hold => return self.may_order(),
                 Step::Wait(until) => {
-                    self.free = Some(until);
-                    self.tell_wait(until);
-                    // Its holder may have gone on since; the next try reads again.
+                    self.free_at = Some(until);
+                    self.log_wait(until);
+                    // The holder may renew the lease in the meantime, so the next attempt reads again.
                     self.lock().require_read();
                     return None;
                 }
                 Step::Read(from) => {
-                    if !self.read(core, from).await {
+                    if !self.read_claims(core, from).await {
                         return None;
                     }
                 }
                 Step::Append(claim, at) => {
-                    self.append(core, claim, at).await;
+                    self.append_claim(core, claim, at).await;
                     return self.may_order();
                 }
             }
@@ -106,17 +109,17 @@
         None
     }
 
-    async fn read(&self, core: &Core, from: LogPosition) -> bool {
+    async fn read_claims(&self, core: &Core, from: LogPosition) -> bool {
         let outcome = core.store.lease_records(from).await;
         let (records, end) = match outcome {
             Ok(found) => found,
             Err(StoreError::Compacted(first)) => {
                 (Vec::new(), LogPosition::new(core.store.timeline(), first))
             }
-            // The next step is to read it from its beginning.
+            // The next step reads the restored log from its beginning.
             Err(StoreError::Restored(_)) => return true,
             Err(error) => {
-                info!(event = events::LEASE, %error, "lease not read");
+                info!(event = events::LEASE, %error, "failed to read lease records");
                 return false;
             }
         };
@@ -125,22 +128,22 @@
         true
     }
 
-    /// Logs once for each record seen who keeps this VM from ordering, and for how long.
-    fn tell_wait(&mut self, until: Moment) {
-        if std::mem::replace(&mut self.told, until) == until {
+    /// Logs, once for each claim seen, which VM keeps this one from giving orders and for how long.
+    fn log_wait(&mut self, until: Moment) {
+        if std::mem::replace(&mut self.logged_wait, until) == until {
             return;
         }
         let holder = self.last_holder().map(|holder| holder.vm);
         let wait_ms = clock::ms(until.since(clock::now()));
-        info!(event = events::LEASE, holder = ?holder, wait_ms, "another VM may still order");
+        info!(event = events::LEASE, holder = ?holder, wait_ms, "lease may still be held by another VM");
     }
 
-    async fn append(&self, core: &Core, claim: Claim, at: LogPosition) {
+    async fn append_claim(&self, core: &Core, claim: Claim, at: LogPosition) {
         let began = clock::now();
         let record = match rmp_serde::to_vec(&claim) {
             Ok(record) => Bytes::from(record),
             Err(error) => {
-                warn!(event = events::LEASE, %error, "a claim cannot be written");
+                warn!(event = events::LEASE, %error, "failed to serialize lease claim");
                 return;
             }
         };
@@ -153,17 +156,17 @@
                     lease.may_order(clock::now())
                 };
                 if renews.is_none() {
-                    info!(event = events::LEASE, fence = ?fence, at = %at, "lease taken");
+                    info!(event = events::LEASE, fence = ?fence, at = %at, "lease acquired");
                 }
             }
             Err(error) => {
                 self.lock().invalidate();
-                info!(event = events::LEASE, %error, at = %at, "lease not held");
+                info!(event = events::LEASE, %error, at = %at, "failed to append lease claim");
             }
         }
     }
 
-    /// The lease on the store's present timeline.
+    /// Locks the lease state, after moving it to the store's current timeline.
     fn lock(&self) -> MutexGuard<'_, CasLease> {
         let mut lease = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         lease.enter_timeline(*self.timeline.borrow(), clock::now());
@@ -174,7 +177,7 @@
 fn decode(record: &Bytes) -> Option<Claim> {
     let claim = rmp_serde::from_slice(record);
     if let Err(error) = &claim {
-        warn!(event = events::UNREADABLE, %error, "a lease record cannot be read");
+        warn!(event = events::UNREADABLE, %error, "failed to deserialize lease record");
     }
     claim.ok()
 }
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -1,20 +1,20 @@
-//! Brings engines to the newest weights, from one entry VM at a time.
+//! Rolling update of engines to the newest weights, run by one entry VM at a time.
 //!
-//! The VM that holds the lease orders; others stand by, the next in line first. Engines that are
-//! about to load are named to all VMs before the order, so that their work goes elsewhere and they
-//! drain in the time of an answer.
+//! The VM that holds the lease orders the loads; the others stand by in a fixed ranking. Engines that are about to load
+//! are announced to all VMs before the order, so that new requests go elsewhere and the engines drain within the time
+//! of a response.
 
 mod engine;
 mod lease;
-mod round;
+mod progress;
 
 use crate::catalogue::Catalogue;
 use crate::clock;
 use crate::core::{Core, Phase};
 use crate::fleet::{Fleet, Upstream};
-use engine::bring;
+use engine::update_engine;
 use lease::Lease;
-use round::Round;
+use progress::RollProgress;
 use sesamegap_policy::routing::engines::{rank, seed};
 use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Incarnation, Moment, UpstreamId, WeightsVersion};
@@ -24,68 +24,68 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often a roll under way is looked at.
-const STEP: Duration = Duration::from_millis(40);
+/// Interval between steps of an active roll.
+const STEP_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How often it is looked whether there is anything to roll; naming wakes it at once.
-const IDLE: Duration = Duration::from_secs(1);
+/// Interval between checks for outdated engines while none is known; a naming of weights triggers a check at once.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How much longer the next VM in line waits before it takes over a roll that does not move. A live holder orders its
-/// first engine sooner, and two that try at once cost only a call, since a claim is conditional.
-const STAND_BY: Duration = Duration::from_millis(600);
+/// Delay per rank before a standby VM tries to take over a roll. A running lease holder orders its first engine sooner,
+/// and two VMs that try at the same time cost only one more call, since claims are conditional.
+const STANDBY_DELAY: Duration = Duration::from_millis(600);
 
-/// An engine whose weights are old.
+/// An engine with outdated weights.
 #[derive(Debug, Clone)]
-struct Behind {
+struct OutdatedEngine {
     engine: UpstreamId,
     model: SmolStr,
     version: WeightsVersion,
-    /// Life that was seen to be behind.
+    /// Instance that was found to have outdated weights.
     born: Option<Incarnation>,
 }
 
-/// Rolls weights until the process ends.
+/// Runs rolling updates until the process stops serving.
 pub async fn run(core: Arc<Core>) {
     let mut lease = Lease::new(&core);
-    lease.look(&core).await;
-    let round = Arc::new(Round::default());
+    lease.observe(&core).await;
+    let progress = Arc::new(RollProgress::default());
     let mut since: Option<Moment> = None;
     while core.phase() == Phase::Serving {
-        let behind = behind(&core);
-        if behind.is_empty() {
+        let outdated = outdated_engines(&core);
+        if outdated.is_empty() {
             since = None;
-            drop(timeout(IDLE, core.named.notified()).await);
+            drop(timeout(IDLE_INTERVAL, core.named.notified()).await);
             continue;
         }
         let began = *since.get_or_insert_with(clock::now);
-        let turn = STAND_BY * place_in_line(&core, &lease);
-        if clock::now().since(began) < turn {
-            sleep(STEP * 2).await;
+        let delay = STANDBY_DELAY * standby_rank(&core, &lease);
+        if clock::now().since(began) < delay {
+            sleep(STEP_INTERVAL * 2).await;
             continue;
         }
-        match lease.hold(&core).await {
-            Some(_) => order(&core, &lease, &round, &behind),
-            None => sleep(lease.pause()).await,
+        match lease.acquire(&core).await {
+            Some(_) => start_updates(&core, &lease, &progress, &outdated),
+            None => sleep(lease.retry_delay()).await,
         }
-        sleep(STEP).await;
+        sleep(STEP_INTERVAL).await;
     }
 }
 
-/// Engines that do not hold the newest weights of their model.
-fn behind(core: &Core) -> Vec<Behind> {
+/// Returns the engines that do not have the newest weights of their model.
+fn outdated_engines(core: &Core) -> Vec<OutdatedEngine> {
     let now = clock::now();
     let fleet = core.fleet.lock();
     let catalogue = core.catalogue();
     let named: Vec<_> = fleet.namings().newest().collect();
-    let mut behind = Vec::new();
-    for upstream in engines(&fleet, catalogue.as_deref()) {
+    let mut outdated = Vec::new();
+    for upstream in managed_engines(&fleet, catalogue.as_deref()) {
         for (model, naming) in &named {
             let held = upstream.version(model);
             if held.is_some_and(|held| held < naming.version)
                 && !upstream.entry.leaving
                 && !upstream.is_gone(now)
             {
-                behind.push(Behind {
+                outdated.push(OutdatedEngine {
                     engine: upstream.id.clone(),
                     model: (*model).clone(),
                     version: naming.version,
@@ -94,14 +94,14 @@
             }
         }
     }
-    behind
+    outdated
 }
 
-/// Engines of services that the operator names.
+/// Returns the engines of services in the operator's catalogue, or all engines without a catalogue.
 ///
-/// Other writers list engines too. Ordering those would interfere with whoever runs them, and counting them
-/// would take more of the operator's own engines out at once than callers can do without.
-fn engines<'a>(
+/// Other writers list engines too. Orders to those would interfere with their owners' operation, and counting them
+/// would take more of the operator's own engines out at once than the load permits.
+fn managed_engines<'a>(
     fleet: &'a Fleet,
     catalogue: Option<&'a Catalogue>,
 ) -> impl Iterator<Item = &'a Upstream> {
@@ -114,8 +114,8 @@
         .filter(is_named)
 }
 
-/// How many VMs should try before this one: none before the last holder, then by hash.
-fn place_in_line(core: &Core, lease: &Lease) -> u32 {
+/// Returns how many VMs take precedence over this one: the last lease holder first, then the others ranked by hash.
+fn standby_rank(core: &Core, lease: &Lease) -> u32 {
     let settings = core.settings();
     let me = &settings.vm;
     if lease.last_holder().is_some_and(|holder| holder.vm == *me) {
@@ -134,14 +134,19 @@
     u32::try_from(at).unwrap_or(u32::MAX)
 }
 
-/// Takes as many engines out as the fleet can bear.
-fn order(core: &Arc<Core>, lease: &Lease, round: &Arc<Round>, behind: &[Behind]) {
+/// Starts the update of as many engines as may be out at once.
+fn start_updates(
+    core: &Arc<Core>,
+    lease: &Lease,
+    progress: &Arc<RollProgress>,
+    outdated: &[OutdatedEngine],
+) {
     let due = {
         let fleet = core.fleet.lock();
         let now = clock::now();
-        let under_way = round.under_way();
+        let engines_out = progress.engines_out();
         let catalogue = core.catalogue();
-        let engines: Vec<_> = engines(&fleet, catalogue.as_deref()).collect();
+        let engines: Vec<_> = managed_engines(&fleet, catalogue.as_deref()).collect();
         let stores = catalogue
             .as_ref()
             .map_or(&[][..], |catalogue| catalogue.kv_stores());
@@ -155,9 +160,9 @@
         for engine in engines {
             ids.push(engine.id.clone());
             views.push(rolls::Engine {
-                stage: if under_way.contains(&engine.id) {
+                stage: if engines_out.contains(&engine.id) {
                     rolls::Stage::Out
-                } else if behind.iter().any(|b| b.engine == engine.id) {
+                } else if outdated.iter().any(|b| b.engine == engine.id) {
                     rolls::Stage::Old
                 } else {
                     rolls::Stage::Done
@@ -173,24 +178,24 @@
                 shut: is_shut(&fleet, engine, now),
             });
         }
-        let due = round.pace().next(&views).into_iter();
-        let due = due.take(rolls::max_per_step(views.len(), STEP));
+        let due = progress.load_time().next(&views).into_iter();
+        let due = due.take(rolls::max_per_step(views.len(), STEP_INTERVAL));
         due.map(|no| ids[no].clone()).collect::<Vec<_>>()
     };
     for id in due {
-        let Some(target) = behind.iter().find(|b| b.engine == id).cloned() else {
+        let Some(target) = outdated.iter().find(|b| b.engine == id).cloned() else {
             continue;
         };
-        let outage = round.take_out(id);
+        let guard = progress.mark_out(id);
         let core = Arc::clone(core);
         let lease = lease.clone();
         tokio::spawn(async move {
-            bring(&core, &lease, &outage, target).await;
+            update_engine(&core, &lease, &guard, target).await;
         });
     }
 }
 
-/// Whether no request may begin on an engine's weights any more, of any model.
+/// Whether an engine's weights are too old, for any of its models, to start new requests on them.
 fn is_shut(fleet: &Fleet, engine: &Upstream, now: Moment) -> bool {
     let mut held = engine.entry.weights.iter();
     held.any(|held| fleet.is_outdated(&held.model, held.version, now))
