--- a/crates/sesamegap-entry/src/upstream/mod.rs
+++ b/crates/sesamegap-entry/src/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! One request on a connection of its own to an upstream.
+//! Sends each request to an upstream on a new connection.
 //!
-//! A pooled client cannot say whether a byte was written, nor refuse a connection on which
-//! something unexpected lies: a late answer to an earlier request, an extra answer, an idle
-//! connection closed or mute. On a fresh connection the first answer belongs to the one request,
-//! and a failed connect proves that nothing ran. Measured upstreams take a millisecond for it.
-//! So this speaks through `hyper`'s connection interface, below what `reqwest` offers.
+//! A client with a connection pool cannot tell whether any byte of a request was written, and cannot rule out an
+//! unusable connection: one with a late response to an earlier request, with an extra response, or one that was closed
+//! or went silent while idle. On a new connection the first response belongs to the only request, and a failed connect
+//! proves that the request did not run. Connecting takes a millisecond with the upstreams measured. This module
+//! therefore uses `hyper`'s connection API, which is below the level of `reqwest`.
 
 use http::{Request, Response};
 use http_body_util::Full;
@@ -19,38 +19,39 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Time to open a connection: many times the delay within a region, so that a full or dead
-/// upstream is told while another can still answer in time.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Maximum time to connect: many times the network delay within a region, and short enough that after a failure to
+/// reach an overloaded or dead upstream another one can still respond in time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time after which unacknowledged bytes close a connection: with the other end cut off, nothing
-/// else would tell for minutes.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// Time after which unacknowledged data closes a connection: otherwise a network failure would go unnoticed for
+/// minutes.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Silence after which the other end is probed; a mute connection is closed after three probes.
-const PROBED: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keepalive probe, and interval between probes; a connection is closed after three
+/// unanswered probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a request brought no answer.
+/// Error of a request that received no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection: the upstream has not seen the request.
+    /// No connection was made, so the upstream has not received the request.
     Unreached(String),
-    /// Something may have been written, so the request may run.
+    /// Part of the request may have been written, so the upstream may run it.
     Broken(String),
 }
 
 impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreached(why) => write!(f, "no connection: {why}"),
-            Self::Broken(why) => write!(f, "no whole answer: {why}"),
+            Self::Unreached(reason) => write!(f, "no connection: {reason}"),
+            Self::Broken(reason) => write!(f, "no complete response: {reason}"),
         }
     }
 }
 
 impl std::error::Error for SendError {}
 
-/// Closes the connection when dropped, which tells the upstream to stop working.
+/// A connection to an upstream. Dropping it closes the connection, which tells the upstream to cancel the request.
 #[derive(Debug)]
 pub struct Connection(JoinHandle<()>);
 
@@ -60,34 +61,34 @@
     }
 }
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet, with its connection.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The head and the body.
+    /// The response head and the body to read.
     pub response: Response<Incoming>,
     /// The connection, which must outlive the body.
     pub connection: Connection,
 }
 
-/// Sends a request and waits for the head of its answer; the caller bounds the wait.
+/// Sends a request and waits for the response head, without a timeout of its own.
 ///
 /// # Errors
-/// [`SendError::Unreached`] only if no byte was written.
+/// Returns [`SendError::Unreached`] only if no byte of the request was written.
 pub async fn send(addr: SocketAddr, request: Request<Full<Bytes>>) -> Result<Exchange, SendError> {
     let stream = connect(addr).await?;
     let handshake = http1::Builder::new().handshake(TokioIo::new(stream));
     let (mut sender, connection) = handshake
         .await
         .map_err(|error| SendError::Unreached(error.to_string()))?;
-    let driven = tokio::spawn(async move {
-        // The same error reaches whoever reads the answer.
+    let driver = tokio::spawn(async move {
+        // Errors are also returned to the reader of the response.
         drop(connection.await);
     });
-    let connection = Connection(driven);
+    let connection = Connection(driver);
     let response = sender
         .send_request(request)
         .await
-        .map_err(|error| SendError::Broken(describe(&error)))?;
+        .map_err(|error| SendError::Broken(error_with_cause(&error)))?;
     Ok(Exchange {
         response,
         connection,
@@ -96,25 +97,25 @@
 
 async fn connect(addr: SocketAddr) -> Result<TcpStream, SendError> {
     let unreached = |error: std::io::Error| SendError::Unreached(error.to_string());
-    let stream = match timeout(CONNECT, TcpStream::connect(addr)).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(connected) => connected.map_err(unreached)?,
         Err(_) => return Err(SendError::Unreached("connect timed out".to_owned())),
     };
     stream.set_nodelay(true).map_err(unreached)?;
     let socket = SockRef::from(&stream);
     let alive = TcpKeepalive::new()
-        .with_time(PROBED)
-        .with_interval(PROBED)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(3);
     socket.set_tcp_keepalive(&alive).map_err(unreached)?;
     socket
-        .set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+        .set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
         .map_err(unreached)?;
     Ok(stream)
 }
 
-/// The error and its cause in one line, since the outer one alone tells little.
-pub fn describe(error: &hyper::Error) -> String {
+/// Formats an error with its cause, since the outer message alone says little.
+pub fn error_with_cause(error: &hyper::Error) -> String {
     use std::error::Error;
     match error.source() {
         Some(cause) => format!("{error}: {cause}"),
