--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams end, at several VMs before the same engines.
+//! Quarantine of requests that crash upstreams, with several VMs that share the same engines.
 
 use crate::support::{
     Act, MARK, Mortal, Platform, Upstream, ask, document, entry, offset, settings, until, unused,
@@ -23,15 +23,15 @@
 const VMS: usize = 3;
 const ENGINES: usize = 6;
 
-/// How long an engine that ended is down.
-const DOWN: Duration = Duration::from_millis(120);
+/// Time until a crashed engine runs again.
+const DOWNTIME: Duration = Duration::from_millis(120);
 
-/// Sends of the marked request.
+/// Number of times that the crashing request is sent.
 const SENDS: usize = 40;
 
-/// Upstreams that may end under one request, and sends that may still follow.
-const MOST_ENDED: usize = 3;
-const MOST_AFTER: usize = 3;
+/// Maximum number of upstreams that one request may crash, and of sends that may follow.
+const MAX_CRASHES: usize = 3;
+const MAX_LATER_SENDS: usize = 3;
 
 /// An entry VM at a loopback address of its own.
 struct Vm {
@@ -53,8 +53,8 @@
     Vm { core, callers }
 }
 
-/// What a VM with these settings says of itself.
-fn news(settings: &Settings, status: Status, version: u32) -> MemberUpdate {
+/// Membership update of a VM with these settings.
+fn member_update(settings: &Settings, status: Status, version: u32) -> MemberUpdate {
     MemberUpdate {
         who: ProcessId {
             vm: settings.vm.clone(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// VMs that know each other.
+/// Starts VMs that have each other as members.
 async fn vms(net: u8) -> Vec<Vm> {
     let platform = Arc::new(Platform::default());
     let port = unused().port();
@@ -76,16 +76,16 @@
     }
     for one in &all {
         for other in &all {
-            let news = news(&other.core.settings(), Status::Alive, 0);
+            let update = member_update(&other.core.settings(), Status::Alive, 0);
             if !Arc::ptr_eq(&one.core, &other.core) {
-                one.core.peers.hear(&news, clock::now());
+                one.core.peers.hear(&update, clock::now());
             }
         }
     }
     all
 }
 
-/// Engines that all VMs list; each start has an id of its own.
+/// Starts engines that all VMs list; each start of an engine gets a new id.
 async fn engines(vms: &[Vm], down: Duration) -> Vec<Mortal> {
     let position = Arc::new(AtomicU64::new(0));
     let mut all = Vec::new();
@@ -107,10 +107,10 @@
             }
         };
         let first = list.clone();
-        let mortal = Mortal::start(down, list).await;
-        addr.set(mortal.addr).unwrap();
+        let engine = Mortal::start(down, list).await;
+        addr.set(engine.addr).unwrap();
         first(0);
-        all.push(mortal);
+        all.push(engine);
     }
     all
 }
@@ -123,26 +123,27 @@
     format!("x-model: m\r\nx-nonce: {no}\r\n")
 }
 
-/// Nobody remembers a request that ended the engines which ran it, and every VM sends it on.
+/// A request crashes every engine that runs it. Without a shared record of the crashes, each VM would keep sending it to
+/// further engines.
 #[tokio::test]
-async fn a_request_that_crashes_its_engines_is_not_sent_on_for_ever() {
+async fn a_request_that_crashes_its_engines_is_quarantined() {
     let vms = vms(21).await;
-    let engines = engines(&vms, DOWN).await;
+    let engines = engines(&vms, DOWNTIME).await;
     for no in 0..SENDS {
         let body = format!("{MARK} now");
         ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), &body).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let sent = marked(&engines);
-    assert!(sent <= MOST_ENDED + MOST_AFTER, "sent {sent} times");
+    assert!(sent <= MAX_CRASHES + MAX_LATER_SENDS, "sent {sent} times");
 }
 
-/// A third of the engines end at once, three times, under a request that is sent all the time: it is refused for good though
-/// it ended none of them.
+/// A third of the engines crash at once, three times, while they run a frequent request that caused none of the crashes.
+/// The request would be quarantined for crashes that it did not cause.
 #[tokio::test]
-async fn engines_that_end_by_themselves_condemn_no_request() {
+async fn unrelated_crashes_quarantine_no_request() {
     let vms = vms(22).await;
-    let engines = engines(&vms, DOWN).await;
+    let engines = engines(&vms, DOWNTIME).await;
     let send = |no: usize| {
         let callers = vms[no % VMS].callers;
         async move { ask(callers, "POST", "/review/a", &head(no), "popular").await }
@@ -171,7 +172,7 @@
     Fingerprint::of(&format!("POST {path}"), Some("clerks"), body.as_bytes())
 }
 
-fn lost(request: Fingerprint, life: u64, trial: bool) -> UpstreamLoss {
+fn upstream_loss(request: Fingerprint, life: u64, trial: bool) -> UpstreamLoss {
     UpstreamLoss {
         request,
         upstream: format!("e{life}").parse().unwrap(),
@@ -179,17 +180,18 @@
     }
 }
 
-/// Ends so many upstreams under a request, the last four in trials, that nothing else matters.
+/// Records enough crashes for a request to be condemned regardless of other evidence; the last four are of trials.
 fn condemn(core: &Core, request: Fingerprint) {
     for life in 0..6 {
         core.quarantine
-            .record_crash(&lost(request, life, life >= 2));
+            .record_crash(&upstream_loss(request, life, life >= 2));
     }
 }
 
-/// All VMs lose their memory at once, and the request ends three more upstreams before it is known again.
+/// All VMs restart at once and lose their records. Without the copy in the store, the request would crash three more
+/// upstreams before it is quarantined again.
 #[tokio::test]
-async fn a_vm_that_starts_learns_from_the_store_what_is_quarantined() {
+async fn a_restarted_vm_reads_quarantined_requests_from_the_store() {
     let platform = Arc::new(Platform::default());
     let port = unused().port();
     let request = fingerprint("/chat/a", MARK);
@@ -202,9 +204,10 @@
     until(|| after.core.quarantine.standing(request) == Standing::Quarantined).await;
 }
 
-/// A VM misses all datagrams of the moment in which a request is condemned, and goes on sending it.
+/// A VM misses all datagrams that are sent when a request is condemned. If they were not repeated, it would keep sending
+/// the request.
 #[tokio::test]
-async fn a_vm_that_missed_the_news_is_told_again() {
+async fn a_vm_that_missed_a_broadcast_receives_the_record_later() {
     let vms = vms(24).await;
     let request = fingerprint("/chat/a", MARK);
     for vm in &vms[1..] {
@@ -213,11 +216,12 @@
     until(|| vms[0].core.quarantine.standing(request) == Standing::Quarantined).await;
 }
 
-/// A caller whose request is quarantined is told that it did not run, and comes back at once to be refused again.
+/// The caller of a quarantined request learns that the request did not run. Without a retry delay it would return at
+/// once, only to be refused again.
 #[tokio::test]
 async fn a_quarantined_request_is_refused_at_once_and_reaches_no_upstream() {
     let vms = vms(25).await;
-    let engines = engines(&vms, DOWN).await;
+    let engines = engines(&vms, DOWNTIME).await;
     condemn(&vms[0].core, fingerprint("/chat/a", MARK));
     let answer = ask(vms[0].callers, "POST", "/chat/a", &head(0), MARK).await;
     assert_eq!(answer.status, 503);
@@ -228,10 +232,10 @@
     assert_eq!(other.status, 200);
 }
 
-/// Connections that break while their upstream runs on, as those of a cut link do, would condemn whatever crossed
-/// them.
+/// Connections break while their upstreams keep running, as in a network failure. If these counted as crashes, all
+/// requests on the connections would be quarantined.
 #[tokio::test]
-async fn broken_connections_of_upstreams_that_run_on_condemn_nobody() {
+async fn broken_connections_to_running_upstreams_quarantine_no_request() {
     let vms = vms(26).await;
     let cut = Upstream::start(vec![Act::CutEvents(0..2)]).await;
     for no in 0..ENGINES {
@@ -252,10 +256,10 @@
     }
 }
 
-/// An engine that its supervisor starts again at once takes connections, so that its end counts for nothing and the request
-/// is sent on for ever.
+/// The supervisor restarts a crashed engine at once, so that a probe finds it accepting connections. If such crashes did
+/// not count, the request would be sent again and again.
 #[tokio::test]
-async fn engines_that_are_back_at_once_count_as_ended_too() {
+async fn immediate_restarts_count_as_crashes() {
     let vms = vms(27).await;
     let engines = engines(&vms, Duration::ZERO).await;
     for no in 0..SENDS / 2 {
@@ -264,14 +268,14 @@
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     let sent = marked(&engines);
-    assert!(sent <= MOST_ENDED + MOST_AFTER, "sent {sent} times");
+    assert!(sent <= MAX_CRASHES + MAX_LATER_SENDS, "sent {sent} times");
 }
 
-/// The VM that grants trials leaves, and the next one knows nothing of the upstreams that were lost before.
+/// The coordinator leaves. If crashes were reported to it alone, the next coordinator would not know of earlier ones.
 #[tokio::test]
-async fn another_vm_goes_on_when_the_one_that_grants_trials_leaves() {
+async fn trials_continue_when_the_coordinator_leaves() {
     let vms = vms(28).await;
-    let engines = engines(&vms, DOWN).await;
+    let engines = engines(&vms, DOWNTIME).await;
     let request = async |vm: &Vm, no: usize| {
         ask(vm.callers, "POST", "/chat/a", &head(no), MARK).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -284,22 +288,22 @@
     }
     for vm in &others {
         let settings = first[0].core.settings();
-        let news = news(&settings, Status::Leaving, 1);
-        vm.core.peers.hear(&news, clock::now());
+        let update = member_update(&settings, Status::Leaving, 1);
+        vm.core.peers.hear(&update, clock::now());
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for no in 0..SENDS / 2 {
         request(others[no % others.len()], no).await;
     }
     let sent = marked(&engines);
-    assert!(sent <= MOST_ENDED + MOST_AFTER, "sent {sent} times");
-    assert!(sent > 2, "the next one ran no trial");
+    assert!(sent <= MAX_CRASHES + MAX_LATER_SENDS, "sent {sent} times");
+    assert!(sent > 2, "the next coordinator ran no trial");
 }
 
-/// An engine that is back under its id before the list shows its new life ends again under the same request: the second end
-/// counts as the first, and the request is never a suspect.
+/// An engine restarts under the same id and crashes again on the same request before the list shows the new instance. If
+/// the second crash were taken for the first one, the request would never become a suspect.
 #[tokio::test]
-async fn an_engine_that_ends_again_before_the_list_knows_counts_twice() {
+async fn repeated_crashes_before_a_list_update_count_separately() {
     let vms = vms(29).await;
     let engine = Mortal::start(Duration::from_millis(700), |_| {}).await;
     let id: UpstreamId = "e1".parse().unwrap();
@@ -313,5 +317,5 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let sent = marked(std::slice::from_ref(&engine));
-    assert!(sent <= MOST_ENDED + MOST_AFTER, "sent {sent} times");
+    assert!(sent <= MAX_CRASHES + MAX_LATER_SENDS, "sent {sent} times");
 }
