--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An entry VM that rolls weights on these engines.
+/// Creates an entry VM that runs rolling updates on the first `engines` engines.
 fn vm(platform: &Arc<Platform>, name: &str, engines: usize) -> Arc<Core> {
     let core = Core::new(
         settings(name, Vec::new()),
@@ -32,7 +32,7 @@
     core
 }
 
-fn name(core: &Core, version: u32) {
+fn name_weights(core: &Core, version: u32) {
     let weights = Weights {
         model: "m".into(),
         version: WeightsVersion(version),
@@ -41,62 +41,62 @@
     core.named.notify_one();
 }
 
-fn all_hold(platform: &Platform, version: u32) -> bool {
+fn all_have(platform: &Platform, version: u32) -> bool {
     let engines = platform.engines.lock().unwrap();
     engines.iter().all(|engine| engine.version == version)
 }
 
 #[tokio::test]
-async fn each_engine_gets_one_order_and_some_serve_all_the_while() {
+async fn each_engine_gets_one_order_while_others_serve() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 5);
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
+    name_weights(&core, 2);
     let mut least = usize::MAX;
     until(|| {
         let now = clock::now();
         let fleet = core.fleet.lock();
         let open = fleet.upstreams().filter(|up| !up.is_paused(now));
         least = least.min(open.count());
-        all_hold(&platform, 2)
+        all_have(&platform, 2)
     })
     .await;
-    assert!(least >= 2, "{least} engines were open at the least");
+    assert!(least >= 2, "minimum of open engines: {least}");
     let engines = platform.engines.lock().unwrap();
     assert!(engines.iter().all(|engine| engine.orders.len() == 1));
 }
 
-/// An engine leaves an order unanswered and carries it out later, when a newer one was carried out.
-/// The older weights would come back.
+/// An engine leaves an order unanswered and executes it only after a newer one. It would go back to the older weights.
 #[tokio::test]
-async fn an_order_that_is_carried_out_late_does_nothing() {
+async fn a_late_order_is_rejected() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
     platform.engines.lock().unwrap()[0].mute_orders = 1;
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
-    until(|| all_hold(&platform, 2)).await;
+    name_weights(&core, 2);
+    until(|| all_have(&platform, 2)).await;
     let mut engines = platform.engines.lock().unwrap();
     let late = engines[0]
         .late
         .clone()
-        .expect("an order was left unanswered");
+        .expect("an order should have been left unanswered");
     assert!(
         !engines[0].carry_out(&late),
-        "its number of orders is that of before"
+        "the late order expects an earlier number of orders"
     );
     assert_eq!(engines[0].version, 2);
 }
 
-/// Weights are named while older ones still load. Loading those in between costs callers twice.
+/// New weights are named while engines drain for an earlier version. Loading the superseded version as well would take
+/// the engines out of service twice.
 #[tokio::test]
-async fn a_version_that_is_overtaken_while_engines_drain_is_not_loaded() {
+async fn a_version_superseded_during_the_drain_is_not_loaded() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 4);
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
-    name(&core, 3);
-    until(|| all_hold(&platform, 3)).await;
+    name_weights(&core, 2);
+    name_weights(&core, 3);
+    until(|| all_have(&platform, 3)).await;
     let engines = platform.engines.lock().unwrap();
     let orders = engines.iter().flat_map(|engine| &engine.orders);
     assert!(
@@ -106,18 +106,18 @@
     );
 }
 
-/// Two VMs see new weights at the same moment and do not hear each other. Engines that check no
-/// fencing number would take orders of both.
+/// Two VMs learn of new weights at the same time and cannot reach each other. Engines that do not check fencing numbers
+/// would accept orders of both.
 #[tokio::test]
-async fn only_one_vm_orders() {
+async fn only_one_vm_gives_orders() {
     let platform = Arc::new(Platform::default());
     let one = vm(&platform, "vm-1", 4);
     let two = vm(&platform, "vm-2", 4);
     for core in [&one, &two] {
         tokio::spawn(roll::run(Arc::clone(core)));
-        name(core, 2);
+        name_weights(core, 2);
     }
-    until(|| all_hold(&platform, 2)).await;
+    until(|| all_have(&platform, 2)).await;
     let engines = platform.engines.lock().unwrap();
     let orders: Vec<_> = engines.iter().flat_map(|engine| &engine.orders).collect();
     assert!(
@@ -127,15 +127,15 @@
     assert!(orders.iter().all(|order| order.fence == orders[0].fence));
 }
 
-/// The store is away when weights are named, so nobody can hold the lease. Ordering without it
-/// could cross another VM's orders.
+/// The store is unavailable when weights are named, so no VM can hold the lease. Orders given without it could conflict
+/// with those of another VM.
 #[tokio::test]
-async fn nothing_is_ordered_without_the_lease() {
+async fn no_orders_are_given_without_the_lease() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 2);
     *platform.away.lock().unwrap() = true;
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
+    name_weights(&core, 2);
     tokio::time::sleep(Duration::from_millis(600)).await;
     let ordered = || {
         let engines = platform.engines.lock().unwrap();
@@ -146,23 +146,23 @@
     };
     assert_eq!(ordered(), 0);
     *platform.away.lock().unwrap() = false;
-    until(|| all_hold(&platform, 2)).await;
+    until(|| all_have(&platform, 2)).await;
 }
 
-/// An engine crashed and another instance has its address, while the list still names it. The roll
-/// would order it over and over, and the VMs would go on sending it requests.
+/// An engine crashed and another instance has its address, but the list still contains the old entry. The roll would
+/// repeat its order, and the VMs would keep sending requests to it.
 #[tokio::test]
-async fn an_engine_that_is_another_instance_now_is_left_alone_and_told_to_all() {
+async fn an_engine_replaced_by_another_instance_is_announced_as_gone() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 5);
     platform.engines.lock().unwrap()[0].moved = true;
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
-    let others_hold = || {
+    name_weights(&core, 2);
+    let others_have = || {
         let engines = platform.engines.lock().unwrap();
         engines[1..].iter().all(|engine| engine.version == 2)
     };
-    until(|| others_hold() && !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
+    until(|| others_have() && !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
     let gone = "e0".parse().unwrap();
     until(|| core.fleet.lock().get(&gone).unwrap().is_gone(clock::now())).await;
     let told = core.peers.outbox.take();
@@ -171,11 +171,11 @@
     assert_eq!(platform.engines.lock().unwrap()[0].orders.len(), 1);
 }
 
-/// An engine crashes right after it took an order and starts again under its id, with the weights that it
-/// had. It has answered "taken" and carries nothing out, so callers would go on getting old weights for
-/// as long as the roll waits for it; and the order's number is that of its former life.
+/// An engine crashes right after it accepted an order, and restarts under the same id with its former weights. The order
+/// is lost, so the engine would serve old weights for as long as the roll waits for the load; and the next order must
+/// expect the new instance's number of orders rather than that of the former one.
 #[tokio::test]
-async fn an_engine_that_starts_again_while_it_loads_is_ordered_anew() {
+async fn an_engine_that_restarts_while_loading_gets_a_new_order() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 4);
     {
@@ -184,34 +184,34 @@
         engines[0].restarts = 1;
     }
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
-    until(|| all_hold(&platform, 2)).await;
+    name_weights(&core, 2);
+    until(|| all_have(&platform, 2)).await;
     let engines = platform.engines.lock().unwrap();
     let orders = &engines[0].orders;
     assert_eq!(orders.len(), 2);
     assert!(
         orders.iter().all(|order| order.expected == 0),
-        "each life counts its own orders: {orders:?}"
+        "each instance counts its own orders: {orders:?}"
     );
     let fleet = core.fleet.lock();
     let belief = fleet.belief(&"e0".parse().unwrap()).unwrap();
     assert_eq!(belief.born(), Some(Incarnation(8)));
     assert!(
         engines[0].reports < 15,
-        "an order of a former life is not waited for: asked {} times",
+        "the roll waited for an order of the former instance: asked {} times",
         engines[0].reports
     );
 }
 
-/// Many engines load at once, so that each takes three and a half seconds. Engines are named as out for three seconds,
-/// which is said again while they drain and not while they load: callers are sent to an engine in the middle of
-/// its load, which refuses them.
+/// Many engines load at once, so that each load takes three and a half seconds, but an engine is announced as out for
+/// only three seconds. If the announcement were renewed only during the drain, requests would be sent to an engine that
+/// is still loading and refuses them.
 #[tokio::test]
-async fn an_engine_that_loads_for_long_stays_out() {
+async fn a_slowly_loading_engine_stays_out_of_service() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
+    name_weights(&core, 2);
     until(|| !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
     platform.engines.lock().unwrap()[0].version = 1;
     let began = clock::now();
@@ -220,20 +220,21 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         let open = !core.fleet.lock().get(&id).unwrap().is_paused(clock::now());
         let after = clock::now().since(began);
-        assert!(!open, "open {after:?} after its order, while it loads");
+        assert!(!open, "open {after:?} after its order, while still loading");
     }
 }
 
-/// All engines must load within a moment, since their weights are shut or soon will be. What the weight store gives is
-/// shared by all that load, so that six at once are all away for as long as the last of them by turns.
+/// All engines must load within a short time, since no new requests may start on their weights, or soon will not. Loads
+/// share the bandwidth of the weight store: if six ran at once, each would take as long as the last one does when they
+/// take turns.
 #[tokio::test]
-async fn engines_load_by_turns() {
+async fn concurrent_loads_are_limited() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 6);
     for engine in platform.engines.lock().unwrap().iter_mut() {
         engine.load = Duration::from_millis(400);
     }
-    name(&core, 2);
+    name_weights(&core, 2);
     let weights = Weights {
         model: "m".into(),
         version: WeightsVersion(2),
@@ -250,15 +251,15 @@
     })
     .await;
     assert_eq!(most, max_concurrent_loads(6));
-    assert!(most < 6, "all load at once");
+    assert!(most < 6, "all engines loaded at once");
 }
 
-/// Five of nine engines have the newest weights, so that the others may drain for three seconds, and weights were
-/// named two seconds ago. The time that is still left shrinks while an engine drains; if it is compared with the
-/// time since its drain began, what passes counts twice. A stream that needs a moment more is then cut over
-/// to the new weights after two seconds, and its rest is worth nothing to its caller.
+/// Five of nine engines have the newest weights, so the others may drain for three seconds; the weights were named two
+/// seconds ago. The time left until the bound on old weights shrinks during the drain. If it were compared with the time
+/// since the drain began, elapsed time would count twice: after two seconds a stream that needs a little longer would be
+/// switched to the new weights, and the rest of it would be worthless to its caller.
 #[tokio::test]
-async fn an_engine_drains_for_as_long_as_it_may() {
+async fn an_engine_may_use_its_whole_drain_time() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 9);
     let ids: Vec<sesamegap_wire::UpstreamId> =
@@ -296,30 +297,30 @@
     assert!(drained >= Duration::from_millis(2_900), "{drained:?}");
 }
 
-/// Another writer lists an engine of a service that no document names. Its owner did not ask for orders, and
-/// counted as one of ours it would take a place in each step of the roll.
+/// Another writer lists an engine of a service that is not in the catalogue. Its owner did not ask for orders, and if the
+/// roll counted it, it would take up one of the places for engines that may be out.
 #[tokio::test]
-async fn an_engine_of_a_service_that_nobody_named_is_not_ordered() {
+async fn an_engine_of_a_service_outside_the_catalogue_gets_no_orders() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
     core.adopt(&Arc::new(document(1)), "test");
-    let stranger = StandinEngine::new(unused());
-    let foreign = Entry {
+    let foreign_engine = StandinEngine::new(unused());
+    let foreign_entry = Entry {
         service: "strangers".parse().unwrap(),
-        ..entry("engines", stranger.addr)
+        ..entry("engines", foreign_engine.addr)
     };
-    platform.engines.lock().unwrap().push(stranger);
+    platform.engines.lock().unwrap().push(foreign_engine);
     let id = "e9".parse().unwrap();
     core.fleet
         .lock()
-        .apply(&id, foreign, offset(9), clock::now());
+        .apply(&id, foreign_entry, offset(9), clock::now());
     tokio::spawn(roll::run(Arc::clone(&core)));
-    name(&core, 2);
-    let own_hold = || {
+    name_weights(&core, 2);
+    let own_engines_have = || {
         let engines = platform.engines.lock().unwrap();
         engines[..3].iter().all(|engine| engine.version == 2)
     };
-    until(own_hold).await;
+    until(own_engines_have).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(platform.engines.lock().unwrap()[3].orders.is_empty());
 }
