--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -102,7 +102,7 @@
             ProcessState::Gone => core.quarantine.record_crash(loss),
             // It may have started again at once, or be cut off: the list tells.
             ProcessState::Running | ProcessState::Unreachable => {
-                core.quarantine.record_unconfirmed_loss(loss.clone())
+                core.quarantine.record_unconfirmed_loss(loss.clone());
             }
         }
         drop(self.permit);
