--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -24,15 +24,15 @@
 /// Sends the messages that are due; called at fixed intervals.
 pub async fn tick(core: &Core, ticks: u32) {
     let quarantine = &core.quarantine;
-    quarantine.settle_unconfirmed(core);
+    quarantine.resolve_unconfirmed_losses(core);
     if quarantine.registry().is_empty() {
         return;
     }
     send_reports(core).await;
     judge(core);
     let records = lock(&quarantine.outbox).take_records();
-    let gossips = ticks.is_multiple_of(GOSSIP_INTERVAL_TICKS);
-    if records.is_empty() && !gossips {
+    let is_gossip_due = ticks.is_multiple_of(GOSSIP_INTERVAL_TICKS);
+    if records.is_empty() && !is_gossip_due {
         return;
     }
     let alive = core.peers.datagram_addrs();
@@ -43,7 +43,7 @@
                 .await;
         }
     }
-    if gossips {
+    if is_gossip_due {
         gossip(core, &alive, ticks / GOSSIP_INTERVAL_TICKS).await;
     }
 }
@@ -68,7 +68,7 @@
 fn judge(core: &Core) {
     let quarantine = &core.quarantine;
     let is_coordinator = is_coordinator(core);
-    let news = {
+    let changed = {
         let mut registry = quarantine.registry();
         if is_coordinator {
             for request in registry.judge(clock::now(), clock::unix_ms()) {
@@ -78,8 +78,8 @@
         }
         registry.take_unpublished()
     };
-    if is_coordinator && !news.is_empty() {
-        lock(&quarantine.outbox).queue_broadcast(news);
+    if is_coordinator && !changed.is_empty() {
+        lock(&quarantine.outbox).queue_broadcast(changed);
         quarantine.changed.notify_one();
     }
 }
@@ -161,7 +161,7 @@
     }
 
     /// Records a crash for each unconfirmed loss whose upstream has left the list since, and drops expired losses.
-    fn settle_unconfirmed(&self, core: &Core) {
+    fn resolve_unconfirmed_losses(&self, core: &Core) {
         let now = clock::now();
         let mut unconfirmed = lock(&self.unconfirmed);
         if unconfirmed.is_empty() {
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -167,8 +167,10 @@
     let open = engines().filter(|up| fleet.openness(up, now) == Availability::Open);
     let held = engine.version(&target.model).unwrap_or_default();
     let superseded_at = namings.superseded_at(&target.model, held);
-    let left =
-        |at: Moment| bound.saturating_sub(superseded_at.map_or(Duration::ZERO, |o| at.since(o)));
+    let left = |at: Moment| {
+        bound
+            .saturating_sub(superseded_at.map_or(Duration::ZERO, |superseded| at.since(superseded)))
+    };
     let all = engines().count();
     Some(DrainStatus {
         superseded_for: superseded_at.map(|at| now.since(at)),
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -16,9 +16,9 @@
 /// How long one claim holds the lease: enough for a few store calls of maximum duration.
 const LEASE_TERM: Duration = Duration::from_millis(1_500);
 
-/// Interval at which the lease is checked while another VM holds it or the store cannot be read; the store charges for
-/// calls.
-const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay before the next attempt to acquire the lease if its end is not known. A delay until its end is at least a fifth
+/// of this and at most four times as long. The store charges for calls.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The lease as seen by this process, shared with the tasks that give orders.
 #[derive(Debug, Clone)]
@@ -66,8 +66,8 @@
     /// Returns the delay before the next attempt to acquire the lease.
     pub fn retry_delay(&self) -> Duration {
         let left = self.free_at.map(|free_at| free_at.since(clock::now()));
-        left.unwrap_or(CHECK_INTERVAL)
-            .clamp(CHECK_INTERVAL / 5, CHECK_INTERVAL * 4)
+        left.unwrap_or(DEFAULT_RETRY_DELAY)
+            .clamp(DEFAULT_RETRY_DELAY / 5, DEFAULT_RETRY_DELAY * 4)
     }
 
     /// Reads the log once, so that the wait for the last claim's expiry starts now.
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -1,8 +1,8 @@
 //! Rolling update of engines to the newest weights, run by one entry VM at a time.
 //!
-//! The VM that holds the lease orders the loads; the others stand by in a fixed ranking. Engines that are about to load
-//! are announced to all VMs before the order, so that new requests go elsewhere and the engines drain within the time
-//! of a response.
+//! The VM that holds the lease orders the loads. The others stand by and try to take over in the order of a ranking.
+//! Engines that are about to load are announced to all VMs before the order, so that new requests go elsewhere and the
+//! engines drain within the time of a response.
 
 mod engine;
 mod lease;
@@ -162,7 +162,7 @@
             views.push(rolls::Engine {
                 stage: if engines_out.contains(&engine.id) {
                     rolls::Stage::Out
-                } else if outdated.iter().any(|b| b.engine == engine.id) {
+                } else if outdated.iter().any(|target| target.engine == engine.id) {
                     rolls::Stage::Old
                 } else {
                     rolls::Stage::Done
@@ -183,7 +183,7 @@
         due.map(|no| ids[no].clone()).collect::<Vec<_>>()
     };
     for id in due {
-        let Some(target) = outdated.iter().find(|b| b.engine == id).cloned() else {
+        let Some(target) = outdated.iter().find(|target| target.engine == id).cloned() else {
             continue;
         };
         let guard = progress.mark_out(id);
