--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A VM whose connection to an upstream broke probes whether the upstream's process is gone ([`Probes`]) and reports each
 //! request that it had there to the coordinator and its replicas. The coordinator grants trials and judges them. Its
-//! verdicts are broadcast to all VMs ([`exchange`]) and written to the store ([`mod@sync`]), for VMs that were all restarted
+//! verdicts are broadcast to all VMs (`exchange`) and written to the store ([`sync()`]), for VMs that were all restarted
 //! at once and for VMs that no peer can reach. Before each attempt of a request, [`admit`] decides whether it runs
 //! normally, runs as a trial, is deferred or is refused. The policy is in [`sesamegap_policy::quarantine`].
 
