--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::quarantine::{Process, TrialPermit, UpstreamLoss};
+use crate::quarantine::{ProcessState, TrialPermit, UpstreamLoss};
 use crate::telemetry::events;
 use sesamegap_policy::quarantine::Crash;
 use sesamegap_wire::Fingerprint;
@@ -78,7 +78,7 @@
     /// Reports that the upstream went silent. Whether its process ended follows from the fleet table, so that an
     /// upstream which is only slow is not blamed for a crash.
     pub fn report_silence(self, core: &Core) {
-        core.quarantine.unconfirmed(self.loss);
+        core.quarantine.record_unconfirmed_loss(self.loss);
     }
 
     /// Spawns a task that probes whether the upstream's process is gone, and reports the result.
@@ -105,9 +105,11 @@
             "connection broke"
         );
         match process {
-            Process::Gone => core.quarantine.crashed(loss),
+            ProcessState::Gone => core.quarantine.record_crash(loss),
             // It may have restarted at once or be partitioned; the fleet table decides.
-            Process::Running | Process::Unreachable => core.quarantine.unconfirmed(loss.clone()),
+            ProcessState::Running | ProcessState::Unreachable => {
+                core.quarantine.record_unconfirmed_loss(loss.clone());
+            }
         }
         drop(self.permit);
     }
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -130,7 +130,7 @@
     }
     let failed = head.status.is_server_error();
     if head.status.is_success() {
-        core.quarantine.succeeded(job.fingerprint());
+        core.quarantine.record_completion(job.fingerprint());
     }
     answered
         .flight
@@ -162,7 +162,7 @@
                 }
             }
         }
-        core.quarantine.succeeded(loss.request());
+        core.quarantine.record_completion(loss.request());
     };
     StreamBody::new(stream).boxed_unsync()
 }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -120,7 +120,7 @@
                     yield Ok(Frame::data(bytes));
                 }
                 Ok(None) => {
-                    relay.core.quarantine.succeeded(relay.job.fingerprint());
+                    relay.core.quarantine.record_completion(relay.job.fingerprint());
                     log.record_end(stream.status.as_u16(), relay.retry.runs + 1, "");
                     return;
                 }
