--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{Fleet, Rules, SharedFleet};
 use crate::follow::Known;
 use crate::peers::Peers;
-use crate::placing::Desk;
+use crate::placing::PlacementClient;
 use crate::ports::{Ports, Table};
 use crate::quarantine::Quarantine;
 use crate::settings::Settings;
@@ -50,7 +50,7 @@
     /// The other entry VMs.
     pub peers: Peers,
     /// What owners of shards place for this VM.
-    pub desk: Desk,
+    pub desk: PlacementClient,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The log.
@@ -89,7 +89,7 @@
             logging,
             fleet: SharedFleet::new(Fleet::new(rules)),
             peers: Peers::new(&settings),
-            desk: Desk::default(),
+            desk: PlacementClient::default(),
             named: Notify::new(),
             active: Arc::default(),
             bodies: Arc::new(Semaphore::new(settings.body_memory >> 10)),
--- a/crates/sesamegap-entry/src/placing/desk.rs
+++ b/crates/sesamegap-entry/src/placing/desk.rs
@@ -21,7 +21,7 @@
 
 /// This VM's side of what owners place for it.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct PlacementClient {
     state: Arc<Mutex<State>>,
     socket: OnceLock<Arc<UdpSocket>>,
 }
@@ -83,7 +83,7 @@
     }
 }
 
-impl Desk {
+impl PlacementClient {
     /// Sends and hears over this socket from now on.
     pub fn open(&self, socket: Arc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
