--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -2,7 +2,7 @@
 
 use super::SharedFleet;
 use crate::kept::OnWay;
-use crate::placing::Asked;
+use crate::placing::TrackedPrompt;
 use crate::ports::Load;
 use crate::quarantine::TrialPermit;
 use sesamegap_policy::routing::engines::Prefix;
@@ -48,7 +48,7 @@
     /// When the engine last served the whole shared prefix, as an owner told.
     pub(super) served: Option<Moment>,
     /// Set if the owner of the engine's shard knows of it.
-    pub(super) asked: Option<Asked>,
+    pub(super) asked: Option<TrackedPrompt>,
 }
 
 impl Flight {
@@ -69,11 +69,11 @@
 
     /// Who placed it or was told of it, if another VM.
     pub fn owner(&self) -> Option<SocketAddr> {
-        self.asked.as_ref().map(Asked::owner)
+        self.asked.as_ref().map(TrackedPrompt::owner)
     }
 
     /// Notes that the owner of its engine's shard knows of it.
-    pub fn share(&mut self, asked: Asked) {
+    pub fn share(&mut self, asked: TrackedPrompt) {
         self.asked = Some(asked);
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.shared.running += 1;
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, Flight, SharedFleet, Upstream};
 use crate::catalogue::KvStore;
 use crate::kept;
-use crate::placing::{Asked, Found};
+use crate::placing::{TrackedPrompt, Found};
 use sesamegap_policy::routing::shards::Division;
 use sesamegap_policy::routing::{Availability, engines, plain};
 use sesamegap_wire::{DomainId, Moment, ServiceId, UpstreamId};
@@ -127,7 +127,7 @@
         &self,
         selection: &Selection<'_>,
         found: Found,
-        asked: Asked,
+        asked: TrackedPrompt,
         now: Moment,
     ) -> Option<Flight> {
         let mut flight = {
--- a/crates/sesamegap-entry/src/placing/desk.rs
+++ b/crates/sesamegap-entry/src/placing/desk.rs
@@ -48,13 +48,13 @@
 
 /// A prompt of which an owner was told; it hears of the end when this is dropped.
 #[derive(Debug)]
-pub struct Asked {
+pub struct TrackedPrompt {
     state: Arc<Mutex<State>>,
     owner: SocketAddr,
     number: u64,
 }
 
-impl Asked {
+impl TrackedPrompt {
     /// Its number.
     pub fn number(&self) -> u64 {
         self.number
@@ -76,7 +76,7 @@
     }
 }
 
-impl Drop for Asked {
+impl Drop for TrackedPrompt {
     fn drop(&mut self) {
         self.say(Word::Ended(self.number));
         lock(&self.state).open.remove(&self.number);
@@ -92,7 +92,7 @@
     }
 
     /// Opens a question to an owner.
-    pub fn ask(&self, owner: SocketAddr) -> (Asked, oneshot::Receiver<Option<Found>>) {
+    pub fn ask(&self, owner: SocketAddr) -> (TrackedPrompt, oneshot::Receiver<Option<Found>>) {
         let (answers, answer) = oneshot::channel();
         let mut state = lock(&self.state);
         let number = state.number();
@@ -101,7 +101,7 @@
     }
 
     /// Tells an owner of a prompt that it did not place.
-    pub fn tell(&self, owner: SocketAddr, flight: &Flight, left: Duration) -> Asked {
+    pub fn tell(&self, owner: SocketAddr, flight: &Flight, left: Duration) -> TrackedPrompt {
         let number = lock(&self.state).number();
         let asked = self.asked(owner, number);
         asked.say(Word::Began {
@@ -113,8 +113,8 @@
         asked
     }
 
-    fn asked(&self, owner: SocketAddr, number: u64) -> Asked {
-        Asked {
+    fn asked(&self, owner: SocketAddr, number: u64) -> TrackedPrompt {
+        TrackedPrompt {
             state: Arc::clone(&self.state),
             owner,
             number,
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -9,7 +9,7 @@
 mod message;
 mod owner;
 
-pub use desk::{Asked, PlacementClient};
+pub use desk::{PlacementClient, TrackedPrompt};
 pub use message::{Answer, Ask, Found, Say, Word};
 pub use owner::{answer, hear};
 
