--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -15,7 +15,7 @@
 use crate::core::{Core, Phase};
 use crate::fleet::Upstream;
 use crate::follow::{self, Reading};
-use crate::placing::{self, Say};
+use crate::placing::{self, PlacementMessage};
 use crate::quarantine;
 use crate::telemetry::events;
 use serde::{Deserialize, Serialize};
@@ -55,7 +55,7 @@
     /// A store of kept cache does not answer.
     StoreOut(SocketAddr),
     /// To or from the owner of a shard.
-    Placing(Say),
+    Placing(PlacementMessage),
     /// Of requests under which upstreams ended.
     Quarantine(quarantine::Message),
 }
@@ -82,7 +82,7 @@
 }
 
 /// A message to or from an owner as it is sent, unless it cannot be.
-pub fn placing(say: Say) -> Option<Vec<u8>> {
+pub fn placing(say: PlacementMessage) -> Option<Vec<u8>> {
     Datagram::Placing(say).encode()
 }
 
@@ -231,14 +231,16 @@
             Ok(Datagram::StoreOut(store)) => {
                 core.fleet.lock().kept.leave(store, clock::now());
             }
-            Ok(Datagram::Placing(Say::Ask(ask))) => {
+            Ok(Datagram::Placing(PlacementMessage::Ask(ask))) => {
                 let answer = placing::answer(&core, from, &ask);
-                core.desk.send(Say::Answer(answer), from).await;
+                core.desk.send(PlacementMessage::Answer(answer), from).await;
             }
-            Ok(Datagram::Placing(Say::Answer(answer))) => {
+            Ok(Datagram::Placing(PlacementMessage::Answer(answer))) => {
                 core.desk.answered(answer.number, answer.found);
             }
-            Ok(Datagram::Placing(Say::Words(words))) => placing::hear(&core, from, &words),
+            Ok(Datagram::Placing(PlacementMessage::Words(words))) => {
+                placing::hear(&core, from, &words)
+            }
             Ok(Datagram::Quarantine(message)) => quarantine::receive(&core, from, message).await,
             Err(error) => {
                 info!(event = events::PEER, %from, %error, "a datagram cannot be read");
--- a/crates/sesamegap-entry/src/placing/desk.rs
+++ b/crates/sesamegap-entry/src/placing/desk.rs
@@ -1,6 +1,6 @@
 //! Questions to owners that are still open, and words that go to them.
 
-use super::message::{Found, Say, Word};
+use super::message::{Found, PlacementMessage, Word};
 use crate::clock;
 use crate::fleet::Flight;
 use crate::peers;
@@ -147,19 +147,19 @@
     }
 
     /// Words that go out now, in pieces that fit into datagrams.
-    pub fn words(&self) -> Vec<(SocketAddr, Say)> {
+    pub fn words(&self) -> Vec<(SocketAddr, PlacementMessage)> {
         let words = std::mem::take(&mut lock(&self.state).words);
         let each = words.into_iter().flat_map(|(owner, words)| {
             let pieces = words.chunks(WORDS).map(<[Word]>::to_vec);
             pieces
-                .map(move |piece| (owner, Say::Words(piece)))
+                .map(move |piece| (owner, PlacementMessage::Words(piece)))
                 .collect::<Vec<_>>()
         });
         each.collect()
     }
 
     /// Sends a message, if there is a socket and the link takes it.
-    pub async fn send(&self, say: Say, to: SocketAddr) {
+    pub async fn send(&self, say: PlacementMessage, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
             && let Some(bytes) = peers::placing(say)
         {
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -11,7 +11,7 @@
 
 /// A message between a VM and an owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Say {
+pub enum PlacementMessage {
     /// Where should this prompt go?
     Ask(Box<Ask>),
     /// There.
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -10,7 +10,7 @@
 mod owner;
 
 pub use desk::{PlacementClient, TrackedPrompt};
-pub use message::{Answer, Ask, Found, Say, Word};
+pub use message::{Answer, Ask, Found, PlacementMessage, Word};
 pub use owner::{answer, hear};
 
 use crate::clock;
@@ -93,7 +93,9 @@
 ) -> Option<Flight> {
     let (asked, answer) = core.desk.ask(owner);
     let ask = Ask::new(asked.number(), selection, shard, left)?;
-    core.desk.send(Say::Ask(Box::new(ask)), owner).await;
+    core.desk
+        .send(PlacementMessage::Ask(Box::new(ask)), owner)
+        .await;
     let Ok(Ok(found)) = timeout(ANSWER, answer).await else {
         core.desk.leave(owner, clock::now());
         info!(event = events::PEER, %owner, shard = shard.number, "the owner of a shard does not answer");
