--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -50,7 +50,7 @@
     /// The other entry VMs.
     pub peers: Peers,
     /// What owners of shards place for this VM.
-    pub desk: PlacementClient,
+    pub placement_client: PlacementClient,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The log.
@@ -89,7 +89,7 @@
             logging,
             fleet: SharedFleet::new(Fleet::new(rules)),
             peers: Peers::new(&settings),
-            desk: PlacementClient::default(),
+            placement_client: PlacementClient::default(),
             named: Notify::new(),
             active: Arc::default(),
             bodies: Arc::new(Semaphore::new(settings.body_memory >> 10)),
--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, Flight, SharedFleet, Upstream};
 use crate::catalogue::KvStore;
 use crate::kept;
-use crate::placing::{TrackedPrompt, Found};
+use crate::placing::{Found, TrackedPrompt};
 use sesamegap_policy::routing::shards::Division;
 use sesamegap_policy::routing::{Availability, engines, plain};
 use sesamegap_wire::{DomainId, Moment, ServiceId, UpstreamId};
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -102,7 +102,7 @@
             return;
         }
     };
-    core.desk.open(Arc::clone(&socket));
+    core.placement_client.open(Arc::clone(&socket));
     core.quarantine.open(Arc::clone(&socket));
     tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
     let mut last: Vec<Held> = Vec::new();
@@ -116,8 +116,8 @@
         for datagram in news(&core) {
             send(&core, &socket, &datagram, &core.peers.known().alive).await;
         }
-        for (owner, words) in core.desk.words() {
-            core.desk.send(words, owner).await;
+        for (owner, words) in core.placement_client.words() {
+            core.placement_client.send(words, owner).await;
         }
         let held = own(&core);
         let peers = core.peers.known().alive;
@@ -233,10 +233,12 @@
             }
             Ok(Datagram::Placing(PlacementMessage::Ask(ask))) => {
                 let answer = placing::answer(&core, from, &ask);
-                core.desk.send(PlacementMessage::Answer(answer), from).await;
+                core.placement_client
+                    .send(PlacementMessage::Answer(answer), from)
+                    .await;
             }
             Ok(Datagram::Placing(PlacementMessage::Answer(answer))) => {
-                core.desk.answered(answer.number, answer.found);
+                core.placement_client.answered(answer.number, answer.found);
             }
             Ok(Datagram::Placing(PlacementMessage::Words(words))) => {
                 placing::hear(&core, from, &words)
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -5,11 +5,11 @@
 //! then asks the next in rank for a while. What was placed is taken back or said to be read by words that go out
 //! with the next datagrams ([`Desk`]); the owner forgets by itself what nobody speaks of.
 
-mod desk;
+mod client;
 mod message;
 mod owner;
 
-pub use desk::{PlacementClient, TrackedPrompt};
+pub use client::{PlacementClient, TrackedPrompt};
 pub use message::{Answer, Ask, Found, PlacementMessage, Word};
 pub use owner::{answer, hear};
 
@@ -77,7 +77,8 @@
 /// The owner of a shard among VMs that lately answered.
 fn owner(core: &Core, shard: u32, roster: &[(u64, Option<SocketAddr>)]) -> Option<Owner> {
     let now = clock::now();
-    let answers = |addr: &Option<SocketAddr>| addr.is_none_or(|at| !core.desk.is_silent(at, now));
+    let answers =
+        |addr: &Option<SocketAddr>| addr.is_none_or(|at| !core.placement_client.is_silent(at, now));
     let sound: Vec<_> = roster.iter().filter(|(_, addr)| answers(addr)).collect();
     let at = shards::owner(shard, sound.iter().map(|(vm, _)| *vm))?;
     Some(sound[at].1.map_or(Owner::Me, Owner::Other))
@@ -91,13 +92,13 @@
     owner: SocketAddr,
     left: Duration,
 ) -> Option<Flight> {
-    let (asked, answer) = core.desk.ask(owner);
+    let (asked, answer) = core.placement_client.ask(owner);
     let ask = Ask::new(asked.number(), selection, shard, left)?;
-    core.desk
+    core.placement_client
         .send(PlacementMessage::Ask(Box::new(ask)), owner)
         .await;
     let Ok(Ok(found)) = timeout(ANSWER, answer).await else {
-        core.desk.leave(owner, clock::now());
+        core.placement_client.leave(owner, clock::now());
         info!(event = events::PEER, %owner, shard = shard.number, "the owner of a shard does not answer");
         return None;
     };
@@ -108,7 +109,7 @@
 fn tell(core: &Core, flight: &mut Flight, division: Division, left: Duration) {
     let shard = division.shard(flight.seed());
     if let Some(Owner::Other(addr)) = owner(core, shard, &core.peers.roster()) {
-        let asked = core.desk.tell(addr, flight, left);
+        let asked = core.placement_client.tell(addr, flight, left);
         flight.share(asked);
     }
 }
