--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -240,7 +240,7 @@
             Ok(Datagram::Placing(PlacementMessage::Answer(answer))) => {
                 core.placement_client.answered(answer.number, answer.found);
             }
-            Ok(Datagram::Placing(PlacementMessage::Words(words))) => {
+            Ok(Datagram::Placing(PlacementMessage::Reports(words))) => {
                 placing::hear(&core, from, &words)
             }
             Ok(Datagram::Quarantine(message)) => quarantine::receive(&core, from, message).await,
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -152,7 +152,7 @@
         let each = words.into_iter().flat_map(|(owner, words)| {
             let pieces = words.chunks(WORDS).map(<[Word]>::to_vec);
             pieces
-                .map(move |piece| (owner, PlacementMessage::Words(piece)))
+                .map(move |piece| (owner, PlacementMessage::Reports(piece)))
                 .collect::<Vec<_>>()
         });
         each.collect()
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -17,7 +17,8 @@
     /// There.
     Answer(Answer),
     /// What became of prompts.
-    Words(Vec<Word>),
+    #[serde(rename = "Words")]
+    Reports(Vec<Word>),
 }
 
 /// A prompt to be placed.
