--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, Flight, SharedFleet, Upstream};
 use crate::catalogue::KvStore;
 use crate::kept;
-use crate::placing::{Found, TrackedPrompt};
+use crate::placing::{ChosenEngine, TrackedPrompt};
 use sesamegap_policy::routing::shards::Division;
 use sesamegap_policy::routing::{Availability, engines, plain};
 use sesamegap_wire::{DomainId, Moment, ServiceId, UpstreamId};
@@ -126,7 +126,7 @@
     pub fn take(
         &self,
         selection: &Selection<'_>,
-        found: Found,
+        found: ChosenEngine,
         asked: TrackedPrompt,
         now: Moment,
     ) -> Option<Flight> {
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -1,6 +1,6 @@
 //! Questions to owners that are still open, and words that go to them.
 
-use super::message::{Found, PlacementMessage, Word};
+use super::message::{ChosenEngine, PlacementMessage, Word};
 use crate::clock;
 use crate::fleet::Flight;
 use crate::peers;
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 struct State {
     next: u64,
-    open: FxHashMap<u64, oneshot::Sender<Option<Found>>>,
+    open: FxHashMap<u64, oneshot::Sender<Option<ChosenEngine>>>,
     words: FxHashMap<SocketAddr, Vec<Word>>,
     silent: FxHashMap<SocketAddr, Moment>,
 }
@@ -92,7 +92,10 @@
     }
 
     /// Opens a question to an owner.
-    pub fn ask(&self, owner: SocketAddr) -> (TrackedPrompt, oneshot::Receiver<Option<Found>>) {
+    pub fn ask(
+        &self,
+        owner: SocketAddr,
+    ) -> (TrackedPrompt, oneshot::Receiver<Option<ChosenEngine>>) {
         let (answers, answer) = oneshot::channel();
         let mut state = lock(&self.state);
         let number = state.number();
@@ -122,7 +125,7 @@
     }
 
     /// Takes in an answer; one that nobody waits for any more is taken back by the end of its question.
-    pub fn answered(&self, number: u64, found: Option<Found>) {
+    pub fn answered(&self, number: u64, found: Option<ChosenEngine>) {
         let waiting = lock(&self.state).open.remove(&number);
         if let Some(waiting) = waiting
             && waiting.send(found).is_err()
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -50,12 +50,12 @@
     /// Number that the asker gave.
     pub number: u64,
     /// Where the prompt goes, if any engine of the shard takes it.
-    pub found: Option<Found>,
+    pub found: Option<ChosenEngine>,
 }
 
 /// Where a prompt goes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Found {
+pub struct ChosenEngine {
     /// The engine.
     pub engine: UpstreamId,
     /// Number of its life.
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -1,6 +1,6 @@
 //! What an owner does: it places prompts for others, and takes in what became of them.
 
-use super::message::{Answer, Ask, Found, Word};
+use super::message::{Answer, Ask, ChosenEngine, Word};
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Selection, Shard};
@@ -35,7 +35,12 @@
     }
 }
 
-fn place(core: &Core, from: SocketAddr, ask: &Ask, selection: &Selection<'_>) -> Option<Found> {
+fn place(
+    core: &Core,
+    from: SocketAddr,
+    ask: &Ask,
+    selection: &Selection<'_>,
+) -> Option<ChosenEngine> {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     let chosen = fleet.choose(selection, now)?;
@@ -60,7 +65,7 @@
         version,
     };
     fleet.placed.begin((from, ask.number), placement, now);
-    Some(Found {
+    Some(ChosenEngine {
         engine: chosen.id,
         life,
         source: chosen.source,
