--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -1,6 +1,6 @@
 //! Questions to owners that are still open, and words that go to them.
 
-use super::message::{ChosenEngine, PlacementMessage, Word};
+use super::message::{ChosenEngine, PlacementMessage, PromptReport};
 use crate::clock;
 use crate::fleet::Flight;
 use crate::peers;
@@ -30,7 +30,7 @@
 struct State {
     next: u64,
     open: FxHashMap<u64, oneshot::Sender<Option<ChosenEngine>>>,
-    words: FxHashMap<SocketAddr, Vec<Word>>,
+    words: FxHashMap<SocketAddr, Vec<PromptReport>>,
     silent: FxHashMap<SocketAddr, Moment>,
 }
 
@@ -67,10 +67,10 @@
 
     /// Notes that its engine has read it.
     pub fn read(&self) {
-        self.say(Word::Read(self.number));
+        self.say(PromptReport::Read(self.number));
     }
 
-    fn say(&self, word: Word) {
+    fn say(&self, word: PromptReport) {
         let mut state = lock(&self.state);
         state.words.entry(self.owner).or_default().push(word);
     }
@@ -78,7 +78,7 @@
 
 impl Drop for TrackedPrompt {
     fn drop(&mut self) {
-        self.say(Word::Ended(self.number));
+        self.say(PromptReport::Ended(self.number));
         lock(&self.state).open.remove(&self.number);
     }
 }
@@ -107,7 +107,7 @@
     pub fn tell(&self, owner: SocketAddr, flight: &Flight, left: Duration) -> TrackedPrompt {
         let number = lock(&self.state).number();
         let asked = self.asked(owner, number);
-        asked.say(Word::Began {
+        asked.say(PromptReport::Began {
             number,
             life: flight.life(),
             tokens: flight.tokens(),
@@ -153,7 +153,7 @@
     pub fn words(&self) -> Vec<(SocketAddr, PlacementMessage)> {
         let words = std::mem::take(&mut lock(&self.state).words);
         let each = words.into_iter().flat_map(|(owner, words)| {
-            let pieces = words.chunks(WORDS).map(<[Word]>::to_vec);
+            let pieces = words.chunks(WORDS).map(<[PromptReport]>::to_vec);
             pieces
                 .map(move |piece| (owner, PlacementMessage::Reports(piece)))
                 .collect::<Vec<_>>()
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -18,7 +18,7 @@
     Answer(Answer),
     /// What became of prompts.
     #[serde(rename = "Words")]
-    Reports(Vec<Word>),
+    Reports(Vec<PromptReport>),
 }
 
 /// A prompt to be placed.
@@ -74,7 +74,7 @@
 
 /// What became of a prompt, by the number that its asker gave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum PromptReport {
     /// It was placed by the asker itself.
     Began {
         /// Its number.
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -10,7 +10,7 @@
 mod owner;
 
 pub use client::{PlacementClient, TrackedPrompt};
-pub use message::{Answer, Ask, ChosenEngine, PlacementMessage, Word};
+pub use message::{Answer, Ask, ChosenEngine, PlacementMessage, PromptReport};
 pub use owner::{answer, hear};
 
 use crate::clock;
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -1,6 +1,6 @@
 //! What an owner does: it places prompts for others, and takes in what became of them.
 
-use super::message::{Answer, Ask, ChosenEngine, Word};
+use super::message::{Answer, Ask, ChosenEngine, PromptReport};
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Selection, Shard};
@@ -77,12 +77,12 @@
 }
 
 /// Takes in what became of prompts of another VM.
-pub fn hear(core: &Core, from: SocketAddr, words: &[Word]) {
+pub fn hear(core: &Core, from: SocketAddr, words: &[PromptReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for word in words {
         match *word {
-            Word::Began {
+            PromptReport::Began {
                 number,
                 life,
                 tokens,
@@ -100,14 +100,14 @@
                 };
                 fleet.placed.begin((from, number), placement, now);
             }
-            Word::Read(number) => {
+            PromptReport::Read(number) => {
                 if let Some(read) = fleet.placed.read(&(from, number)) {
                     for prefix in read.prefixes {
                         fleet.recall.note(prefix.hash, read.life, read.version, now);
                     }
                 }
             }
-            Word::Ended(number) => fleet.placed.end(&(from, number)),
+            PromptReport::Ended(number) => fleet.placed.end(&(from, number)),
         }
     }
 }
