--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -102,7 +102,7 @@
             return;
         }
     };
-    core.placement_client.open(Arc::clone(&socket));
+    core.placement_client.set_socket(Arc::clone(&socket));
     core.quarantine.open(Arc::clone(&socket));
     tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
     let mut last: Vec<Held> = Vec::new();
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -85,7 +85,7 @@
 
 impl PlacementClient {
     /// Sends and hears over this socket from now on.
-    pub fn open(&self, socket: Arc<UdpSocket>) {
+    pub fn set_socket(&self, socket: Arc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
             info!("placing has its socket already");
         }
