--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -116,7 +116,7 @@
         for datagram in news(&core) {
             send(&core, &socket, &datagram, &core.peers.known().alive).await;
         }
-        for (owner, words) in core.placement_client.words() {
+        for (owner, words) in core.placement_client.take_reports() {
             core.placement_client.send(words, owner).await;
         }
         let held = own(&core);
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -150,7 +150,7 @@
     }
 
     /// Words that go out now, in pieces that fit into datagrams.
-    pub fn words(&self) -> Vec<(SocketAddr, PlacementMessage)> {
+    pub fn take_reports(&self) -> Vec<(SocketAddr, PlacementMessage)> {
         let words = std::mem::take(&mut lock(&self.state).words);
         let each = words.into_iter().flat_map(|(owner, words)| {
             let pieces = words.chunks(WORDS).map(<[PromptReport]>::to_vec);
