--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -238,7 +238,8 @@
                     .await;
             }
             Ok(Datagram::Placing(PlacementMessage::Answer(answer))) => {
-                core.placement_client.answered(answer.number, answer.found);
+                core.placement_client
+                    .complete_query(answer.number, answer.found);
             }
             Ok(Datagram::Placing(PlacementMessage::Reports(words))) => {
                 placing::hear(&core, from, &words)
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -125,7 +125,7 @@
     }
 
     /// Takes in an answer; one that nobody waits for any more is taken back by the end of its question.
-    pub fn answered(&self, number: u64, found: Option<ChosenEngine>) {
+    pub fn complete_query(&self, number: u64, found: Option<ChosenEngine>) {
         let waiting = lock(&self.state).open.remove(&number);
         if let Some(waiting) = waiting
             && waiting.send(found).is_err()
