--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -239,7 +239,7 @@
             }
             Ok(Datagram::Placing(PlacementMessage::Answer(answer))) => {
                 core.placement_client
-                    .complete_query(answer.number, answer.found);
+                    .complete_query(answer.number, answer.chosen);
             }
             Ok(Datagram::Placing(PlacementMessage::Reports(words))) => {
                 placing::hear(&core, from, &words)
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -50,7 +50,7 @@
     /// Number that the asker gave.
     pub number: u64,
     /// Where the prompt goes, if any engine of the shard takes it.
-    pub found: Option<ChosenEngine>,
+    pub chosen: Option<ChosenEngine>,
 }
 
 /// Where a prompt goes.
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -11,7 +11,7 @@
 
 /// Places a prompt for another VM, and counts it at its engine.
 pub fn answer(core: &Core, from: SocketAddr, ask: &Ask) -> Answer {
-    let found = core.catalogue().and_then(|catalogue| {
+    let chosen = core.catalogue().and_then(|catalogue| {
         let shape = ask.shape();
         let (bits, number) = ask.shard;
         let selection = Selection {
@@ -31,7 +31,7 @@
     });
     Answer {
         number: ask.number,
-        found,
+        chosen,
     }
 }
 
