--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -232,7 +232,7 @@
                 core.fleet.lock().kept.leave(store, clock::now());
             }
             Ok(Datagram::Placing(PlacementMessage::Ask(ask))) => {
-                let answer = placing::answer(&core, from, &ask);
+                let answer = placing::answer_query(&core, from, &ask);
                 core.placement_client
                     .send(PlacementMessage::Answer(answer), from)
                     .await;
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Places a prompt for another VM, and counts it at its engine.
-pub fn answer(core: &Core, from: SocketAddr, ask: &Ask) -> Answer {
+pub fn answer_query(core: &Core, from: SocketAddr, ask: &Ask) -> Answer {
     let chosen = core.catalogue().and_then(|catalogue| {
         let shape = ask.shape();
         let (bits, number) = ask.shard;
