--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -11,7 +11,7 @@
 
 pub use client::{PlacementClient, TrackedPrompt};
 pub use message::{Answer, Ask, ChosenEngine, PlacementMessage, PromptReport};
-pub use owner::{answer_query, hear};
+pub use owner::{answer_query, apply_reports};
 
 use crate::clock;
 use crate::core::Core;
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -77,7 +77,7 @@
 }
 
 /// Takes in what became of prompts of another VM.
-pub fn hear(core: &Core, from: SocketAddr, words: &[PromptReport]) {
+pub fn apply_reports(core: &Core, from: SocketAddr, words: &[PromptReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for word in words {
