--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -114,7 +114,7 @@
         self.on_way = None;
         let shared = self.asked.as_ref().filter(|_| unread > 0);
         if let Some(asked) = shared {
-            asked.read();
+            asked.report_read();
         }
         let shared = if self.asked.is_some() { unread } else { 0 };
         let mut fleet = self.fleet.lock();
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -66,7 +66,7 @@
     }
 
     /// Notes that its engine has read it.
-    pub fn read(&self) {
+    pub fn report_read(&self) {
         self.say(PromptReport::Read(self.number));
     }
 
