--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -38,16 +38,16 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// What the platform asks a process, served by its adapter.
-pub struct Doors {
+pub struct PlatformEndpoints {
     /// Readiness checks.
     pub ready: BoxEndpoint<'static>,
     /// Callers that ask which address to use.
     pub locator: BoxEndpoint<'static>,
 }
 
-impl std::fmt::Debug for Doors {
+impl std::fmt::Debug for PlatformEndpoints {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Doors").finish_non_exhaustive()
+        f.debug_struct("PlatformEndpoints").finish_non_exhaustive()
     }
 }
 
@@ -55,7 +55,11 @@
 ///
 /// # Errors
 /// If it cannot listen.
-pub async fn run(core: Arc<Core>, doors: Doors, reload: &Reload<'_>) -> anyhow::Result<()> {
+pub async fn run(
+    core: Arc<Core>,
+    doors: PlatformEndpoints,
+    reload: &Reload<'_>,
+) -> anyhow::Result<()> {
     let listen = core.settings().listen;
     let callers = bind(listen.callers).await?;
     serve(listen.ready, doors.ready).await?;
