--- a/crates/sesamegap-entry/src/intake/reply.rs
+++ b/crates/sesamegap-entry/src/intake/reply.rs
@@ -66,7 +66,7 @@
 
 impl Refusal {
     /// When a caller may come back, where that helps.
-    pub fn come_back(self) -> Option<Duration> {
+    pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::NoDocument => Some(START_TIME),
             Self::NoUpstream => Some(UPSTREAM_TIME),
@@ -123,7 +123,7 @@
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if let Some(span) = refusal.come_back() {
+    if let Some(span) = refusal.retry_after() {
         let text = format!("{:.2}", span.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&text) {
             headers.insert(RETRY_AFTER, value);
