--- a/crates/sesamegap-entry/src/intake/reply.rs
+++ b/crates/sesamegap-entry/src/intake/reply.rs
@@ -118,7 +118,7 @@
 }
 
 /// The answer for a refusal, with a time to come back where that helps.
-pub fn refuse(refusal: Refusal) -> Response<Body> {
+pub fn refusal_response(refusal: Refusal) -> Response<Body> {
     let mut response = Response::new(full(format!("{refusal}\n")));
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -1,7 +1,7 @@
 //! One request of a caller, from its head to the relay.
 
 use super::connection::limits;
-use super::reply::{Body, Refusal, refuse};
+use super::reply::{Body, Refusal, refusal_response};
 use crate::catalogue::{Catalogue, Route, Team};
 use crate::core::{Active, Core, Phase};
 use crate::ports::RequestHead;
@@ -43,7 +43,7 @@
                 why = %refusal,
                 "refused"
             );
-            refuse(refusal)
+            refusal_response(refusal)
         }
     };
     if core.phase() != Phase::Serving {
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -11,7 +11,7 @@
 use super::request_log::RequestLog;
 use super::waiting::upstream;
 use crate::core::Core;
-use crate::intake::{Body, Refusal, full, refuse};
+use crate::intake::{Body, Refusal, full, refusal_response};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
@@ -30,7 +30,7 @@
     let answer = answer(core, job, &mut progress).await;
     let (response, why) = match answer {
         Ok(response) => (response, String::new()),
-        Err(refusal) => (refuse(refusal), refusal.to_string()),
+        Err(refusal) => (refusal_response(refusal), refusal.to_string()),
     };
     log.end(response.status().as_u16(), progress.runs, why);
     response
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::intake::{Body, Refusal, full, refuse};
+use crate::intake::{Body, Refusal, full, refusal_response};
 use crate::telemetry::events;
 use crate::upstream::Connection;
 use bytes::Bytes;
@@ -100,7 +100,7 @@
         Err(refusal) => {
             let status = refusal.status().as_u16();
             log.end(status, relay.progress.runs, refusal.to_string());
-            refuse(refusal)
+            refusal_response(refusal)
         }
     }
 }
