--- a/crates/sesamegap-entry/src/intake/reply.rs
+++ b/crates/sesamegap-entry/src/intake/reply.rs
@@ -29,7 +29,7 @@
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// A body that is known whole.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -119,7 +119,7 @@
 
 /// The answer for a refusal, with a time to come back where that helps.
 pub fn refusal_response(refusal: Refusal) -> Response<Body> {
-    let mut response = Response::new(full(format!("{refusal}\n")));
+    let mut response = Response::new(full_body(format!("{refusal}\n")));
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -11,7 +11,7 @@
 use super::request_log::RequestLog;
 use super::waiting::upstream;
 use crate::core::Core;
-use crate::intake::{Body, Refusal, full, refusal_response};
+use crate::intake::{Body, Refusal, full_body, refusal_response};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
@@ -122,7 +122,11 @@
         core.quarantine.succeeded(job.fingerprint());
     }
     answered.flight.answered(answered.sent.elapsed(), failed);
-    Some(respond(head.status, &head.headers, full(bytes.freeze())))
+    Some(respond(
+        head.status,
+        &head.headers,
+        full_body(bytes.freeze()),
+    ))
 }
 
 /// A body of which the beginning was read; the rest of the tuple lives as long as it.
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::intake::{Body, Refusal, full, refusal_response};
+use crate::intake::{Body, Refusal, full_body, refusal_response};
 use crate::telemetry::events;
 use crate::upstream::Connection;
 use bytes::Bytes;
@@ -227,7 +227,7 @@
             return Ok(Opened::Whole(respond(
                 head.status,
                 &head.headers,
-                full(body),
+                full_body(body),
             )));
         }
         let mut live = Live {
