--- a/crates/sesamegap-entry/src/relay/request_log.rs
+++ b/crates/sesamegap-entry/src/relay/request_log.rs
@@ -72,7 +72,7 @@
         let span = self.arrived.elapsed();
         self.core
             .metrics
-            .ended(self.kind, self.status, span, self.first);
+            .record_request(self.kind, self.status, span, self.first);
         let took = clock::ms(span);
         let Some(status) = self.status else {
             info!(
--- a/crates/sesamegap-entry/src/telemetry/metrics.rs
+++ b/crates/sesamegap-entry/src/telemetry/metrics.rs
@@ -97,7 +97,13 @@
     }
 
     /// Counts a request that ended; no status if its caller left.
-    pub fn ended(&self, kind: Kind, status: Option<u16>, took: Duration, first: Option<Duration>) {
+    pub fn record_request(
+        &self,
+        kind: Kind,
+        status: Option<u16>,
+        took: Duration,
+        first: Option<Duration>,
+    ) {
         let kind = KeyValue::new("kind", kind.name());
         let class = match status {
             Some(status) => format!("{}xx", status / 100),
