--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -80,11 +80,11 @@
     match &outcome {
         Outcome::Answered(_) => {}
         Outcome::NotRun(why) => {
-            core.metrics.attempt(why.name());
+            core.metrics.count_failed_attempt(why.name());
             info!(event = events::ATTEMPT, request = %job.head.id, upstream = %id, why = ?why, "not run");
         }
         Outcome::Lost(why) => {
-            core.metrics.attempt("lost");
+            core.metrics.count_failed_attempt("lost");
             warn!(event = events::ATTEMPT, request = %job.head.id, upstream = %id, why, "no answer");
         }
     }
--- a/crates/sesamegap-entry/src/telemetry/metrics.rs
+++ b/crates/sesamegap-entry/src/telemetry/metrics.rs
@@ -118,7 +118,7 @@
     }
 
     /// Counts an attempt that brought no answer.
-    pub fn attempt(&self, reason: &'static str) {
+    pub fn count_failed_attempt(&self, reason: &'static str) {
         self.attempts.add(1, &[KeyValue::new("reason", reason)]);
     }
 
