--- a/crates/sesamegap-entry/src/telemetry/mod.rs
+++ b/crates/sesamegap-entry/src/telemetry/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// No log at all, for tests.
-    pub fn none() -> Self {
+    pub fn disabled() -> Self {
         Self {
             dropped: None,
             _guard: None,
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -19,7 +19,7 @@
     let core = Core::new(
         settings(name, Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
     let position = core.known(Table::Fleet);
@@ -266,7 +266,7 @@
     let core = Core::new(
         settings("vm-1", Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
     let mut document = document(1);
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -17,7 +17,7 @@
     let core = Core::new(
         settings("vm-1", Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     Arc::new(core.unwrap())
 }
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -18,7 +18,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut settings = settings(name, seeds);
     settings.listen.peers = listener.local_addr().unwrap();
-    let core = Core::new(settings, platform.ports(), Logging::none());
+    let core = Core::new(settings, platform.ports(), Logging::disabled());
     let core = Arc::new(core.unwrap());
     let acceptor = TcpAcceptor::from_tokio(listener).unwrap();
     let endpoints = peers::endpoints(Arc::clone(&core)).into_endpoint();
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -26,7 +26,7 @@
     settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
     settings.listen.peers = settings.listen.loads;
     let platform = Arc::new(Platform::default());
-    let core = Arc::new(Core::new(settings, platform.ports(), Logging::none()).unwrap());
+    let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
     for no in 0..ENGINES {
         let id: UpstreamId = format!("e{no}").parse().unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -44,7 +44,7 @@
     settings.listen.loads =
         SocketAddr::new(format!("127.0.{net}.{}", no + 1).parse().unwrap(), port);
     settings.listen.peers = settings.listen.loads;
-    let core = Arc::new(Core::new(settings, platform.ports(), Logging::none()).unwrap());
+    let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
     tokio::spawn(peers::exchange(Arc::clone(&core)));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -17,7 +17,7 @@
     settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
     settings.listen.peers = settings.listen.loads;
     let platform = Arc::new(Platform::default());
-    let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
+    let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(peers::exchange(Arc::clone(&core)));
     core
@@ -59,7 +59,7 @@
 async fn weights_named_while_the_store_drops_its_history_are_taken_for_new() {
     let platform = Arc::new(Platform::default());
     let settings = settings("vm-1", Vec::new());
-    let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
+    let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
     until(|| core.known(Table::Settings).position().next().is_some()).await;
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 fn vm(platform: &Arc<Platform>, name: &str, seeds: Vec<SocketAddr>) -> Arc<Core> {
-    let core = Core::new(settings(name, seeds), platform.ports(), Logging::none());
+    let core = Core::new(settings(name, seeds), platform.ports(), Logging::disabled());
     Arc::new(core.unwrap())
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -15,7 +15,7 @@
     let core = Core::new(
         settings(name, Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
     let mut all = platform.engines.lock().unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -85,7 +85,7 @@
         let core = Core::new(
             settings("vm-1", Vec::new()),
             platform.ports(),
-            Logging::none(),
+            Logging::disabled(),
         );
         let core = Arc::new(core.unwrap());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
