--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -1,4 +1,4 @@
-//! Questions to owners that are still open, and words that go to them.
+//! Open queries to shard owners, and prompt reports queued for them.
 
 use super::message::{ChosenEngine, PlacementMessage, PromptReport};
 use crate::clock;
@@ -13,13 +13,13 @@
 use tokio::sync::oneshot;
 use tracing::info;
 
-/// How long an owner that did not answer is not asked: about the time until its peers suspect it.
-const SILENT: Duration = Duration::from_secs(1);
+/// How long an owner that did not answer gets no queries: about the time until its peers suspect it.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(1);
 
-/// Words to one owner in one datagram, at some 25 bytes each.
-const WORDS: usize = 48;
+/// Reports to one owner per datagram, at about 25 bytes each.
+const REPORTS_PER_DATAGRAM: usize = 48;
 
-/// This VM's side of what owners place for it.
+/// Sends queries and prompt reports of this VM to the owners of shards.
 #[derive(Debug, Default)]
 pub struct PlacementClient {
     state: Arc<Mutex<State>>,
@@ -28,17 +28,17 @@
 
 #[derive(Debug, Default)]
 struct State {
-    next: u64,
-    open: FxHashMap<u64, oneshot::Sender<Option<ChosenEngine>>>,
-    words: FxHashMap<SocketAddr, Vec<PromptReport>>,
-    silent: FxHashMap<SocketAddr, Moment>,
+    last_number: u64,
+    pending: FxHashMap<u64, oneshot::Sender<Option<ChosenEngine>>>,
+    reports: FxHashMap<SocketAddr, Vec<PromptReport>>,
+    unresponsive: FxHashMap<SocketAddr, Moment>,
 }
 
 impl State {
-    /// A number that no former process on this VM has used lately.
-    fn number(&mut self) -> u64 {
-        self.next = self.next.max(clock::unix_ms() << 20) + 1;
-        self.next
+    /// A number that no earlier process on this VM has used recently.
+    fn next_number(&mut self) -> u64 {
+        self.last_number = self.last_number.max(clock::unix_ms() << 20) + 1;
+        self.last_number
     }
 }
 
@@ -46,7 +46,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A prompt of which an owner was told; it hears of the end when this is dropped.
+/// A prompt that an owner knows about; dropping this reports its end to the owner.
 #[derive(Debug)]
 pub struct TrackedPrompt {
     state: Arc<Mutex<State>>,
@@ -55,68 +55,73 @@
 }
 
 impl TrackedPrompt {
-    /// Its number.
+    /// Number of the prompt, unique among those of this VM.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Who was told.
+    /// Address of the owner.
     pub fn owner(&self) -> SocketAddr {
         self.owner
     }
 
-    /// Notes that its engine has read it.
+    /// Reports that the engine has prefilled the prompt.
     pub fn report_read(&self) {
-        self.say(PromptReport::Read(self.number));
+        self.report(PromptReport::Read(self.number));
     }
 
-    fn say(&self, word: PromptReport) {
+    fn report(&self, report: PromptReport) {
         let mut state = lock(&self.state);
-        state.words.entry(self.owner).or_default().push(word);
+        state.reports.entry(self.owner).or_default().push(report);
     }
 }
 
 impl Drop for TrackedPrompt {
     fn drop(&mut self) {
-        self.say(PromptReport::Ended(self.number));
-        lock(&self.state).open.remove(&self.number);
+        self.report(PromptReport::Ended(self.number));
+        lock(&self.state).pending.remove(&self.number);
     }
 }
 
 impl PlacementClient {
-    /// Sends and hears over this socket from now on.
+    /// Sets the socket for all messages; a second call has no effect.
     pub fn set_socket(&self, socket: Arc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
-            info!("placing has its socket already");
+            info!("the socket for placement messages is already set");
         }
     }
 
-    /// Opens a question to an owner.
-    pub fn ask(
+    /// Registers a query to an owner; the receiver gets the answer.
+    pub fn start_query(
         &self,
         owner: SocketAddr,
     ) -> (TrackedPrompt, oneshot::Receiver<Option<ChosenEngine>>) {
-        let (answers, answer) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let mut state = lock(&self.state);
-        let number = state.number();
-        state.open.insert(number, answers);
-        (self.asked(owner, number), answer)
+        let number = state.next_number();
+        state.pending.insert(number, sender);
+        (self.track(owner, number), receiver)
     }
 
-    /// Tells an owner of a prompt that it did not place.
-    pub fn tell(&self, owner: SocketAddr, flight: &Flight, left: Duration) -> TrackedPrompt {
-        let number = lock(&self.state).number();
-        let asked = self.asked(owner, number);
-        asked.say(PromptReport::Began {
+    /// Reports a prompt to an owner that did not place it.
+    pub fn report_begun(
+        &self,
+        owner: SocketAddr,
+        flight: &Flight,
+        left: Duration,
+    ) -> TrackedPrompt {
+        let number = lock(&self.state).next_number();
+        let tracked = self.track(owner, number);
+        tracked.report(PromptReport::Began {
             number,
             life: flight.life(),
             tokens: flight.tokens(),
             left_ms: clock::ms_told(left),
         });
-        asked
+        tracked
     }
 
-    fn asked(&self, owner: SocketAddr, number: u64) -> TrackedPrompt {
+    fn track(&self, owner: SocketAddr, number: u64) -> TrackedPrompt {
         TrackedPrompt {
             state: Arc::clone(&self.state),
             owner,
@@ -124,49 +129,54 @@
         }
     }
 
-    /// Takes in an answer; one that nobody waits for any more is taken back by the end of its question.
-    pub fn complete_query(&self, number: u64, found: Option<ChosenEngine>) {
-        let waiting = lock(&self.state).open.remove(&number);
-        if let Some(waiting) = waiting
-            && waiting.send(found).is_err()
+    /// Passes an answer to its query.
+    ///
+    /// If nothing waits for it any more, the owner counts the prompt until the report of its end, which the
+    /// query sent when it was dropped.
+    pub fn complete_query(&self, number: u64, chosen: Option<ChosenEngine>) {
+        let sender = lock(&self.state).pending.remove(&number);
+        if let Some(sender) = sender
+            && sender.send(chosen).is_err()
         {
-            tracing::debug!(number, "an owner's answer came too late");
+            tracing::debug!(number, "an owner's answer came after its query had ended");
         }
     }
 
-    /// Whether an owner did not answer lately.
-    pub fn is_silent(&self, owner: SocketAddr, now: Moment) -> bool {
+    /// Whether an owner recently failed to answer.
+    pub fn is_unresponsive(&self, owner: SocketAddr, now: Moment) -> bool {
         lock(&self.state)
-            .silent
+            .unresponsive
             .get(&owner)
             .is_some_and(|until| now < *until)
     }
 
-    /// Asks an owner nothing for a while.
-    pub fn leave(&self, owner: SocketAddr, now: Moment) {
+    /// Stops queries to an owner for [`UNRESPONSIVE_TIME`].
+    pub fn mark_unresponsive(&self, owner: SocketAddr, now: Moment) {
         let mut state = lock(&self.state);
-        state.silent.retain(|_, until| now < *until);
-        state.silent.insert(owner, now + SILENT);
+        state.unresponsive.retain(|_, until| now < *until);
+        state.unresponsive.insert(owner, now + UNRESPONSIVE_TIME);
     }
 
-    /// Words that go out now, in pieces that fit into datagrams.
+    /// Takes all queued reports, split to fit into datagrams.
     pub fn take_reports(&self) -> Vec<(SocketAddr, PlacementMessage)> {
-        let words = std::mem::take(&mut lock(&self.state).words);
-        let each = words.into_iter().flat_map(|(owner, words)| {
-            let pieces = words.chunks(WORDS).map(<[PromptReport]>::to_vec);
-            pieces
-                .map(move |piece| (owner, PlacementMessage::Reports(piece)))
+        let reports = std::mem::take(&mut lock(&self.state).reports);
+        let messages = reports.into_iter().flat_map(|(owner, reports)| {
+            let chunks = reports
+                .chunks(REPORTS_PER_DATAGRAM)
+                .map(<[PromptReport]>::to_vec);
+            chunks
+                .map(move |chunk| (owner, PlacementMessage::Reports(chunk)))
                 .collect::<Vec<_>>()
         });
-        each.collect()
+        messages.collect()
     }
 
-    /// Sends a message, if there is a socket and the link takes it.
-    pub async fn send(&self, say: PlacementMessage, to: SocketAddr) {
+    /// Sends a message if the socket is set; the network may drop it.
+    pub async fn send(&self, message: PlacementMessage, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
-            && let Some(bytes) = peers::placing(say)
+            && let Some(bytes) = peers::placing(message)
         {
-            // Whoever asks waits for an answer and no longer; other words are made up for by time.
+            // A lost query or answer ends in a timeout; the effect of a lost report expires at the owner.
             drop(socket.send_to(&bytes, to).await);
         }
     }
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -1,4 +1,4 @@
-//! What a VM says to the owner of a shard, and hears of it.
+//! Messages between a VM and the owner of a shard.
 
 use crate::clock;
 use crate::fleet::{PromptShape, Selection, Shard};
@@ -12,88 +12,88 @@
 /// A message between a VM and an owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PlacementMessage {
-    /// Where should this prompt go?
-    Ask(Box<Ask>),
-    /// There.
-    Answer(Answer),
-    /// What became of prompts.
+    /// Asks the owner to place a prompt.
+    Ask(Box<PlacementQuery>),
+    /// Answers a query.
+    Answer(PlacementAnswer),
+    /// Reports the progress of prompts.
     #[serde(rename = "Words")]
     Reports(Vec<PromptReport>),
 }
 
 /// A prompt to be placed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Ask {
-    /// Number that the asker gave it.
+pub struct PlacementQuery {
+    /// Number of the prompt, unique among those of the asking VM.
     pub number: u64,
     /// The service.
     pub service: ServiceId,
     /// The model.
     pub model: SmolStr,
-    /// Its shared prefixes, the outermost first.
+    /// Shared prefixes of the prompt, the outermost first.
     pub prefixes: Vec<Prefix>,
-    /// All its tokens.
+    /// Total tokens of the prompt.
     pub tokens: u64,
     /// Upstreams already tried.
     pub tried: Vec<UpstreamId>,
-    /// The asker's failure domain.
+    /// Failure domain of the asking VM.
     pub domain: DomainId,
-    /// How often engines are divided in two, and the number of the shard.
+    /// Base-2 logarithm of the number of shards, and the number of the shard.
     pub shard: (u32, u32),
-    /// Time that the caller waits, in milliseconds.
+    /// Time left before the caller gives up, in milliseconds.
     pub left_ms: u32,
 }
 
-/// The answer to a question.
+/// The answer to a query.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Answer {
-    /// Number that the asker gave.
+pub struct PlacementAnswer {
+    /// Number of the prompt in the query.
     pub number: u64,
-    /// Where the prompt goes, if any engine of the shard takes it.
+    /// The engine for the prompt, if any engine of the shard takes it.
     pub chosen: Option<ChosenEngine>,
 }
 
-/// Where a prompt goes.
+/// The engine that an owner chose for a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChosenEngine {
     /// The engine.
     pub engine: UpstreamId,
-    /// Number of its life.
+    /// Number of the engine's life, the same in all VMs; it changes when the engine restarts.
     pub life: u64,
-    /// Engine that holds the shared prefix, if another.
+    /// Another engine that holds the shared prefix, if there is one.
     pub source: Option<SocketAddr>,
-    /// Whether it uses the store of kept cache that the prompt's home uses.
+    /// Whether the engine uses the same kept-KV store as the prompt's home.
     pub at_store: bool,
-    /// Requests running there.
+    /// Requests running at the engine.
     pub running: u32,
-    /// Prompt tokens that it has not read.
+    /// Prompt tokens that the engine has not prefilled yet.
     pub ahead: u64,
-    /// How many milliseconds ago it last served the whole shared prefix, if the owner knows.
+    /// Milliseconds since the engine last served the whole shared prefix, if known.
     pub served_ms: Option<u32>,
 }
 
-/// What became of a prompt, by the number that its asker gave.
+/// The progress of a prompt, identified by the number that the reporting VM gave it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PromptReport {
-    /// It was placed by the asker itself.
+    /// The reporting VM placed it without the owner.
     Began {
-        /// Its number.
+        /// Number of the prompt.
         number: u64,
         /// Number of the engine's life.
         life: u64,
-        /// Its tokens.
+        /// Total tokens of the prompt.
         tokens: u64,
-        /// Time that the caller waits, in milliseconds.
+        /// Time left before the caller gives up, in milliseconds.
         left_ms: u32,
     },
-    /// Its engine has read it.
+    /// Its engine has prefilled it.
     Read(u64),
-    /// It has ended, or is not sent after all.
+    /// It has ended, or was not sent to the engine at all.
     Ended(u64),
 }
 
-impl Ask {
-    /// A question about the prompt of a selection, if there is one.
+impl PlacementQuery {
+    /// A query for the prompt of a selection; none if the selection has no prompt.
     pub fn new(
         number: u64,
         selection: &Selection<'_>,
@@ -114,7 +114,7 @@
         })
     }
 
-    /// The prompt's shape.
+    /// Model, prefixes and tokens of the prompt.
     pub fn shape(&self) -> PromptShape {
         PromptShape {
             model: self.model.clone(),
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -1,16 +1,16 @@
-//! Has each prompt placed by the entry VM that owns the shard of its home.
+//! Lets the entry VM that owns the shard of a prompt's home place the prompt.
 //!
-//! [`choose`] asks the owner over a datagram and places by what this VM knows if no answer comes within a few
-//! round trips, so an owner that is dead, stands still or is cut off costs a prompt that time once, and this VM
-//! then asks the next in rank for a while. What was placed is taken back or said to be read by words that go out
-//! with the next datagrams ([`Desk`]); the owner forgets by itself what nobody speaks of.
+//! [`choose`] queries the owner with a datagram. If no answer comes within a few round trips, this VM places the
+//! prompt by what it knows itself, and sends its queries to the next VM in rank for a while. So an owner that is
+//! dead, paused or partitioned delays one prompt by that timeout. Reports that a placed prompt was prefilled or
+//! has ended go out with the next datagrams ([`PlacementClient`]); prompts without reports expire at the owner.
 
 mod client;
 mod message;
 mod owner;
 
 pub use client::{PlacementClient, TrackedPrompt};
-pub use message::{Answer, Ask, ChosenEngine, PlacementMessage, PromptReport};
+pub use message::{ChosenEngine, PlacementAnswer, PlacementMessage, PlacementQuery, PromptReport};
 pub use owner::{answer_query, apply_reports};
 
 use crate::clock;
@@ -23,44 +23,46 @@
 use tokio::time::timeout;
 use tracing::info;
 
-/// Longest wait for an owner's answer: some ten times what it takes across failure domains, and a small part of
-/// any objective.
-const ANSWER: Duration = Duration::from_millis(30);
+/// Timeout of a query to an owner: about ten times a round trip across failure domains, and a small part of any
+/// latency objective.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Who places a prompt.
+/// The VM that places a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Owner {
     /// This VM.
-    Me,
-    /// Another one, where it takes datagrams.
-    Other(SocketAddr),
+    Local,
+    /// Another VM, by the address of its datagram socket.
+    Remote(SocketAddr),
 }
 
-/// Chooses an upstream for a request with so much time left, and counts the request there.
+/// Chooses an upstream for a request with this much time left, and counts the request there.
 pub async fn choose(core: &Core, selection: &Selection<'_>, left: Duration) -> Option<Flight> {
-    let Some((shard, owner)) = find(core, selection) else {
+    let Some((shard, owner)) = find_owner(core, selection) else {
         return core.fleet.choose(selection, clock::now());
     };
     let flight = match owner {
-        Owner::Me => {
-            let own = Selection {
+        Owner::Local => {
+            let in_shard = Selection {
                 shard: Some(shard),
                 ..*selection
             };
-            core.fleet.choose(&own, clock::now())
+            core.fleet.choose(&in_shard, clock::now())
         }
-        Owner::Other(addr) => ask(core, selection, shard, addr, left).await,
+        Owner::Remote(addr) => query(core, selection, shard, addr, left).await,
     };
     if flight.is_some() {
         return flight;
     }
     let mut flight = core.fleet.choose(selection, clock::now())?;
-    tell(core, &mut flight, shard.division, left);
+    report_begun(core, &mut flight, shard.division, left);
     Some(flight)
 }
 
-/// The shard of a prompt's home and its owner; none if all VMs know of all prompts, or it is no prompt.
-fn find(core: &Core, selection: &Selection<'_>) -> Option<(Shard, Owner)> {
+/// The shard of a prompt's home and its owner.
+///
+/// None if the request has no prompt, or if there are so few VMs that each announces its prompts to all others.
+fn find_owner(core: &Core, selection: &Selection<'_>) -> Option<(Shard, Owner)> {
     if selection.apart {
         return None;
     }
@@ -74,42 +76,46 @@
     Some((shard, owner))
 }
 
-/// The owner of a shard among VMs that lately answered.
+/// The owner of a shard among the VMs that have not recently failed to answer.
 fn owner(core: &Core, shard: u32, roster: &[(u64, Option<SocketAddr>)]) -> Option<Owner> {
     let now = clock::now();
-    let answers =
-        |addr: &Option<SocketAddr>| addr.is_none_or(|at| !core.placement_client.is_silent(at, now));
-    let sound: Vec<_> = roster.iter().filter(|(_, addr)| answers(addr)).collect();
-    let at = shards::owner(shard, sound.iter().map(|(vm, _)| *vm))?;
-    Some(sound[at].1.map_or(Owner::Me, Owner::Other))
+    let is_responsive = |addr: &Option<SocketAddr>| {
+        addr.is_none_or(|at| !core.placement_client.is_unresponsive(at, now))
+    };
+    let responsive: Vec<_> = roster
+        .iter()
+        .filter(|(_, addr)| is_responsive(addr))
+        .collect();
+    let at = shards::owner(shard, responsive.iter().map(|(vm, _)| *vm))?;
+    Some(responsive[at].1.map_or(Owner::Local, Owner::Remote))
 }
 
-/// Asks an owner; none if it does not answer, knows no engine, or names one that this VM may not use.
-async fn ask(
+/// Queries an owner; none if it does not answer, finds no engine, or names one that this VM may not use.
+async fn query(
     core: &Core,
     selection: &Selection<'_>,
     shard: Shard,
     owner: SocketAddr,
     left: Duration,
 ) -> Option<Flight> {
-    let (asked, answer) = core.placement_client.ask(owner);
-    let ask = Ask::new(asked.number(), selection, shard, left)?;
+    let (tracked, answer) = core.placement_client.start_query(owner);
+    let query = PlacementQuery::new(tracked.number(), selection, shard, left)?;
     core.placement_client
-        .send(PlacementMessage::Ask(Box::new(ask)), owner)
+        .send(PlacementMessage::Ask(Box::new(query)), owner)
         .await;
-    let Ok(Ok(found)) = timeout(ANSWER, answer).await else {
-        core.placement_client.leave(owner, clock::now());
-        info!(event = events::PEER, %owner, shard = shard.number, "the owner of a shard does not answer");
+    let Ok(Ok(chosen)) = timeout(ANSWER_TIMEOUT, answer).await else {
+        core.placement_client.mark_unresponsive(owner, clock::now());
+        info!(event = events::PEER, %owner, shard = shard.number, "shard owner does not answer");
         return None;
     };
-    core.fleet.take(selection, found?, asked, clock::now())
+    core.fleet.take(selection, chosen?, tracked, clock::now())
 }
 
-/// Tells the owner of an engine's shard of a prompt that it did not place.
-fn tell(core: &Core, flight: &mut Flight, division: Division, left: Duration) {
+/// Reports a prompt to the owner of its engine's shard, which did not place it.
+fn report_begun(core: &Core, flight: &mut Flight, division: Division, left: Duration) {
     let shard = division.shard(flight.seed());
-    if let Some(Owner::Other(addr)) = owner(core, shard, &core.peers.roster()) {
-        let asked = core.placement_client.tell(addr, flight, left);
-        flight.share(asked);
+    if let Some(Owner::Remote(addr)) = owner(core, shard, &core.peers.roster()) {
+        let tracked = core.placement_client.report_begun(addr, flight, left);
+        flight.share(tracked);
     }
 }
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -1,6 +1,6 @@
-//! What an owner does: it places prompts for others, and takes in what became of them.
+//! The owner's side: places prompts for other VMs and applies their reports.
 
-use super::message::{Answer, Ask, ChosenEngine, PromptReport};
+use super::message::{ChosenEngine, PlacementAnswer, PlacementQuery, PromptReport};
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Selection, Shard};
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Places a prompt for another VM, and counts it at its engine.
-pub fn answer_query(core: &Core, from: SocketAddr, ask: &Ask) -> Answer {
+/// Places a prompt for another VM and counts it at the chosen engine.
+pub fn answer_query(core: &Core, from: SocketAddr, query: &PlacementQuery) -> PlacementAnswer {
     let chosen = core.catalogue().and_then(|catalogue| {
-        let shape = ask.shape();
-        let (bits, number) = ask.shard;
+        let shape = query.shape();
+        let (bits, number) = query.shard;
         let selection = Selection {
-            service: &ask.service,
-            domain: &ask.domain,
+            service: &query.service,
+            domain: &query.domain,
             stores: catalogue.kv_stores(),
             shape: Some(&shape),
-            tried: &ask.tried,
+            tried: &query.tried,
             spread: 0,
             apart: false,
             shard: Some(Shard {
@@ -27,10 +27,10 @@
                 number,
             }),
         };
-        place(core, from, ask, &selection)
+        place(core, from, query, &selection)
     });
-    Answer {
-        number: ask.number,
+    PlacementAnswer {
+        number: query.number,
         chosen,
     }
 }
@@ -38,14 +38,14 @@
 fn place(
     core: &Core,
     from: SocketAddr,
-    ask: &Ask,
+    query: &PlacementQuery,
     selection: &Selection<'_>,
 ) -> Option<ChosenEngine> {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     let chosen = fleet.choose(selection, now)?;
     let engine = fleet.get(&chosen.id)?;
-    let version = engine.version(&ask.model).unwrap_or_default().0;
+    let version = engine.version(&query.model).unwrap_or_default().0;
     let (life, running, ahead) = (
         engine.life,
         fleet.running(engine, now),
@@ -58,13 +58,13 @@
         .and_then(|inner| fleet.recall.last(inner.hash, life, version));
     let placement = Placement {
         life,
-        tokens: ask.tokens,
+        tokens: query.tokens,
         ahead,
-        left: Duration::from_millis(u64::from(ask.left_ms)),
+        left: Duration::from_millis(u64::from(query.left_ms)),
         prefixes,
         version,
     };
-    fleet.placed.begin((from, ask.number), placement, now);
+    fleet.placed.begin((from, query.number), placement, now);
     Some(ChosenEngine {
         engine: chosen.id,
         life,
@@ -76,12 +76,12 @@
     })
 }
 
-/// Takes in what became of prompts of another VM.
-pub fn apply_reports(core: &Core, from: SocketAddr, words: &[PromptReport]) {
+/// Applies another VM's reports on its prompts.
+pub fn apply_reports(core: &Core, from: SocketAddr, reports: &[PromptReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
-    for word in words {
-        match *word {
+    for report in reports {
+        match *report {
             PromptReport::Began {
                 number,
                 life,
