--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection.
+//! Serves the connection of a caller.
 
 use super::request;
 use crate::catalogue::Limits;
@@ -10,18 +10,18 @@
 use tokio::net::TcpStream;
 use tracing::debug;
 
-/// Bounds before the first document is in force.
-const FIRST_LIMITS: Limits = Limits {
+/// Limits until the first document is in force.
+const DEFAULT_LIMITS: Limits = Limits {
     head: 16 << 10,
     body: 1 << 20,
     head_time: Duration::from_secs(3),
     idle_time: Duration::from_secs(10),
 };
 
-/// Bounds in force now.
+/// Limits of the document in force, or the defaults.
 pub fn limits(core: &Core) -> Limits {
     core.catalogue()
-        .map_or(FIRST_LIMITS, |catalogue| catalogue.limits())
+        .map_or(DEFAULT_LIMITS, |catalogue| catalogue.limits())
 }
 
 impl Terms for Core {
@@ -38,21 +38,21 @@
     }
 }
 
-/// Serves a connection until either end closes it.
+/// Serves a connection until either side closes it.
 pub async fn serve(core: Arc<Core>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!(event = events::BOUND, %error, "connection closed before it was served");
+        debug!(event = events::BOUND, %error, "cannot set TCP_NODELAY; connection closed");
         return;
     }
     let mut phases = core.phases();
-    let closing = super::reached(&mut phases, Phase::Closing);
-    let answer = |request, busy| request::answer(Arc::clone(&core), request, busy);
-    match serving::serve(stream, core.as_ref(), answer, closing).await {
+    let closing = super::wait_for_phase(&mut phases, Phase::Closing);
+    let handle = |request, busy| request::handle(Arc::clone(&core), request, busy);
+    match serving::serve(stream, core.as_ref(), handle, closing).await {
         Ended::Closed(Some(error)) => {
-            debug!(event = events::BOUND, %error, "connection ended early");
+            debug!(event = events::BOUND, %error, "connection closed with an error");
         }
         Ended::Bound(due) => {
-            debug!(event = events::BOUND, bound = ?due, "connection closed");
+            debug!(event = events::BOUND, bound = ?due, "connection closed at a time limit");
         }
         Ended::Closed(None) | Ended::Stopped => {}
     }
--- a/crates/sesamegap-entry/src/intake/mod.rs
+++ b/crates/sesamegap-entry/src/intake/mod.rs
@@ -1,7 +1,7 @@
-//! Takes callers' connections and requests.
+//! Accepts callers' connections and reads their requests.
 //!
-//! poem's server offers neither bounds that change while it runs nor a close between requests, so
-//! this is on hyper's connection interface, the library beneath it.
+//! poem's server supports neither limits that change while it runs nor closing a connection between
+//! requests, so this module uses the connection API of hyper, on which poem is built.
 
 mod connection;
 mod reply;
@@ -17,18 +17,20 @@
 use tokio::time::{Instant, timeout_at};
 use tracing::warn;
 
-/// Pause after a failed accept, which mostly means that descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which mostly means that the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time in which a process that ends still takes the connections that wait at its port; closing it
-/// would reset them, with the requests that their callers have sent. It is the time of all of them:
-/// callers that keep coming would hold the port open, and what is taken late is cut by the kill.
-const LAST_ACCEPT: Duration = Duration::from_millis(20);
+/// How long a stopping process still accepts connections from the listen queue.
+///
+/// Closing the listener would reset these connections and the requests already sent on them. The limit
+/// is for all of them together: otherwise new callers would keep the port open, and requests accepted
+/// late would be cut when the process is killed.
+const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(20);
 
-/// Waits until the process has reached a phase.
-async fn reached(phases: &mut watch::Receiver<Phase>, phase: Phase) {
-    if phases.wait_for(|now| *now >= phase).await.is_err() {
-        // The sender lives as long as the process; without it there is nothing to wait for.
+/// Waits until the process has reached a phase or a later one.
+async fn wait_for_phase(phases: &mut watch::Receiver<Phase>, phase: Phase) {
+    if phases.wait_for(|current| *current >= phase).await.is_err() {
+        // The sender lives as long as the process, so this is not reached in practice.
         std::future::pending::<()>().await;
     }
 }
@@ -43,15 +45,15 @@
                     tokio::spawn(connection::serve(Arc::clone(&core), stream));
                 }
                 Err(error) => {
-                    warn!(event = crate::telemetry::events::BOUND, %error, "accept failed");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    warn!(event = crate::telemetry::events::BOUND, %error, "cannot accept a connection");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
-            () = reached(&mut phases, Phase::Ended) => break,
+            () = wait_for_phase(&mut phases, Phase::Ended) => break,
         }
     }
-    let last = Instant::now() + LAST_ACCEPT;
-    while let Ok(Ok((stream, _))) = timeout_at(last, listener.accept()).await {
+    let deadline = Instant::now() + FINAL_ACCEPT_TIME;
+    while let Ok(Ok((stream, _))) = timeout_at(deadline, listener.accept()).await {
         tokio::spawn(connection::serve(Arc::clone(&core), stream));
     }
 }
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the relay.
+//! Reads and admits a caller's request, and hands it to the relay.
 
 use super::connection::limits;
 use super::reply::{Body, Refusal, refusal_response};
@@ -18,19 +18,20 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tracing::info;
 
-/// Longest time for which a body that is refused is still read, so that its sender gets to see
-/// the answer: closing with unread bytes would reset the connection under it.
+/// How long the body of a refused request is read and discarded.
+///
+/// Closing a connection with unread bytes would reset it, and the caller might not get the response.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// Answers a request; the guard lasts as long as the answer's body.
-pub async fn answer(core: Arc<Core>, request: Request<Incoming>, busy: Busy) -> Response<Body> {
-    let taken = take(&core, request).await;
-    let id = match &taken {
+/// Handles a request; `busy` is held until the response body is dropped.
+pub async fn handle(core: Arc<Core>, request: Request<Incoming>, busy: Busy) -> Response<Body> {
+    let received = receive(&core, request).await;
+    let id = match &received {
         Ok(job) => job.head.id.clone(),
         Err(refused) => refused.id.clone(),
     };
     let active = Active::new(&core.active, id);
-    let mut response = match taken {
+    let mut response = match received {
         Ok(job) => relay::run(&core, job).await,
         Err(refused) => {
             let Refused { refusal, id } = refused;
@@ -41,7 +42,7 @@
                 revision = core.revision().0,
                 status = refusal.status().as_u16(),
                 why = %refusal,
-                "refused"
+                "request refused"
             );
             refusal_response(refusal)
         }
@@ -53,18 +54,18 @@
     response.map(|body| hold(body, (busy, active)))
 }
 
-/// A request refused before it was placed.
+/// A request that was refused before it was placed.
 #[derive(Debug)]
 struct Refused {
     refusal: Refusal,
     id: smol_str::SmolStr,
 }
 
-async fn take(core: &Arc<Core>, request: Request<Incoming>) -> Result<Job, Refused> {
+async fn receive(core: &Arc<Core>, request: Request<Incoming>) -> Result<Job, Refused> {
     let arrived = Instant::now();
-    let (head, body) = request.into_parts();
-    let asked = match core.ports.headers.read_request(&head.headers) {
-        Ok(asked) => asked,
+    let (parts, body) = request.into_parts();
+    let head = match core.ports.headers.read_request(&parts.headers) {
+        Ok(head) => head,
         Err(bad) => {
             drain(body).await;
             return Err(Refused {
@@ -73,33 +74,33 @@
             });
         }
     };
-    let id = asked.id.clone();
+    let id = head.id.clone();
     let refused = |refusal| Refused {
         refusal,
         id: id.clone(),
     };
-    let (catalogue, route, team) = match admit(core, &head, &asked) {
+    let (catalogue, route, team) = match admit(core, &parts, &head) {
         Ok(admitted) => admitted,
         Err(refusal) => {
             drain(body).await;
             return Err(refused(refusal));
         }
     };
-    let patience = asked.patience.unwrap_or(route.timeout);
-    let ends = arrived + patience.min(route.timeout);
-    let body = read(core, body, ends).await.map_err(refused)?;
+    let caller_timeout = head.patience.unwrap_or(route.timeout);
+    let deadline = arrived + caller_timeout.min(route.timeout);
+    let body = read_body(core, body, deadline).await.map_err(refused)?;
     Ok(Job {
-        head: asked,
+        head,
         catalogue,
         route,
         team,
-        method: head.method,
-        uri: head.uri,
-        headers: head.headers,
+        method: parts.method,
+        uri: parts.uri,
+        headers: parts.headers,
         body: body.bytes,
-        room: body.room,
+        room: body.permit,
         arrived,
-        ends,
+        ends: deadline,
         fingerprint: OnceLock::new(),
     })
 }
@@ -108,82 +109,87 @@
 
 fn admit(
     core: &Core,
-    head: &http::request::Parts,
-    asked: &RequestHead,
+    parts: &http::request::Parts,
+    head: &RequestHead,
 ) -> Result<Admitted, Refusal> {
     let catalogue = core.catalogue().ok_or(Refusal::NoDocument)?;
-    let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host
-        .or_else(|| head.uri.host())
+        .or_else(|| parts.uri.host())
         .ok_or(Refusal::BadHead("no host"))?;
     let route = catalogue
-        .route(host, head.uri.path())
-        .map_err(|_| Refusal::Route)?;
-    let key = asked.key.as_deref();
+        .route(host, parts.uri.path())
+        .map_err(|_| Refusal::NoRoute)?;
+    let key = head.key.as_deref();
     let team = key.and_then(|key| catalogue.team(key)).cloned();
-    let needed = catalogue.has_teams() && !route.public;
-    if needed && team.is_none() {
-        return Err(Refusal::Key);
+    let is_key_required = catalogue.has_teams() && !route.public;
+    if is_key_required && team.is_none() {
+        return Err(Refusal::InvalidKey);
     }
     Ok((catalogue, route, team))
 }
 
-struct Read {
+/// A complete body, with the permit for its memory.
+struct ReceivedBody {
     bytes: Bytes,
-    room: Option<tokio::sync::OwnedSemaphorePermit>,
+    permit: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
-async fn read(core: &Arc<Core>, mut body: Incoming, ends: Instant) -> Result<Read, Refusal> {
+async fn read_body(
+    core: &Arc<Core>,
+    mut body: Incoming,
+    deadline: Instant,
+) -> Result<ReceivedBody, Refusal> {
     if body.is_end_stream() {
-        return Ok(Read {
+        return Ok(ReceivedBody {
             bytes: Bytes::new(),
-            room: None,
+            permit: None,
         });
     }
     let limit = limits(core).body;
     let declared = body.size_hint().upper().unwrap_or(0);
     if declared > limit as u64 {
         drain(body).await;
-        return Err(Refusal::BodySize);
+        return Err(Refusal::BodyTooLarge);
     }
     let mut bytes = BytesMut::new();
-    let mut room: Option<tokio::sync::OwnedSemaphorePermit> = None;
+    let mut permit: Option<tokio::sync::OwnedSemaphorePermit> = None;
     loop {
-        let frame = match timeout_at(ends, body.frame()).await {
+        let frame = match timeout_at(deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) => return Err(Refusal::BadHead("body broke off")),
             Ok(None) => break,
-            Err(_) => return Err(Refusal::BodyTime),
+            Err(_) => return Err(Refusal::BodyTimeout),
         };
         let Ok(data) = frame.into_data() else {
             continue;
         };
         if bytes.len() + data.len() > limit {
             drain(body).await;
-            return Err(Refusal::BodySize);
+            return Err(Refusal::BodyTooLarge);
         }
         let kib = u32::try_from(data.len().div_ceil(1024)).unwrap_or(u32::MAX);
         let Ok(more) = Arc::clone(&core.bodies).try_acquire_many_owned(kib) else {
             drain(body).await;
-            return Err(Refusal::Memory);
+            return Err(Refusal::OutOfMemory);
         };
-        match &mut room {
-            Some(room) => room.merge(more),
-            None => room = Some(more),
+        match &mut permit {
+            Some(permit) => permit.merge(more),
+            None => permit = Some(more),
         }
         bytes.extend_from_slice(&data);
     }
-    Ok(Read {
+    Ok(ReceivedBody {
         bytes: bytes.freeze(),
-        room,
+        permit,
     })
 }
 
-/// Reads what is left of a body that nobody needs, for a while.
+/// Reads and discards the rest of a body, for at most [`DRAIN_TIME`].
 async fn drain(mut body: Incoming) {
     let read = timeout(DRAIN_TIME, async {
         while let Some(Ok(_)) = body.frame().await {}
     });
-    // Whoever sends longer than that finds the connection closed.
+    // A caller that sends for longer gets its connection closed.
     drop(read.await);
 }
