--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -163,7 +163,7 @@
     let ids = core.active.ids();
     if !ids.is_empty() {
         let named = &ids[..ids.len().min(NAMED)];
-        warn!(event = events::CUT, active = ids.len(), requests = ?named, "stopped with requests in flight");
+        warn!(event = events::REQUESTS_CUT, active = ids.len(), requests = ?named, "stopped with requests in flight");
     }
     info!(
         event = events::STOPPED,
--- a/crates/sesamegap-entry/src/telemetry/events.rs
+++ b/crates/sesamegap-entry/src/telemetry/events.rs
@@ -9,7 +9,7 @@
 /// A process is ready for callers.
 pub const READY: u16 = 703;
 /// A process gave up waiting for requests in flight.
-pub const CUT: u16 = 704;
+pub const REQUESTS_CUT: u16 = 704;
 /// The settings file changed or could not be read again.
 pub const RELOADED: u16 = 705;
 /// A document came into force.
