--- a/crates/sesamegap-entry/src/relay/request_log.rs
+++ b/crates/sesamegap-entry/src/relay/request_log.rs
@@ -76,7 +76,7 @@
         let took = clock::ms(span);
         let Some(status) = self.status else {
             info!(
-                event = events::LEFT,
+                event = events::CALLER_LEFT,
                 request = %self.id,
                 route = %self.route,
                 took_ms = took,
--- a/crates/sesamegap-entry/src/telemetry/events.rs
+++ b/crates/sesamegap-entry/src/telemetry/events.rs
@@ -51,7 +51,7 @@
 /// A request ended.
 pub const ENDED: u16 = 753;
 /// A caller left before its answer ended.
-pub const LEFT: u16 = 754;
+pub const CALLER_LEFT: u16 = 754;
 /// A caller's connection broke a bound.
 pub const BOUND: u16 = 755;
 /// A connection to an upstream broke under a request; the line says whether its process is gone.
