--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -41,7 +41,7 @@
 /// Serves a connection until either side closes it.
 pub async fn serve(core: Arc<Core>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!(event = events::BOUND, %error, "cannot set TCP_NODELAY; connection closed");
+        debug!(event = events::CALLER_CONNECTION, %error, "cannot set TCP_NODELAY; connection closed");
         return;
     }
     let mut phases = core.phases();
@@ -49,10 +49,10 @@
     let handle = |request, busy| request::handle(Arc::clone(&core), request, busy);
     match serving::serve(stream, core.as_ref(), handle, closing).await {
         Ended::Closed(Some(error)) => {
-            debug!(event = events::BOUND, %error, "connection closed with an error");
+            debug!(event = events::CALLER_CONNECTION, %error, "connection closed with an error");
         }
         Ended::Bound(due) => {
-            debug!(event = events::BOUND, bound = ?due, "connection closed at a time limit");
+            debug!(event = events::CALLER_CONNECTION, bound = ?due, "connection closed at a time limit");
         }
         Ended::Closed(None) | Ended::Stopped => {}
     }
--- a/crates/sesamegap-entry/src/intake/mod.rs
+++ b/crates/sesamegap-entry/src/intake/mod.rs
@@ -45,7 +45,7 @@
                     tokio::spawn(connection::serve(Arc::clone(&core), stream));
                 }
                 Err(error) => {
-                    warn!(event = crate::telemetry::events::BOUND, %error, "cannot accept a connection");
+                    warn!(event = crate::telemetry::events::CALLER_CONNECTION, %error, "cannot accept a connection");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -125,7 +125,7 @@
     let acceptor = TcpAcceptor::from_tokio(bind(addr).await?)?;
     tokio::spawn(async move {
         if let Err(error) = Server::new_with_acceptor(acceptor).run(endpoint).await {
-            warn!(event = events::BOUND, %addr, %error, "a server ended");
+            warn!(event = events::CALLER_CONNECTION, %addr, %error, "a server ended");
         }
     });
     Ok(())
--- a/crates/sesamegap-entry/src/telemetry/events.rs
+++ b/crates/sesamegap-entry/src/telemetry/events.rs
@@ -53,7 +53,7 @@
 /// A caller left before its answer ended.
 pub const CALLER_LEFT: u16 = 754;
 /// A caller's connection broke a bound.
-pub const BOUND: u16 = 755;
+pub const CALLER_CONNECTION: u16 = 755;
 /// A connection to an upstream broke under a request; the line says whether its process is gone.
 pub const BROKEN: u16 = 756;
 /// The standing of a request changed: it is a suspect, quarantined, or clear again.
