--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -86,7 +86,7 @@
         let life = loss.crash.life;
         let process = core.quarantine.probes.probe(life, self.addr).await;
         info!(
-            event = events::BROKEN,
+            event = events::UPSTREAM_CONNECTION,
             request = %self.request,
             fingerprint = %loss.request,
             upstream = %loss.upstream,
--- a/crates/sesamegap-entry/src/telemetry/events.rs
+++ b/crates/sesamegap-entry/src/telemetry/events.rs
@@ -55,7 +55,7 @@
 /// A caller's connection broke a bound.
 pub const CALLER_CONNECTION: u16 = 755;
 /// A connection to an upstream broke under a request; the line says whether its process is gone.
-pub const BROKEN: u16 = 756;
+pub const UPSTREAM_CONNECTION: u16 = 756;
 /// The standing of a request changed: it is a suspect, quarantined, or clear again.
 pub const QUARANTINE: u16 = 757;
 /// A request under which upstreams ended was let through, on trial or freely, or refused.
