--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -141,11 +141,11 @@
                 since = if restarted { 0 } else { news.next };
                 born = news.born;
                 if restarted {
-                    info!(event = events::KEPT, store = %store, born = born.map(|Incarnation(born)| born), "the store of kept cache started again");
+                    info!(event = events::KV_STORE, store = %store, born = born.map(|Incarnation(born)| born), "the store of kept cache started again");
                 }
                 if !answers {
                     answers = true;
-                    info!(event = events::KEPT, store = %store, "the store of kept cache answers again");
+                    info!(event = events::KV_STORE, store = %store, "the store of kept cache answers again");
                 }
                 // News comes many times a second at full load, and says nothing but that it lives.
                 sleep(RETRY).await;
@@ -153,7 +153,7 @@
             Err(error) => {
                 if answers {
                     answers = false;
-                    warn!(event = events::KEPT, store = %store, error, "the store of kept cache does not answer");
+                    warn!(event = events::KV_STORE, store = %store, error, "the store of kept cache does not answer");
                 }
                 core.fleet.lock().kept.leave(store, clock::now());
                 tell_of_store(&core, store);
--- a/crates/sesamegap-entry/src/telemetry/events.rs
+++ b/crates/sesamegap-entry/src/telemetry/events.rs
@@ -37,7 +37,7 @@
 /// The belief about a peer changed.
 pub const PEER: u16 = 730;
 /// A store of kept cache stopped answering, or answers again.
-pub const KEPT: u16 = 731;
+pub const KV_STORE: u16 = 731;
 /// A lease was taken, kept or lost.
 pub const LEASE: u16 = 740;
 /// An engine was ordered to load weights.
