--- a/crates/sesamegap-entry/src/telemetry/events.rs
+++ b/crates/sesamegap-entry/src/telemetry/events.rs
@@ -1,16 +1,16 @@
-//! Numbers of the log lines; `docs/events.md` lists them.
+//! Event numbers of log lines, listed in `docs/events.md`.
 
-/// A process serves.
+/// A process has started and listens for callers.
 pub const STARTED: u16 = 700;
-/// A process was told to stop.
+/// A process was asked to stop.
 pub const STOPPING: u16 = 701;
-/// A process ended its last request and stops.
+/// A process stops; its requests have ended or were cut.
 pub const STOPPED: u16 = 702;
 /// A process is ready for callers.
 pub const READY: u16 = 703;
-/// A process gave up waiting for requests in flight.
+/// A process stops with requests still in flight, which are cut.
 pub const REQUESTS_CUT: u16 = 704;
-/// The settings file changed or could not be read again.
+/// The settings file was read again after a change, or could not be read.
 pub const RELOADED: u16 = 705;
 /// A document came into force.
 pub const DOCUMENT: u16 = 710;
@@ -18,27 +18,27 @@
 pub const WEIGHTS: u16 = 711;
 /// A record cannot be read and names nothing to use; logged once for each key and reason.
 pub const UNREADABLE: u16 = 712;
-/// The belief about an upstream changed: by the list, by a peer's word, or by its own answer.
+/// The view of an upstream changed: by its record, a peer's report, its own answer, or time.
 pub const UPSTREAM: u16 = 713;
-/// A word about an upstream was older than what is known, and was discarded.
+/// A record or report on an upstream was older than what is known, and was discarded.
 pub const DISCARDED: u16 = 714;
 /// The store stopped answering.
 pub const STORE_LOST: u16 = 720;
 /// The store answers again.
 pub const STORE_BACK: u16 = 721;
-/// The store dropped records that were not read yet.
+/// The store dropped records before they were read.
 pub const COMPACTED: u16 = 722;
 /// The store was restored from a copy and is on a newer timeline.
 pub const RESTORED: u16 = 723;
 /// A table was read again after the store was restored.
 pub const REBUILT: u16 = 724;
-/// An answer of the store is of a former timeline, or of none.
+/// An answer of the store is from an earlier timeline, or states none.
 pub const OFF_TIMELINE: u16 = 725;
-/// The belief about a peer changed.
+/// The view of a peer changed, or a message from or to a peer failed.
 pub const PEER: u16 = 730;
-/// A store of kept cache stopped answering, or answers again.
+/// A kept-KV store stopped answering, or answers again.
 pub const KV_STORE: u16 = 731;
-/// A lease was taken, kept or lost.
+/// A lease was acquired, renewed or lost.
 pub const LEASE: u16 = 740;
 /// An engine was ordered to load weights.
 pub const ORDER: u16 = 741;
@@ -50,13 +50,13 @@
 pub const ATTEMPT: u16 = 752;
 /// A request ended.
 pub const ENDED: u16 = 753;
-/// A caller left before its answer ended.
+/// A caller disconnected before its answer ended.
 pub const CALLER_LEFT: u16 = 754;
-/// A caller's connection broke a bound.
+/// A connection could not be accepted, failed, or was closed at a time limit.
 pub const CALLER_CONNECTION: u16 = 755;
-/// A connection to an upstream broke under a request; the line says whether its process is gone.
+/// A connection to an upstream broke during a request; the line says whether its process is gone.
 pub const UPSTREAM_CONNECTION: u16 = 756;
-/// The standing of a request changed: it is a suspect, quarantined, or clear again.
+/// The quarantine state of a request changed: it is a suspect, quarantined, or clear again.
 pub const QUARANTINE: u16 = 757;
-/// A request under which upstreams ended was let through, on trial or freely, or refused.
+/// A request that had crashed upstreams was admitted, on trial or freely, or refused.
 pub const ADMISSION: u16 = 758;
