--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -1,8 +1,8 @@
-//! Starts a process, and stops it without cutting a request.
+//! Starts the process, and stops it without cutting requests.
 
 pub mod stopping;
 
-use self::stopping::Times;
+use self::stopping::StopDeadlines;
 use crate::core::{Core, Phase};
 use crate::follow;
 use crate::intake;
@@ -25,23 +25,23 @@
 use tokio::time::{Instant, sleep};
 use tracing::{info, warn};
 
-/// How often the settings file is read again: it may change without a signal.
-const REREAD: Duration = Duration::from_secs(10);
+/// Interval of reading the settings file again, as it may change without a SIGHUP.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time without a request after which a process that leaves has nothing to wait for.
-const QUIET: Duration = Duration::from_millis(1_500);
+/// Time without requests after which a stopping process no longer accepts connections.
+const QUIET_TIME: Duration = Duration::from_millis(1_500);
 
-/// Requests named in the line about those that were cut.
-const NAMED: usize = 8;
+/// Maximum number of cut requests whose ids are logged.
+const MAX_LOGGED_IDS: usize = 8;
 
-/// How often a stopping process looks at what it waits for.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping process checks for active requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the platform asks a process, served by its adapter.
+/// Endpoints for the platform, implemented by its adapter.
 pub struct PlatformEndpoints {
     /// Readiness checks.
     pub ready: BoxEndpoint<'static>,
-    /// Callers that ask which address to use.
+    /// Queries of callers for addresses of entry VMs.
     pub locator: BoxEndpoint<'static>,
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-/// Runs a process until it is told to stop.
+/// Runs the process until it receives SIGTERM.
 ///
 /// # Errors
-/// If it cannot listen.
+/// If a socket cannot be bound or a signal handler cannot be installed.
 pub async fn run(
     core: Arc<Core>,
-    doors: PlatformEndpoints,
+    endpoints: PlatformEndpoints,
     reload: &Reload<'_>,
 ) -> anyhow::Result<()> {
     let listen = core.settings().listen;
     let callers = bind(listen.callers).await?;
-    serve(listen.ready, doors.ready).await?;
-    serve(listen.locator, doors.locator).await?;
+    serve(listen.ready, endpoints.ready).await?;
+    serve(listen.locator, endpoints.locator).await?;
     let peers = peers::endpoints(Arc::clone(&core)).into_endpoint();
     serve(listen.peers, peers).await?;
     let operators = telemetry::endpoints::endpoints(Arc::clone(&core)).into_endpoint();
@@ -79,7 +79,7 @@
     tokio::spawn(intake::serve(Arc::clone(&core), callers));
     tokio::spawn(kept::watch(Arc::clone(&core)));
     tokio::spawn(quarantine::sync(Arc::clone(&core)));
-    until_told(&core, reload).await?;
+    wait_for_stop(&core, reload).await?;
     stop(&core).await;
     Ok(())
 }
@@ -87,25 +87,25 @@
 /// Reads the settings file again.
 pub type Reload<'a> = dyn Fn() -> anyhow::Result<Settings> + Send + Sync + 'a;
 
-/// Waits until the process is told to stop; takes changed settings meanwhile.
-async fn until_told(core: &Core, reload: &Reload<'_>) -> anyhow::Result<()> {
-    let mut stops = signal(SignalKind::terminate()).context("cannot wait for SIGTERM")?;
-    let mut changes = signal(SignalKind::hangup()).context("cannot wait for SIGHUP")?;
+/// Waits for SIGTERM, and applies changed settings meanwhile.
+async fn wait_for_stop(core: &Core, reload: &Reload<'_>) -> anyhow::Result<()> {
+    let mut terminate = signal(SignalKind::terminate()).context("cannot wait for SIGTERM")?;
+    let mut hangup = signal(SignalKind::hangup()).context("cannot wait for SIGHUP")?;
     loop {
         tokio::select! {
-            _ = stops.recv() => return Ok(()),
-            _ = changes.recv() => {}
-            () = sleep(REREAD) => {}
+            _ = terminate.recv() => return Ok(()),
+            _ = hangup.recv() => {}
+            () = sleep(RELOAD_INTERVAL) => {}
         }
         match reload() {
             Ok(settings) if settings == *core.settings() => {}
             Ok(settings) => core.reload(settings),
             Err(error) => {
-                // What was read before stays in use.
+                // The previous settings stay in force.
                 warn!(
                     event = events::RELOADED,
                     error = format!("{error:#}"),
-                    "settings file not read"
+                    "cannot read the settings file; keeping the previous settings"
                 );
             }
         }
@@ -125,49 +125,55 @@
     let acceptor = TcpAcceptor::from_tokio(bind(addr).await?)?;
     tokio::spawn(async move {
         if let Err(error) = Server::new_with_acceptor(acceptor).run(endpoint).await {
-            warn!(event = events::CALLER_CONNECTION, %addr, %error, "a server ended");
+            warn!(event = events::CALLER_CONNECTION, %addr, %error, "HTTP server failed");
         }
     });
     Ok(())
 }
 
-/// Ends all requests, as far as the platform gives time for.
+/// Lets requests complete for as long as the grace period lasts.
 async fn stop(core: &Core) {
-    let told = Instant::now();
+    let stop_requested = Instant::now();
     let grace = core.settings().spans.grace;
-    let times = Times::of(grace);
+    let deadlines = StopDeadlines::new(grace);
     info!(
         event = events::STOPPING,
         active = core.active(),
         grace_s = grace.as_secs_f64(),
-        "told to stop"
+        "asked to stop"
     );
     core.enter(Phase::Leaving);
     core.peers.leave();
     peers::tell_all(core).await;
-    sleep(times.lingers.saturating_sub(told.elapsed())).await;
+    sleep(
+        deadlines
+            .close_idle
+            .saturating_sub(stop_requested.elapsed()),
+    )
+    .await;
     core.enter(Phase::Closing);
-    let mut busy = Instant::now();
-    while told.elapsed() < times.accepts && busy.elapsed() < QUIET {
+    let mut last_active = Instant::now();
+    while stop_requested.elapsed() < deadlines.stop_accepting && last_active.elapsed() < QUIET_TIME
+    {
         if core.active() > 0 {
-            busy = Instant::now();
+            last_active = Instant::now();
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     core.enter(Phase::Ended);
-    // What was accepted last is read only now, and counts as active from then on.
-    sleep(LOOK).await;
-    while core.active() > 0 && told.elapsed() < times.ends {
-        sleep(LOOK).await;
+    // Requests on the last accepted connections are read and counted as active only now.
+    sleep(POLL_INTERVAL).await;
+    while core.active() > 0 && stop_requested.elapsed() < deadlines.exit {
+        sleep(POLL_INTERVAL).await;
     }
     let ids = core.active.ids();
     if !ids.is_empty() {
-        let named = &ids[..ids.len().min(NAMED)];
-        warn!(event = events::REQUESTS_CUT, active = ids.len(), requests = ?named, "stopped with requests in flight");
+        let logged = &ids[..ids.len().min(MAX_LOGGED_IDS)];
+        warn!(event = events::REQUESTS_CUT, active = ids.len(), requests = ?logged, "stopped with requests in flight");
     }
     info!(
         event = events::STOPPED,
-        took_ms = crate::clock::ms(told.elapsed()),
+        took_ms = crate::clock::ms(stop_requested.elapsed()),
         "stopped"
     );
 }
--- a/crates/sesamegap-entry/src/process/stopping.rs
+++ b/crates/sesamegap-entry/src/process/stopping.rs
@@ -1,39 +1,43 @@
-//! When a process that was told to stop does what.
+//! Deadlines of a process that was asked to stop.
 //!
 //! Load: VMs are stopped in turn under full traffic, with streams of several seconds. Harm
-//! prevented: streams cut by the kill, and callers turned away that did as they were told.
+//! prevented: streams cut by SIGKILL, and connections refused to callers that still use an address
+//! which the locator gave them.
 
 use std::time::Duration;
 
-/// How long idle connections are kept, in percent of the grace: callers that asked just before the
-/// VM said that it leaves come within it.
-const LINGERS: u32 = 15;
+/// How long idle connections stay open, in percent of the grace period.
+///
+/// Callers that got the address just before the VM announced that it leaves connect within this time.
+const IDLE_PERCENT: u32 = 15;
 
-/// How long connections are taken, in percent of the grace: longer than callers keep an address,
-/// and short enough that a stream of five seconds still ends.
-const ACCEPTS: u32 = 33;
+/// How long connections are accepted, in percent of the grace period.
+///
+/// This is longer than callers keep an address, and short enough for a stream of five seconds to
+/// complete afterwards.
+const ACCEPT_PERCENT: u32 = 33;
 
-/// Time kept back for the exit itself.
-const EXIT: Duration = Duration::from_millis(300);
+/// Part of the grace period reserved for the exit itself.
+const EXIT_TIME: Duration = Duration::from_millis(300);
 
-/// Spans from being told to stop.
+/// Deadlines, as time since the process was asked to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
-    /// Until then idle connections are kept.
-    pub lingers: Duration,
-    /// Until then connections are taken.
-    pub accepts: Duration,
-    /// Then the process exits, whatever is in flight.
-    pub ends: Duration,
+pub struct StopDeadlines {
+    /// Idle connections stay open until then.
+    pub close_idle: Duration,
+    /// Connections are accepted until then.
+    pub stop_accepting: Duration,
+    /// The process exits then, even with requests in flight.
+    pub exit: Duration,
 }
 
-impl Times {
-    /// The spans within the time that the platform gives.
-    pub fn of(grace: Duration) -> Self {
+impl StopDeadlines {
+    /// The deadlines for the time between SIGTERM and SIGKILL.
+    pub fn new(grace: Duration) -> Self {
         Self {
-            lingers: grace * LINGERS / 100,
-            accepts: grace * ACCEPTS / 100,
-            ends: grace.saturating_sub(EXIT),
+            close_idle: grace * IDLE_PERCENT / 100,
+            stop_accepting: grace * ACCEPT_PERCENT / 100,
+            exit: grace.saturating_sub(EXIT_TIME),
         }
     }
 }
--- a/crates/sesamegap-entry/tests/testsuite/stopping.rs
+++ b/crates/sesamegap-entry/tests/testsuite/stopping.rs
@@ -1,22 +1,25 @@
-use sesamegap_entry::process::stopping::Times;
+use sesamegap_entry::process::stopping::StopDeadlines;
 use std::time::Duration;
 
-/// A chat comes to a VM that was told to stop, just before that closes its door, and its answer
-/// takes five seconds. It would be cut by the kill, half read.
+/// Guards against a stream of five seconds that is cut by SIGKILL, since the stopping VM accepted its
+/// connection too late.
 #[test]
 fn the_last_request_taken_has_time_to_end() {
     let grace = Duration::from_secs(8);
-    let times = Times::of(grace);
+    let deadlines = StopDeadlines::new(grace);
     let longest = Duration::from_secs(5);
-    assert!(times.accepts + longest <= times.ends, "{times:?}");
-    assert!(times.ends < grace);
+    assert!(
+        deadlines.stop_accepting + longest <= deadlines.exit,
+        "{deadlines:?}"
+    );
+    assert!(deadlines.exit < grace);
 }
 
-/// Callers keep an address for two seconds after they asked. A door that closes before would turn
-/// them away although they did as told.
+/// Guards against a stopping VM that refuses callers which got its address from the locator: callers
+/// keep an address for two seconds.
 #[test]
-fn callers_that_just_asked_are_still_taken() {
-    let times = Times::of(Duration::from_secs(8));
-    assert!(times.accepts >= Duration::from_secs(2));
-    assert!(times.lingers < times.accepts);
+fn callers_with_a_fresh_address_are_still_accepted() {
+    let deadlines = StopDeadlines::new(Duration::from_secs(8));
+    assert!(deadlines.stop_accepting >= Duration::from_secs(2));
+    assert!(deadlines.close_idle < deadlines.stop_accepting);
 }
