--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -35,7 +35,7 @@
         Ok(job) => relay::run(&core, job).await,
         Err(refused) => {
             let Refused { refusal, id } = refused;
-            core.metrics.refused(refusal.status().as_u16());
+            core.metrics.count_refusal(refusal.status().as_u16());
             info!(
                 event = events::REFUSED,
                 request = %id,
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -1,6 +1,6 @@
-//! Metrics and a dump of state, for operators on the VM's own network.
+//! HTTP endpoints for operators on the VM's own network: metrics, a dump of state, and quarantine.
 
-use super::metrics::Levels;
+use super::metrics::GaugeValues;
 use crate::clock;
 use crate::core::Core;
 use poem::http::StatusCode;
@@ -25,8 +25,8 @@
 
 #[handler]
 fn metrics(Data(core): Data<&Arc<Core>>) -> poem::Result<String> {
-    let (suspects, quarantined) = held(core);
-    let levels = Levels {
+    let (suspects, quarantined) = count_restricted(core);
+    let values = GaugeValues {
         suspects,
         quarantined,
         active: core.active(),
@@ -36,27 +36,27 @@
         peers: core.peers.known().alive.len(),
         dropped: core.logging.dropped(),
     };
-    core.metrics.text(levels).map_err(|error| {
+    core.metrics.text(values).map_err(|error| {
         poem::Error::from_string(error.to_string(), StatusCode::INTERNAL_SERVER_ERROR)
     })
 }
 
-/// Suspect and quarantined requests.
-fn held(core: &Core) -> (usize, usize) {
+/// Numbers of suspect and of quarantined requests.
+fn count_restricted(core: &Core) -> (usize, usize) {
     let unix_ms = clock::unix_ms();
     let registry = core.quarantine.registry();
-    let told = registry.published(unix_ms);
-    let standings: Vec<Standing> = told.map(|record| record.standing(unix_ms)).collect();
-    let count = |wanted| {
+    let records = registry.published(unix_ms);
+    let standings: Vec<Standing> = records.map(|record| record.standing(unix_ms)).collect();
+    let count = |expected| {
         standings
             .iter()
-            .filter(|standing| **standing == wanted)
+            .filter(|standing| **standing == expected)
             .count()
     };
     (count(Standing::Suspect), count(Standing::Quarantined))
 }
 
-/// What a process believes, without keys, prompts or teams.
+/// State of the process, without keys, prompts or teams.
 #[derive(Debug, Serialize)]
 struct Dump {
     vm: SmolStr,
@@ -64,7 +64,7 @@
     revision: u64,
     active: usize,
     upstreams: Vec<UpstreamDump>,
-    /// Requests under which upstreams ended.
+    /// Requests that crashed upstreams.
     quarantine: Vec<RequestDump>,
     peers: Vec<SocketAddr>,
     doubted: Vec<SocketAddr>,
@@ -84,39 +84,40 @@
     weights: Vec<(SmolStr, u32)>,
 }
 
-/// A request under which upstreams ended.
+/// A request that crashed upstreams.
 #[derive(Debug, Serialize)]
 struct RequestDump {
     fingerprint: Fingerprint,
     standing: SmolStr,
-    /// Upstreams that ended under it.
+    /// Upstreams that crashed while they ran it.
     ended: usize,
-    /// Of these, in trials.
+    /// Trials that ended in a crash.
     trials: usize,
-    /// When it last lost one, in Unix milliseconds.
+    /// Time of its last crash, in Unix milliseconds.
     lost_ms: u64,
-    /// Times that it was cleared.
+    /// Number of times that it was cleared.
     cleared: u32,
 }
 
-fn requests(core: &Core) -> Vec<RequestDump> {
+fn request_dumps(core: &Core) -> Vec<RequestDump> {
     let unix_ms = clock::unix_ms();
     let registry = core.quarantine.registry();
-    let told = registry.published(unix_ms);
-    told.map(|record| RequestDump {
-        fingerprint: record.fingerprint,
-        standing: smol_str::format_smolstr!("{:?}", record.standing(unix_ms)),
-        ended: record.crashes.len(),
-        trials: record.failed_trials(),
-        lost_ms: record.lost_ms,
-        cleared: record.epoch,
-    })
-    .collect()
+    let records = registry.published(unix_ms);
+    records
+        .map(|record| RequestDump {
+            fingerprint: record.fingerprint,
+            standing: smol_str::format_smolstr!("{:?}", record.standing(unix_ms)),
+            ended: record.crashes.len(),
+            trials: record.failed_trials(),
+            lost_ms: record.lost_ms,
+            cleared: record.epoch,
+        })
+        .collect()
 }
 
 #[handler]
 fn quarantine(Data(core): Data<&Arc<Core>>) -> Json<Vec<RequestDump>> {
-    Json(requests(core))
+    Json(request_dumps(core))
 }
 
 #[handler]
@@ -159,7 +160,7 @@
         revision: core.revision().0,
         active: core.active(),
         upstreams: upstreams.collect(),
-        quarantine: requests(core),
+        quarantine: request_dumps(core),
         peers: known.alive,
         doubted: known.doubted,
     })
--- a/crates/sesamegap-entry/src/telemetry/metrics.rs
+++ b/crates/sesamegap-entry/src/telemetry/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and latency histograms, in the text form of Prometheus.
+//! Counters, gauges and latency histograms, in the text format of Prometheus.
 //!
-//! Labels are bounded: a kind of route, an outcome, a status class. Nothing of a request's content,
-//! key or team is in them. `docs/OPERATIONS.md` lists names and units.
+//! Labels have few values: a kind of route, an outcome, a status class. They hold nothing of a request's
+//! content, key or team. `docs/OPERATIONS.md` lists names and units.
 
 use crate::catalogue::Kind;
 use opentelemetry::KeyValue;
@@ -10,27 +10,27 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use std::time::Duration;
 
-/// Bounds of the latency histograms in seconds, closest around the usual objectives.
-const SECONDS: &[f64] = &[
+/// Bucket bounds of the latency histograms in seconds, densest around the usual objectives.
+const LATENCY_BUCKETS: &[f64] = &[
     0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 4.0, 6.0, 15.0,
 ];
 
-/// Figures read when metrics are asked for.
+/// Values of the gauges, read for each scrape.
 #[derive(Debug, Clone, Copy)]
-pub struct Levels {
-    /// Requests being worked on.
+pub struct GaugeValues {
+    /// Requests in flight.
     pub active: usize,
     /// Revision of the document in force.
     pub revision: u64,
-    /// Timeline of the store.
+    /// Current timeline of the store.
     pub timeline: u64,
-    /// Upstreams known.
+    /// Known upstreams.
     pub upstreams: usize,
     /// Peers that answer.
     pub peers: usize,
-    /// Requests that run on trial only.
+    /// Suspect requests, which run only on trial.
     pub suspects: usize,
-    /// Requests that are refused since upstreams end under them.
+    /// Quarantined requests, which are refused since they crash upstreams.
     pub quarantined: usize,
     /// Log lines dropped since the start.
     pub dropped: usize,
@@ -44,16 +44,16 @@
     requests: Counter<u64>,
     attempts: Counter<u64>,
     refusals: Counter<u64>,
-    took: Histogram<f64>,
-    first: Histogram<f64>,
-    levels: Gauge<u64>,
+    request_time: Histogram<f64>,
+    first_event_time: Histogram<f64>,
+    gauges: Gauge<u64>,
 }
 
 impl Metrics {
-    /// Sets up all metrics.
+    /// Registers all metrics.
     ///
     /// # Errors
-    /// If the exporter cannot be set up.
+    /// If the exporter cannot be built.
     pub fn new() -> anyhow::Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -61,12 +61,12 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("sesamegap");
-        let seconds = |name: &'static str, about: &'static str| {
+        let latency = |name: &'static str, description: &'static str| {
             meter
                 .f64_histogram(name)
-                .with_description(about)
+                .with_description(description)
                 .with_unit("s")
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS.to_vec())
                 .build()
         };
         Ok(Self {
@@ -82,12 +82,12 @@
                 .u64_counter("sesamegap_refusals")
                 .with_description("Requests refused before they were placed, by status")
                 .build(),
-            took: seconds("sesamegap_request", "Time from a request's head to its end"),
-            first: seconds(
+            request_time: latency("sesamegap_request", "Time from a request's head to its end"),
+            first_event_time: latency(
                 "sesamegap_first_event",
                 "Time to the first event of a stream",
             ),
-            levels: meter
+            gauges: meter
                 .u64_gauge("sesamegap_level")
                 .with_description("Present figures, by name")
                 .build(),
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Counts a request that ended; no status if its caller left.
+    /// Counts a completed request; `status` is unset if its caller disconnected.
     pub fn record_request(
         &self,
         kind: Kind,
@@ -111,19 +111,19 @@
         };
         let labels = [kind.clone(), KeyValue::new("status", class)];
         self.requests.add(1, &labels);
-        self.took.record(took.as_secs_f64(), &labels);
+        self.request_time.record(took.as_secs_f64(), &labels);
         if let Some(first) = first {
-            self.first.record(first.as_secs_f64(), &[kind]);
+            self.first_event_time.record(first.as_secs_f64(), &[kind]);
         }
     }
 
-    /// Counts an attempt that brought no answer.
+    /// Counts an attempt without an answer.
     pub fn count_failed_attempt(&self, reason: &'static str) {
         self.attempts.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a request refused before it was placed.
-    pub fn refused(&self, status: u16) {
+    /// Counts a request that was refused before it was placed.
+    pub fn count_refusal(&self, status: u16) {
         let status = KeyValue::new("status", i64::from(status));
         self.refusals.add(1, &[status]);
     }
@@ -131,20 +131,20 @@
     /// All metrics as text.
     ///
     /// # Errors
-    /// If they cannot be written.
-    pub fn text(&self, levels: Levels) -> anyhow::Result<String> {
-        let figures = [
-            ("active", levels.active as u64),
-            ("revision", levels.revision),
-            ("timeline", levels.timeline),
-            ("upstreams", levels.upstreams as u64),
-            ("peers", levels.peers as u64),
-            ("suspect_requests", levels.suspects as u64),
-            ("quarantined_requests", levels.quarantined as u64),
-            ("log_lines_dropped", levels.dropped as u64),
+    /// If they cannot be encoded.
+    pub fn text(&self, values: GaugeValues) -> anyhow::Result<String> {
+        let gauges = [
+            ("active", values.active as u64),
+            ("revision", values.revision),
+            ("timeline", values.timeline),
+            ("upstreams", values.upstreams as u64),
+            ("peers", values.peers as u64),
+            ("suspect_requests", values.suspects as u64),
+            ("quarantined_requests", values.quarantined as u64),
+            ("log_lines_dropped", values.dropped as u64),
         ];
-        for (name, figure) in figures {
-            self.levels.record(figure, &[KeyValue::new("name", name)]);
+        for (name, value) in gauges {
+            self.gauges.record(value, &[KeyValue::new("name", name)]);
         }
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/sesamegap-entry/src/telemetry/mod.rs
+++ b/crates/sesamegap-entry/src/telemetry/mod.rs
@@ -1,7 +1,7 @@
-//! Log lines on standard output, bounded and never waited for.
+//! Logging to standard output, without blocking.
 //!
-//! Lines are JSON objects. They go through a bounded queue to a thread of their own; when the
-//! reader of the pipe stops, lines are dropped and counted rather than requests held up.
+//! Log lines are JSON objects. They go through a bounded queue to a writer thread; when the reader
+//! of the pipe stops, lines are dropped and counted instead of blocking requests.
 
 pub mod endpoints;
 pub mod events;
@@ -11,10 +11,10 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines queued at most; at some 250 bytes a line this is about a megabyte.
-const QUEUED: usize = 4_096;
+/// Capacity of the queue in lines; at about 250 bytes per line this is about a megabyte.
+const QUEUE_LINES: usize = 4_096;
 
-/// Keeps the log going; dropping it writes what is queued.
+/// Keeps the writer thread running; dropping it flushes the queue.
 #[derive(Debug)]
 pub struct Logging {
     dropped: Option<ErrorCounter>,
@@ -22,24 +22,24 @@
 }
 
 impl Logging {
-    /// Starts logging to standard output; `RUST_LOG` chooses the level, else `info`.
+    /// Starts logging to standard output, at the level in `RUST_LOG` or `info`.
     pub fn start() -> Self {
         let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-        let (subscriber, logging) = Self::to(std::io::stdout(), filter);
-        let set = tracing::subscriber::set_global_default(subscriber);
-        // A test may have set up its own log, which stays.
-        drop(set);
+        let (subscriber, logging) = Self::to_writer(std::io::stdout(), filter);
+        let result = tracing::subscriber::set_global_default(subscriber);
+        // Fails if a test has set its own subscriber, which then stays.
+        drop(result);
         logging
     }
 
-    /// A log to any writer; one that blocks holds up nobody but its own thread.
-    pub fn to<W>(writer: W, filter: EnvFilter) -> (impl Subscriber + Send + Sync, Self)
+    /// A subscriber that logs to a writer; a writer that blocks holds up only the writer thread.
+    pub fn to_writer<W>(writer: W, filter: EnvFilter) -> (impl Subscriber + Send + Sync, Self)
     where
         W: std::io::Write + Send + 'static,
     {
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(QUEUED)
+            .buffered_lines_limit(QUEUE_LINES)
             .finish(writer);
         let dropped = writer.error_counter();
         let subscriber = tracing_subscriber::fmt()
@@ -56,7 +56,7 @@
         (subscriber, logging)
     }
 
-    /// No log at all, for tests.
+    /// No logging, for tests.
     pub fn disabled() -> Self {
         Self {
             dropped: None,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Lines dropped so far.
+    /// Number of lines dropped so far.
     pub fn dropped(&self) -> usize {
         self.dropped.as_ref().map_or(0, ErrorCounter::dropped_lines)
     }
--- a/crates/sesamegap-entry/tests/testsuite/logs.rs
+++ b/crates/sesamegap-entry/tests/testsuite/logs.rs
@@ -32,7 +32,7 @@
     let (wrote, writes) = channel();
     let (go, goes_on) = channel();
     let filter = EnvFilter::new("info");
-    let (subscriber, logging) = Logging::to(Stopped { wrote, goes_on }, filter);
+    let (subscriber, logging) = Logging::to_writer(Stopped { wrote, goes_on }, filter);
     tracing::subscriber::with_default(subscriber, || {
         info!("the first line");
         writes.recv().unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/support/lines.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/lines.rs
@@ -13,7 +13,7 @@
 impl Lines {
     /// A subscriber that logs here, and its log: all is written once that is dropped.
     pub fn subscriber(&self) -> (impl Subscriber + Send + Sync + use<>, Logging) {
-        Logging::to(self.clone(), EnvFilter::new("info"))
+        Logging::to_writer(self.clone(), EnvFilter::new("info"))
     }
 
     /// Lines with the number of an event.
