--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -1,7 +1,8 @@
 //! Requests under which upstreams end, at several VMs before the same engines.
 
 use crate::support::{
-    Act, MARK, Mortal, Platform, Upstream, ask, document, entry, offset, settings, until, unused,
+    Act, CrashingUpstream, MARK, Platform, Upstream, ask, document, entry, offset, settings, until,
+    unused,
 };
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -86,7 +87,7 @@
 }
 
 /// Engines that all VMs list; each start has an id of its own.
-async fn engines(vms: &[Vm], down: Duration) -> Vec<Mortal> {
+async fn engines(vms: &[Vm], down: Duration) -> Vec<CrashingUpstream> {
     let position = Arc::new(AtomicU64::new(0));
     let mut all = Vec::new();
     for no in 0..ENGINES {
@@ -107,7 +108,7 @@
             }
         };
         let first = list.clone();
-        let mortal = Mortal::start(down, list).await;
+        let mortal = CrashingUpstream::start(down, list).await;
         addr.set(mortal.addr).unwrap();
         first(0);
         all.push(mortal);
@@ -115,7 +116,7 @@
     all
 }
 
-fn marked(engines: &[Mortal]) -> usize {
+fn marked(engines: &[CrashingUpstream]) -> usize {
     engines.iter().map(|engine| engine.counts().marked).sum()
 }
 
@@ -300,7 +301,7 @@
 #[tokio::test]
 async fn an_engine_that_ends_again_before_the_list_knows_counts_twice() {
     let vms = vms(29).await;
-    let engine = Mortal::start(Duration::from_millis(700), |_| {}).await;
+    let engine = CrashingUpstream::start(Duration::from_millis(700), |_| {}).await;
     let id: UpstreamId = "e1".parse().unwrap();
     for vm in &vms {
         let entry = entry("engines", engine.addr);
--- a/crates/sesamegap-entry/tests/testsuite/support/mortal.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
@@ -30,13 +30,13 @@
 
 /// An upstream that ends and starts again at the same address.
 #[derive(Debug, Clone)]
-pub struct Mortal {
+pub struct CrashingUpstream {
     pub addr: SocketAddr,
     counts: Arc<Mutex<Counts>>,
     ends: Arc<Notify>,
 }
 
-impl Mortal {
+impl CrashingUpstream {
     /// Starts it; after each end it is down for a while, and `started` is called with the number of each start.
     pub async fn start(down: Duration, started: impl Fn(usize) + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -1,14 +1,14 @@
 //! A process with stand-ins around it.
 
 mod caller;
+mod crashing;
 mod lines;
-mod mortal;
 mod platform;
 mod upstream;
 
 pub use caller::{Caller, ask, request};
+pub use crashing::{CrashingUpstream, MARK};
 pub use lines::Lines;
-pub use mortal::{MARK, Mortal};
 pub use platform::{Platform, StandinCache, StandinEngine};
 pub use upstream::{Act, Upstream};
 
