--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -1,8 +1,8 @@
 //! Requests under which upstreams end, at several VMs before the same engines.
 
 use crate::support::{
-    Act, CrashingUpstream, MARK, Platform, Upstream, ask, document, entry, offset, settings, until,
-    unused,
+    Act, CRASH_MARK, CrashingUpstream, Platform, Upstream, ask, document, entry, offset, settings,
+    until, unused,
 };
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -130,7 +130,7 @@
     let vms = vms(21).await;
     let engines = engines(&vms, DOWN).await;
     for no in 0..SENDS {
-        let body = format!("{MARK} now");
+        let body = format!("{CRASH_MARK} now");
         ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), &body).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -192,7 +192,7 @@
 async fn a_vm_that_starts_learns_from_the_store_what_is_quarantined() {
     let platform = Arc::new(Platform::default());
     let port = unused().port();
-    let request = fingerprint("/chat/a", MARK);
+    let request = fingerprint("/chat/a", CRASH_MARK);
     let before = vm(0, 23, port, &platform).await;
     tokio::spawn(quarantine::sync(Arc::clone(&before.core)));
     condemn(&before.core, request);
@@ -206,7 +206,7 @@
 #[tokio::test]
 async fn a_vm_that_missed_the_news_is_told_again() {
     let vms = vms(24).await;
-    let request = fingerprint("/chat/a", MARK);
+    let request = fingerprint("/chat/a", CRASH_MARK);
     for vm in &vms[1..] {
         condemn(&vm.core, request);
     }
@@ -218,8 +218,8 @@
 async fn a_quarantined_request_is_refused_at_once_and_reaches_no_upstream() {
     let vms = vms(25).await;
     let engines = engines(&vms, DOWN).await;
-    condemn(&vms[0].core, fingerprint("/chat/a", MARK));
-    let answer = ask(vms[0].callers, "POST", "/chat/a", &head(0), MARK).await;
+    condemn(&vms[0].core, fingerprint("/chat/a", CRASH_MARK));
+    let answer = ask(vms[0].callers, "POST", "/chat/a", &head(0), CRASH_MARK).await;
     assert_eq!(answer.status, 503);
     assert!(answer.body.contains("quarantined") && answer.body.contains("not run"));
     assert_eq!(answer.header("retry-after"), Some("3600.00"));
@@ -259,7 +259,7 @@
     let vms = vms(27).await;
     let engines = engines(&vms, Duration::ZERO).await;
     for no in 0..SENDS / 2 {
-        let body = format!("{MARK} now");
+        let body = format!("{CRASH_MARK} now");
         ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), &body).await;
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
@@ -273,7 +273,7 @@
     let vms = vms(28).await;
     let engines = engines(&vms, DOWN).await;
     let request = async |vm: &Vm, no: usize| {
-        ask(vm.callers, "POST", "/chat/a", &head(no), MARK).await;
+        ask(vm.callers, "POST", "/chat/a", &head(no), CRASH_MARK).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     };
     let (first, others): (Vec<&Vm>, Vec<&Vm>) = vms
@@ -309,7 +309,14 @@
         fleet.apply(&id, entry, offset(1), clock::now());
     }
     for no in 0..SENDS / 4 {
-        ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), MARK).await;
+        ask(
+            vms[no % VMS].callers,
+            "POST",
+            "/chat/a",
+            &head(no),
+            CRASH_MARK,
+        )
+        .await;
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let sent = marked(std::slice::from_ref(&engine));
--- a/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 /// What a body contains that ends the upstream which runs it.
-pub const MARK: &str = "crash";
+pub const CRASH_MARK: &str = "crash";
 
 /// Time that a request runs before its first byte, and between two events.
 const STEP: Duration = Duration::from_millis(10);
@@ -112,7 +112,7 @@
             return;
         };
         sleep(STEP).await;
-        if request.contains(MARK) {
+        if request.contains(CRASH_MARK) {
             self.counts().marked += 1;
             self.ends.notify_one();
             std::future::pending::<()>().await;
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -7,7 +7,7 @@
 mod upstream;
 
 pub use caller::{Caller, ask, request};
-pub use crashing::{CrashingUpstream, MARK};
+pub use crashing::{CRASH_MARK, CrashingUpstream};
 pub use lines::Lines;
 pub use platform::{Platform, StandinCache, StandinEngine};
 pub use upstream::{Act, Upstream};
