--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -153,7 +153,7 @@
         let ends = async {
             tokio::time::sleep(Duration::from_millis(25)).await;
             for engine in engines.iter().skip(round % 3).step_by(3) {
-                engine.end();
+                engine.crash();
             }
         };
         tokio::join!(sends, ends);
--- a/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
@@ -56,7 +56,7 @@
     }
 
     /// Ends it now, by no request's fault.
-    pub fn end(&self) {
+    pub fn crash(&self) {
         self.ends.notify_one();
     }
 
