--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -159,7 +159,7 @@
         tokio::join!(sends, ends);
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    assert!(engines.iter().all(|engine| engine.counts().ended > 0));
+    assert!(engines.iter().all(|engine| engine.counts().crashes > 0));
     tokio::time::sleep(Duration::from_secs(1)).await;
     for no in 0..VMS {
         let answer = send(no).await;
--- a/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
@@ -25,7 +25,7 @@
     /// Marked requests that reached it.
     pub marked: usize,
     /// Times that it ended.
-    pub ended: usize,
+    pub crashes: usize,
 }
 
 /// An upstream that ends and starts again at the same address.
@@ -70,8 +70,8 @@
             self.serve(&listener).await;
             let times = {
                 let mut counts = self.counts();
-                counts.ended += 1;
-                counts.ended
+                counts.crashes += 1;
+                counts.crashes
             };
             // Without a pause its supervisor holds the socket and hands it to the next start.
             if !down.is_zero() {
