--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -1,7 +1,8 @@
 //! Records of other writers in the tables that a process follows.
 
 use crate::support::{
-    Act, Lines, Platform, Process, Upstream, ask, document, entry, offset, route, settings, unused,
+    Act, LogLines, Platform, Process, Upstream, ask, document, entry, offset, route, settings,
+    unused,
 };
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
@@ -135,7 +136,7 @@
     // another test, without a subscriber, while this one installs its own, the place stays mute: so it
     // is reached here before.
     read(&vm(), 0, vec![broken(0, 0, "missing")]);
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let (subscriber, logging) = lines.subscriber();
     tracing::subscriber::with_default(subscriber, act);
     drop(logging);
--- a/crates/sesamegap-entry/tests/testsuite/logs.rs
+++ b/crates/sesamegap-entry/tests/testsuite/logs.rs
@@ -1,4 +1,4 @@
-use crate::support::{Act, Lines, Process, Upstream, ask};
+use crate::support::{Act, LogLines, Process, Upstream, ask};
 use sesamegap_entry::telemetry::Logging;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -55,7 +55,7 @@
     process.add("w1", "desk", worker.addr);
     // The place that logs is reached once before, so that it is known when the subscriber comes.
     ask(process.callers, "POST", "/save/", "", "first").await;
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let (subscriber, logging) = lines.subscriber();
     let listening = tracing::subscriber::set_default(subscriber);
     ask(process.callers, "POST", "/save/", "", "second").await;
--- a/crates/sesamegap-entry/tests/testsuite/support/lines.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/lines.rs
@@ -8,9 +8,9 @@
 
 /// What was logged.
 #[derive(Debug, Clone, Default)]
-pub struct Lines(Arc<Mutex<Vec<u8>>>);
+pub struct LogLines(Arc<Mutex<Vec<u8>>>);
 
-impl Lines {
+impl LogLines {
     /// A subscriber that logs here, and its log: all is written once that is dropped.
     pub fn subscriber(&self) -> (impl Subscriber + Send + Sync + use<>, Logging) {
         Logging::to_writer(self.clone(), EnvFilter::new("info"))
@@ -25,7 +25,7 @@
     }
 }
 
-impl Write for Lines {
+impl Write for LogLines {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -8,7 +8,7 @@
 
 pub use caller::{Caller, ask, request};
 pub use crashing::{CRASH_MARK, CrashingUpstream};
-pub use lines::Lines;
+pub use lines::LogLines;
 pub use platform::{Platform, StandinCache, StandinEngine};
 pub use upstream::{Act, Upstream};
 
