--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -140,7 +140,7 @@
     let (subscriber, logging) = lines.subscriber();
     tracing::subscriber::with_default(subscriber, act);
     drop(logging);
-    lines.of(712)
+    lines.with_event(712)
 }
 
 /// Another writer repeats its malformed entry with each of its heartbeats, and each VM reads them all. A
--- a/crates/sesamegap-entry/tests/testsuite/logs.rs
+++ b/crates/sesamegap-entry/tests/testsuite/logs.rs
@@ -61,7 +61,7 @@
     ask(process.callers, "POST", "/save/", "", "second").await;
     drop(listening);
     drop(logging);
-    let ended = lines.of(753);
+    let ended = lines.with_event(753);
     assert!(
         ended.len() == 1 && ended[0].contains("\"runs\":1,"),
         "{ended:?}"
--- a/crates/sesamegap-entry/tests/testsuite/support/lines.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/lines.rs
@@ -17,7 +17,7 @@
     }
 
     /// Lines with the number of an event.
-    pub fn of(&self, event: u16) -> Vec<String> {
+    pub fn with_event(&self, event: u16) -> Vec<String> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         let number = format!("\"event\":{event}");
         let lines = text.lines().filter(|line| line.contains(&number));
