--- a/crates/sesamegap-entry/tests/testsuite/crossing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/crossing.rs
@@ -93,7 +93,7 @@
         let mut stream = std::net::TcpStream::connect(process.callers).unwrap();
         stream.write_all(SAVE.as_bytes()).unwrap();
         process.core.enter(Phase::Ended);
-        let mut caller = Caller::of(stream);
+        let mut caller = Caller::from_stream(stream);
         assert_eq!(caller.answer().await.body, "ok");
     }
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/caller.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/caller.rs
@@ -45,7 +45,7 @@
     }
 
     /// A caller on a connection that was opened without waiting.
-    pub fn of(stream: std::net::TcpStream) -> Self {
+    pub fn from_stream(stream: std::net::TcpStream) -> Self {
         stream.set_nonblocking(true).unwrap();
         Self {
             stream: TcpStream::from_std(stream).unwrap(),
