--- a/crates/sesamegap-entry/tests/testsuite/crossing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/crossing.rs
@@ -40,7 +40,7 @@
     for _ in 0..TRIES {
         let (process, _desk, mut caller) = idle_caller(LONG).await;
         process.core.enter(Phase::Leaving);
-        caller.send_at_once(SAVE);
+        caller.send_now(SAVE);
         process.core.enter(Phase::Closing);
         let answer = caller.answer().await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ok"));
@@ -56,7 +56,7 @@
     for _ in 0..TRIES {
         let bound = Duration::from_millis(100);
         let (_process, _desk, mut caller) = idle_caller(bound).await;
-        caller.send_at_once(SAVE);
+        caller.send_now(SAVE);
         // Blocks the one thread of the process, as a pause of the VM does.
         std::thread::sleep(bound + Duration::from_millis(20));
         assert_eq!(caller.answer().await.body, "ok");
--- a/crates/sesamegap-entry/tests/testsuite/support/caller.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/caller.rs
@@ -54,7 +54,7 @@
     }
 
     /// Sends without letting anything else run.
-    pub fn send_at_once(&mut self, text: &str) {
+    pub fn send_now(&mut self, text: &str) {
         let sent = self.stream.try_write(text.as_bytes()).unwrap();
         assert_eq!(sent, text.len());
     }
