--- a/crates/sesamegap-entry/tests/testsuite/pass.rs
+++ b/crates/sesamegap-entry/tests/testsuite/pass.rs
@@ -8,7 +8,7 @@
     let answer = ask(process.callers, "GET", "/pull/doc?page=2", "", "").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "stamped"));
     assert_eq!(answer.header("x-seal"), Some("s-r1"));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     let seen = desk.seen();
     assert!(
         seen[0].starts_with("GET /pull/doc?page=2 HTTP/1.1\r\n"),
@@ -50,7 +50,7 @@
     process.add("w1", "desk", desk.addr);
     let answer = ask(process.callers, "GET", "/pull/", "", "").await;
     assert_eq!(answer.body, "to the end");
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
 
 /// Workers break answers off, send what is no answer, answer another request, or forget the seal.
--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -17,7 +17,7 @@
     process.add("e1", "engines", engine.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(answer.body, events(1..6));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.header("x-seal"), Some("s-r1"));
     let seen = engine.seen();
     assert!(
@@ -35,7 +35,7 @@
     process.add("e1", "engines", engine.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, &*events(1..6)));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     let seen = engine.seen();
     assert_eq!(seen.len(), 2);
     assert!(
@@ -79,7 +79,7 @@
     let two = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", one.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.body, events(1..4), "no half event is passed on");
     assert_eq!(two.seen().len(), 0);
 }
@@ -96,7 +96,7 @@
     // Whichever engine comes first breaks off; the other has not been asked yet, so it plays its
     // first act too and breaks off once more, which ends the route's attempts.
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(
         answer.body,
         events(1..4),
@@ -127,7 +127,7 @@
     process.add("e2", "engines", two.addr);
     let answer = caller.answer().await;
     assert_eq!(answer.body, events(1..9));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(
         answer.header("x-seal"),
         Some("s-r1"),
@@ -225,7 +225,7 @@
     let slow = Upstream::start(vec![Act::Halting(1..3, pause, 6)]).await;
     process.add("e1", "engines", slow.addr);
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.body, events(1..6));
     assert_eq!(slow.seen().len(), 1);
 }
@@ -253,5 +253,5 @@
     process.add("e2", "engines", two.addr);
     let answer = caller.answer().await;
     assert_eq!(answer.body, events(1..9));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/caller.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/caller.rs
@@ -18,7 +18,7 @@
     /// The body with its framing undone.
     pub body: String,
     /// Whether the body ended as its head promised.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -122,19 +122,19 @@
         status,
         head: head.to_owned(),
         body: String::new(),
-        whole: false,
+        is_complete: false,
     };
     let start = head.len() + 4;
     if answer.header("transfer-encoding").is_some() {
         let (body, used, whole) = unchunk(rest);
         answer.body = body;
-        answer.whole = whole;
+        answer.is_complete = whole;
         return (whole || closed).then_some((answer, start + used));
     }
     let length: usize = answer.header("content-length")?.parse().ok()?;
-    answer.whole = rest.len() >= length;
+    answer.is_complete = rest.len() >= length;
     answer.body = rest.chars().take(length).collect();
-    (answer.whole || closed).then_some((answer, start + length.min(rest.len())))
+    (answer.is_complete || closed).then_some((answer, start + length.min(rest.len())))
 }
 
 /// A chunked body undone: its content, what it took, and whether it has ended.
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -62,7 +62,10 @@
     process.add("e2", "engines", newer.addr);
     holds(&process, "e2", 2);
     let answer = caller.answer().await;
-    assert!(answer.whole && answer.body.contains("t5"), "{answer:?}");
+    assert!(
+        answer.is_complete && answer.body.contains("t5"),
+        "{answer:?}"
+    );
     assert_eq!(full.begun(), 0);
     assert_eq!(full.closed(), 1, "its connection is closed first");
 }
