--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -222,7 +222,7 @@
 async fn a_silent_engine_is_not_left_when_there_is_no_other() {
     let process = Process::new().await;
     let pause = Duration::from_millis(2_600);
-    let slow = Upstream::start(vec![Act::Halting(1..3, pause, 6)]).await;
+    let slow = Upstream::start(vec![Act::PausedEvents(1..3, pause, 6)]).await;
     process.add("e1", "engines", slow.addr);
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
     assert!(answer.is_complete);
--- a/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
@@ -40,7 +40,7 @@
     /// Sends these events and then nothing.
     Stuck(std::ops::Range<u64>),
     /// Sends these events, pauses, and sends the rest up to this one.
-    Halting(std::ops::Range<u64>, Duration, u64),
+    PausedEvents(std::ops::Range<u64>, Duration, u64),
     /// Waits, then does the other thing.
     After(Duration, Box<Act>),
     /// Sends these events once the requests before it have ended; drops it if the connection closes
@@ -162,7 +162,7 @@
                 )
             }
             Act::Stuck(range) => (format!("{}{}", head(200, chunked), chunks(range)), false),
-            Act::Halting(range, pause, end) => {
+            Act::PausedEvents(range, pause, end) => {
                 let first = format!("{}{}", head(200, chunked), chunks(range.clone()));
                 drop(stream.write_all(first.as_bytes()).await);
                 tokio::time::sleep(pause).await;
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn an_engine_that_is_shut_by_its_weights_is_no_other_to_go_to() {
     let process = Process::new().await;
-    let slow = Act::Halting(1..1, Duration::from_secs(3), 6);
+    let slow = Act::PausedEvents(1..1, Duration::from_secs(3), 6);
     let newer = Upstream::start(vec![slow]).await;
     let shut = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", newer.addr);
