--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -140,7 +140,7 @@
 #[tokio::test]
 async fn a_silent_engine_is_left_for_another() {
     let process = Process::new().await;
-    let stuck = Upstream::start(vec![Act::Stuck(1..3)]).await;
+    let stuck = Upstream::start(vec![Act::StalledEvents(1..3)]).await;
     process.add("e1", "engines", stuck.addr);
     let other = Upstream::start(vec![Act::Events(3..6)]).await;
     let mut caller = Caller::connect(process.callers).await;
@@ -160,7 +160,7 @@
 #[tokio::test]
 async fn an_engine_is_left_when_its_caller_leaves() {
     let process = Process::new().await;
-    let engine = Upstream::start(vec![Act::Stuck(1..3)]).await;
+    let engine = Upstream::start(vec![Act::StalledEvents(1..3)]).await;
     process.add("e1", "engines", engine.addr);
     let mut caller = Caller::connect(process.callers).await;
     caller.send(&request("POST", "/chat/", CHAT, "")).await;
--- a/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
@@ -38,7 +38,7 @@
     /// Sends these events, half of one more, and closes.
     CutEvents(std::ops::Range<u64>),
     /// Sends these events and then nothing.
-    Stuck(std::ops::Range<u64>),
+    StalledEvents(std::ops::Range<u64>),
     /// Sends these events, pauses, and sends the rest up to this one.
     PausedEvents(std::ops::Range<u64>, Duration, u64),
     /// Waits, then does the other thing.
@@ -161,7 +161,9 @@
                     true,
                 )
             }
-            Act::Stuck(range) => (format!("{}{}", head(200, chunked), chunks(range)), false),
+            Act::StalledEvents(range) => {
+                (format!("{}{}", head(200, chunked), chunks(range)), false)
+            }
             Act::PausedEvents(range, pause, end) => {
                 let first = format!("{}{}", head(200, chunked), chunks(range.clone()));
                 drop(stream.write_all(first.as_bytes()).await);
