--- a/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
@@ -54,7 +54,7 @@
     pub addr: SocketAddr,
     seen: Arc<Mutex<Vec<String>>>,
     closed: Arc<Mutex<usize>>,
-    begun: Arc<Mutex<usize>>,
+    started: Arc<Mutex<usize>>,
 }
 
 impl Upstream {
@@ -65,7 +65,7 @@
             addr: listener.local_addr().unwrap(),
             seen: Arc::default(),
             closed: Arc::default(),
-            begun: Arc::default(),
+            started: Arc::default(),
         };
         let state = upstream.clone();
         tokio::spawn(async move {
@@ -92,8 +92,8 @@
     }
 
     /// Queued requests that have begun.
-    pub fn begun(&self) -> usize {
-        *self.begun.lock().unwrap()
+    pub fn started(&self) -> usize {
+        *self.started.lock().unwrap()
     }
 
     async fn serve(self, mut stream: TcpStream, act: Act) {
@@ -176,7 +176,7 @@
                     () = tokio::time::sleep(wait) => {}
                     _ = stream.read(&mut byte) => return,
                 }
-                *self.begun.lock().unwrap() += 1;
+                *self.started.lock().unwrap() += 1;
                 (
                     format!("{}{}0\r\n\r\n", head(200, chunked), chunks(range)),
                     false,
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -41,7 +41,7 @@
     while engine.closed() < engine.seen().len() {
         tokio::task::yield_now().await;
     }
-    assert_eq!(engine.begun(), 0);
+    assert_eq!(engine.started(), 0);
 }
 
 /// As above, with a prompt that may go on elsewhere and an engine that has the newer weights. It is taken
@@ -66,7 +66,7 @@
         answer.is_complete && answer.body.contains("t5"),
         "{answer:?}"
     );
-    assert_eq!(full.begun(), 0);
+    assert_eq!(full.started(), 0);
     assert_eq!(full.closed(), 1, "its connection is closed first");
 }
 
@@ -81,7 +81,7 @@
     name(&process, Duration::from_millis(6_300));
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(answer.status, 502);
-    assert_eq!((full.seen().len(), full.begun()), (1, 0));
+    assert_eq!((full.seen().len(), full.started()), (1, 0));
 }
 
 /// Weights were named too long ago for one of two engines. A resumable stream waits at the other, which begins its
@@ -149,7 +149,7 @@
     process.add("e1", "engines", old.addr);
     name(&process, Duration::from_secs(20));
     ask(process.callers, "POST", "/chat/", "x-model: m\r\n", "hello").await;
-    assert_eq!(old.begun(), 0);
+    assert_eq!(old.started(), 0);
 }
 
 /// The list has not told yet which weights an engine holds of a model. Sending takes that for the oldest weights,
@@ -167,7 +167,7 @@
     unknown(&mut process.core.fleet.lock());
     name(&process, Duration::from_millis(6_200));
     ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
-    assert_eq!(engine.begun(), 0);
+    assert_eq!(engine.started(), 0);
 }
 
 /// An engine gives a prompt's answer whole, after it has run. The prompt began at once, 5.5 s after a naming, and
