--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -1,4 +1,4 @@
-use crate::support::{Platform, StandinCache, document, entry, offset, settings, until, unused};
+use crate::support::{Platform, StandinKvStore, document, entry, offset, settings, until, unused};
 use sesamegap_entry::catalogue::KvStore;
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -259,7 +259,7 @@
         next,
         born: Some(Incarnation(born)),
     };
-    *platform.cache.lock().unwrap() = Some(StandinCache {
+    *platform.cache.lock().unwrap() = Some(StandinKvStore {
         news: news(1, 900),
         asked: Vec::new(),
     });
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -9,7 +9,7 @@
 pub use caller::{Caller, ask, request};
 pub use crashing::{CRASH_MARK, CrashingUpstream};
 pub use lines::LogLines;
-pub use platform::{Platform, StandinCache, StandinEngine};
+pub use platform::{Platform, StandinEngine, StandinKvStore};
 pub use upstream::{Act, Upstream};
 
 use sesamegap_entry::catalogue::{
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -172,7 +172,7 @@
 
 /// A store of kept cache that tells news.
 #[derive(Debug)]
-pub struct StandinCache {
+pub struct StandinKvStore {
     pub news: CacheNews,
     /// Numbers that it was asked from.
     pub asked: Vec<u64>,
@@ -183,7 +183,7 @@
 pub struct Platform {
     pub away: Mutex<bool>,
     pub engines: Mutex<Vec<StandinEngine>>,
-    pub cache: Mutex<Option<StandinCache>>,
+    pub cache: Mutex<Option<StandinKvStore>>,
     /// Weights that are named.
     pub named: Mutex<Option<Weights>>,
     /// Whether it has dropped the history that the next call asks for.
