--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -72,7 +72,7 @@
 async fn an_order_that_is_carried_out_late_does_nothing() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
-    platform.engines.lock().unwrap()[0].mute_orders = 1;
+    platform.engines.lock().unwrap()[0].unanswered_orders = 1;
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
     until(|| all_hold(&platform, 2)).await;
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -100,7 +100,7 @@
     /// Orders that it has taken.
     pub orders: Vec<LoadOrder>,
     /// Orders that it still leaves unanswered.
-    pub mute_orders: u32,
+    pub unanswered_orders: u32,
     /// Whether another instance has its address.
     pub moved: bool,
     /// The last of these, to be carried out late.
@@ -125,7 +125,7 @@
             addr,
             version: 1,
             orders: Vec::new(),
-            mute_orders: 0,
+            unanswered_orders: 0,
             moved: false,
             late: None,
             born: None,
@@ -380,8 +380,8 @@
                 engine.orders.push(order);
                 return Ok(OrderAnswer::Elsewhere);
             }
-            if engine.mute_orders > 0 {
-                engine.mute_orders -= 1;
+            if engine.unanswered_orders > 0 {
+                engine.unanswered_orders -= 1;
                 engine.late = Some(order);
                 return Err("no answer".to_owned());
             }
