--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -82,7 +82,7 @@
         .clone()
         .expect("an order was left unanswered");
     assert!(
-        !engines[0].carry_out(&late),
+        !engines[0].execute(&late),
         "its number of orders is that of before"
     );
     assert_eq!(engines[0].version, 2);
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -154,7 +154,7 @@
     }
 
     /// Carries an order out if its number of orders still holds.
-    pub fn carry_out(&mut self, order: &LoadOrder) -> bool {
+    pub fn execute(&mut self, order: &LoadOrder) -> bool {
         let fits = order.expected == self.taken();
         if fits {
             self.orders.push(order.clone());
@@ -385,7 +385,7 @@
                 engine.late = Some(order);
                 return Err("no answer".to_owned());
             }
-            Ok(if engine.carry_out(&order) {
+            Ok(if engine.execute(&order) {
                 OrderAnswer::Taken
             } else {
                 OrderAnswer::Conflict
