--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -231,7 +231,7 @@
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 6);
     for engine in platform.engines.lock().unwrap().iter_mut() {
-        engine.load = Duration::from_millis(400);
+        engine.load_time = Duration::from_millis(400);
     }
     name(&core, 2);
     let weights = Weights {
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -114,7 +114,7 @@
     /// Times that it was asked for its state.
     pub reports: u32,
     /// How long it loads weights.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Until when it loads.
     pub loads: Option<Instant>,
 }
@@ -132,7 +132,7 @@
             forgotten: 0,
             restarts: 0,
             reports: 0,
-            load: Duration::ZERO,
+            load_time: Duration::ZERO,
             loads: None,
         }
     }
@@ -163,7 +163,7 @@
                 self.restart();
             } else {
                 self.version = order.weights.version.0;
-                self.loads = Some(Instant::now() + self.load);
+                self.loads = Some(Instant::now() + self.load_time);
             }
         }
         fits
