--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -133,7 +133,7 @@
 async fn nothing_is_ordered_without_the_lease() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 2);
-    *platform.away.lock().unwrap() = true;
+    *platform.is_unavailable.lock().unwrap() = true;
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
     tokio::time::sleep(Duration::from_millis(600)).await;
@@ -145,7 +145,7 @@
             .sum::<usize>()
     };
     assert_eq!(ordered(), 0);
-    *platform.away.lock().unwrap() = false;
+    *platform.is_unavailable.lock().unwrap() = false;
     until(|| all_hold(&platform, 2)).await;
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -181,7 +181,7 @@
 /// A store that can be away, and engines that take orders.
 #[derive(Debug, Default)]
 pub struct Platform {
-    pub away: Mutex<bool>,
+    pub is_unavailable: Mutex<bool>,
     pub engines: Mutex<Vec<StandinEngine>>,
     pub cache: Mutex<Option<StandinKvStore>>,
     /// Weights that are named.
@@ -217,7 +217,7 @@
     }
 
     fn there(&self) -> Result<(), StoreError> {
-        if *self.away.lock().unwrap() {
+        if *self.is_unavailable.lock().unwrap() {
             return Err(StoreError::Busy);
         }
         Ok(())
