--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -68,7 +68,7 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    *platform.named.lock().unwrap() = Some(weights);
+    *platform.named_weights.lock().unwrap() = Some(weights);
     *platform.dropped.lock().unwrap() = true;
     until(|| core.fleet.lock().namings().newest_of("m").is_some()).await;
     let naming = core.fleet.lock().namings().newest_of("m").unwrap();
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -185,7 +185,7 @@
     pub engines: Mutex<Vec<StandinEngine>>,
     pub cache: Mutex<Option<StandinKvStore>>,
     /// Weights that are named.
-    pub named: Mutex<Option<Weights>>,
+    pub named_weights: Mutex<Option<Weights>>,
     /// Whether it has dropped the history that the next call asks for.
     pub dropped: Mutex<bool>,
     /// How often it was restored from a copy, if it says.
@@ -241,7 +241,7 @@
     /// The newest record of each key.
     fn newest(&self) -> Result<Records, StoreError> {
         let mut table = self.table(Offset(0))?;
-        let named = self.named.lock().unwrap().clone();
+        let named = self.named_weights.lock().unwrap().clone();
         let records = named.map(|weights| (Offset(0), Record::Weights(weights)));
         table.records.extend(records);
         Ok(table)
