--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -1,4 +1,6 @@
-use crate::support::{Platform, StandinKvStore, document, entry, offset, settings, until, unused};
+use crate::support::{
+    Platform, StandinKvStore, document, entry, offset, settings, unused, wait_until,
+};
 use sesamegap_entry::catalogue::KvStore;
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -281,8 +283,8 @@
         let cache = platform.cache.lock().unwrap();
         cache.as_ref().unwrap().asked.last() == Some(&since)
     };
-    until(|| asked(900)).await;
+    wait_until(|| asked(900)).await;
     platform.cache.lock().unwrap().as_mut().unwrap().news = news(2, 3);
-    until(|| asked(0)).await;
-    until(|| asked(3)).await;
+    wait_until(|| asked(0)).await;
+    wait_until(|| asked(3)).await;
 }
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -1,4 +1,4 @@
-use crate::support::{Platform, document, offset, settings, until};
+use crate::support::{Platform, document, offset, settings, wait_until};
 use poem::IntoEndpoint;
 use poem::Server;
 use poem::listener::TcpAcceptor;
@@ -40,7 +40,7 @@
     let seed = one.settings().listen.peers;
     let two = vm("vm-2", vec![seed]).await;
     let three = vm("vm-3", vec![seed]).await;
-    until(|| two.peers.count() == 3 && three.peers.count() == 3).await;
+    wait_until(|| two.peers.count() == 3 && three.peers.count() == 3).await;
     two.adopt(&Arc::new(document(9)), "store");
     let named = Weights {
         model: "m".into(),
@@ -49,8 +49,8 @@
     two.fleet
         .lock()
         .name_weights(&named, sesamegap_entry::clock::now());
-    until(|| one.revision() == Revision(9) && three.revision() == Revision(9)).await;
-    until(|| newest(&three) == Some(WeightsVersion(2))).await;
+    wait_until(|| one.revision() == Revision(9) && three.revision() == Revision(9)).await;
+    wait_until(|| newest(&three) == Some(WeightsVersion(2))).await;
 }
 
 /// A VM says that it stops. Callers must not be sent to it any more.
@@ -58,10 +58,10 @@
 async fn a_peer_that_leaves_is_no_longer_named() {
     let one = vm("vm-1", Vec::new()).await;
     let two = vm("vm-2", vec![one.settings().listen.peers]).await;
-    until(|| one.peers.known().alive.len() == 1).await;
+    wait_until(|| one.peers.known().alive.len() == 1).await;
     two.peers.leave();
     peers::tell_all(&two).await;
-    until(|| one.peers.known().alive.is_empty()).await;
+    wait_until(|| one.peers.known().alive.is_empty()).await;
 }
 
 /// One VM is about to load weights on many engines. Others that do not know would send requests
@@ -82,7 +82,7 @@
             .lock()
             .apply(&engine(no), entry, offset(0), sesamegap_entry::clock::now());
     }
-    until(|| one.peers.known().alive.len() == 1).await;
+    wait_until(|| one.peers.known().alive.len() == 1).await;
     // Both listen on one machine here, so each has a port of its own and one answers the other's.
     let news = |no| peers::EngineNews {
         born: None,
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -1,6 +1,6 @@
 //! Prompts placed by the VM that owns the shard of their home.
 
-use crate::support::{Platform, document, entry, offset, settings, until, unused};
+use crate::support::{Platform, document, entry, offset, settings, unused, wait_until};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::{Flight, PromptShape, Selection};
@@ -137,7 +137,7 @@
     strangers(&asker);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut flight = placed_by(&asker, &owner).await;
-    until(|| unread(&owner) == 6_000).await;
+    wait_until(|| unread(&owner) == 6_000).await;
     let running = |core: &Core| {
         let fleet = core.fleet.lock();
         let engine = fleet.get(&flight.id).unwrap();
@@ -145,10 +145,10 @@
     };
     assert_eq!(running(&owner), 1);
     flight.heard(clock::now());
-    until(|| unread(&owner) == 0).await;
+    wait_until(|| unread(&owner) == 0).await;
     let id = flight.id.clone();
     drop(flight);
-    until(|| {
+    wait_until(|| {
         let fleet = owner.fleet.lock();
         fleet.running_here(fleet.get(&id).unwrap()) == 0
     })
@@ -166,7 +166,7 @@
         let given_up = tokio::time::timeout(Duration::from_micros(200), place(&asker, part)).await;
         drop(given_up);
     }
-    until(|| unread(&owner) == 0).await;
+    wait_until(|| unread(&owner) == 0).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(unread(&owner), 0);
 }
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{
     Act, CRASH_MARK, CrashingUpstream, Platform, Upstream, ask, document, entry, offset, settings,
-    until, unused,
+    unused, wait_until,
 };
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -196,10 +196,10 @@
     let before = vm(0, 23, port, &platform).await;
     tokio::spawn(quarantine::sync(Arc::clone(&before.core)));
     condemn(&before.core, request);
-    until(|| platform.quarantine.lock().unwrap().len() == 1).await;
+    wait_until(|| platform.quarantine.lock().unwrap().len() == 1).await;
     let after = vm(1, 23, port, &platform).await;
     tokio::spawn(quarantine::sync(Arc::clone(&after.core)));
-    until(|| after.core.quarantine.standing(request) == Standing::Quarantined).await;
+    wait_until(|| after.core.quarantine.standing(request) == Standing::Quarantined).await;
 }
 
 /// A VM misses all datagrams of the moment in which a request is condemned, and goes on sending it.
@@ -210,7 +210,7 @@
     for vm in &vms[1..] {
         condemn(&vm.core, request);
     }
-    until(|| vms[0].core.quarantine.standing(request) == Standing::Quarantined).await;
+    wait_until(|| vms[0].core.quarantine.standing(request) == Standing::Quarantined).await;
 }
 
 /// A caller whose request is quarantined is told that it did not run, and comes back at once to be refused again.
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,4 +1,4 @@
-use crate::support::{Platform, entry, offset, settings, until, unused};
+use crate::support::{Platform, entry, offset, settings, unused, wait_until};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::follow::{Reading, follow, hear, take};
@@ -62,7 +62,7 @@
     let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    until(|| core.known(Table::Settings).position().next().is_some()).await;
+    wait_until(|| core.known(Table::Settings).position().next().is_some()).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let weights = Weights {
         model: "m".into(),
@@ -70,7 +70,7 @@
     };
     *platform.named_weights.lock().unwrap() = Some(weights);
     *platform.dropped.lock().unwrap() = true;
-    until(|| core.fleet.lock().namings().newest_of("m").is_some()).await;
+    wait_until(|| core.fleet.lock().namings().newest_of("m").is_some()).await;
     let naming = core.fleet.lock().namings().newest_of("m").unwrap();
     let followed = Duration::from_secs(3);
     assert!(clock::now().since(naming.at) < followed, "{naming:?}");
@@ -102,12 +102,12 @@
         read(vec![change(false, 1)], 4),
     );
     reader.peers.outbox.put_reading(new);
-    until(|| hearer.fleet.lock().get(&worker()).is_some()).await;
+    wait_until(|| hearer.fleet.lock().get(&worker()).is_some()).await;
     let beats = read(vec![change(false, 2), change(true, 3)], 5);
     let leaving = take(&reader, Table::Fleet, offset(5), beats);
     assert_eq!(leaving.pieces.len(), 1, "a mere heartbeat is not told");
     reader.peers.outbox.put_reading(leaving);
-    until(|| leaves(&hearer)).await;
+    wait_until(|| leaves(&hearer)).await;
     assert_eq!(
         hearer.known(Table::Fleet).position().next(),
         Some(offset(7))
@@ -169,7 +169,7 @@
     knows(&watcher, &hearer);
     let store = unused();
     peers::tell_of_store(&watcher, store);
-    until(|| hearer.fleet.lock().is_store_out(store, clock::now())).await;
+    wait_until(|| hearer.fleet.lock().is_store_out(store, clock::now())).await;
     let later = clock::now() + Duration::from_secs(2);
     assert!(
         !hearer.fleet.lock().is_store_out(store, later),
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -1,6 +1,6 @@
 //! A store that was restored from an older copy, and VMs that go on.
 
-use crate::support::{Platform, StandinEngine, document, entry, settings, until, unused};
+use crate::support::{Platform, StandinEngine, document, entry, settings, unused, wait_until};
 use sesamegap_entry::catalogue::{Document, Revision};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -54,10 +54,10 @@
     let platform = platform(vec![worker(1, 1), worker(2, 1)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Fleet));
-    until(|| known(&core) == [id(1), id(2)]).await;
+    wait_until(|| known(&core) == [id(1), id(2)]).await;
     let held = [worker(1, 1), worker(3, 1), worker(2, 2), worker(4, 1)];
     platform.restore(held.to_vec(), 0);
-    until(|| known(&core) == [id(1), id(2), id(3), id(4)]).await;
+    wait_until(|| known(&core) == [id(1), id(2), id(3), id(4)]).await;
 }
 
 /// Guards against workers that get no requests because the copy is older than their entry.
@@ -66,9 +66,9 @@
     let platform = platform(vec![worker(1, 1), worker(2, 5)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Fleet));
-    until(|| known(&core).len() == 2).await;
+    wait_until(|| known(&core).len() == 2).await;
     platform.restore(vec![worker(1, 1)], 0);
-    until(|| {
+    wait_until(|| {
         let fleet = core.fleet.lock();
         fleet
             .belief(&id(2))
@@ -90,17 +90,17 @@
     let platform = platform(vec![published(5)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    until(|| core.revision() == Revision(5)).await;
+    wait_until(|| core.revision() == Revision(5)).await;
     platform.restore(vec![published(3)], 0);
-    until(|| core.store.timeline() == Timeline(2)).await;
-    until(|| {
+    wait_until(|| core.store.timeline() == Timeline(2)).await;
+    wait_until(|| {
         let next = core.known(Table::Settings).position().next();
         next.is_some_and(|next| next.timeline == Timeline(2))
     })
     .await;
     assert_eq!(core.revision(), Revision(5));
     platform.records.lock().unwrap().push(published(6));
-    until(|| core.revision() == Revision(6)).await;
+    wait_until(|| core.revision() == Revision(6)).await;
 }
 
 /// Guards against a VM that starts after the restoration and serves a document with keys that were taken away since.
@@ -115,7 +115,7 @@
     tokio::spawn(follow(Arc::clone(&two), Table::Settings));
     tokio::spawn(peers::rounds(Arc::clone(&two)));
     let mut seen: Vec<Revision> = Vec::new();
-    until(|| {
+    wait_until(|| {
         let revision = two.revision();
         if revision != Revision::default() && !seen.contains(&revision) {
             seen.push(revision);
@@ -133,7 +133,7 @@
     let core = vm(&platform, "vm-1", vec![unused()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
     tokio::spawn(peers::rounds(Arc::clone(&core)));
-    until(|| core.revision() == Revision(3)).await;
+    wait_until(|| core.revision() == Revision(3)).await;
 }
 
 /// Guards against callers that wait or are refused while a VM that lost power with all others waits for their word.
@@ -145,7 +145,7 @@
     let core = vm(&platform, "vm-1", vec![dark.local_addr().unwrap()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
     let rounds = peers::rounds(Arc::clone(&core));
-    let served = until(|| core.revision() == Revision(3));
+    let served = wait_until(|| core.revision() == Revision(3));
     tokio::select! {
         () = rounds => panic!("rounds go on"),
         () = served => {}
@@ -174,11 +174,11 @@
         let platform = Arc::clone(&platform);
         move || platform.announced.lock().unwrap().len() >= count
     };
-    until(written(1)).await;
+    wait_until(written(1)).await;
     platform.restore(Vec::new(), 0);
     // Any call shows it; the table of VMs itself is read seldom.
     drop(core.store.snapshot(Table::Fleet).await);
-    until(written(2)).await;
+    wait_until(written(2)).await;
 }
 
 /// Guards against orders that engines refuse, or take for older ones, since offsets begin again.
@@ -205,7 +205,7 @@
         };
         core.fleet.lock().name_weights(&weights, clock::now());
         core.named.notify_one();
-        until(|| {
+        wait_until(|| {
             let engines = platform.engines.lock().unwrap();
             engines.iter().all(|engine| engine.version == version)
         })
@@ -268,17 +268,17 @@
     let platform = platform(vec![published(5)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    until(|| core.revision() == Revision(5)).await;
+    wait_until(|| core.revision() == Revision(5)).await;
     let catalogue = core.catalogue().unwrap();
     platform.restore(Vec::new(), 0);
-    until(|| core.store.timeline() == Timeline(2)).await;
+    wait_until(|| core.store.timeline() == Timeline(2)).await;
     let again: Arc<Document> = Arc::new(document(5));
     platform
         .records
         .lock()
         .unwrap()
         .push(Record::Document(again));
-    until(|| {
+    wait_until(|| {
         let next = core.known(Table::Settings).position().next();
         next == Some(LogPosition::new(Timeline(2), Offset(1)))
     })
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -1,4 +1,6 @@
-use crate::support::{Platform, StandinEngine, document, entry, offset, settings, until, unused};
+use crate::support::{
+    Platform, StandinEngine, document, entry, offset, settings, unused, wait_until,
+};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::Entry;
@@ -53,7 +55,7 @@
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
     let mut least = usize::MAX;
-    until(|| {
+    wait_until(|| {
         let now = clock::now();
         let fleet = core.fleet.lock();
         let open = fleet.upstreams().filter(|up| !up.is_paused(now));
@@ -75,7 +77,7 @@
     platform.engines.lock().unwrap()[0].unanswered_orders = 1;
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
-    until(|| all_hold(&platform, 2)).await;
+    wait_until(|| all_hold(&platform, 2)).await;
     let mut engines = platform.engines.lock().unwrap();
     let late = engines[0]
         .late
@@ -96,7 +98,7 @@
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
     name(&core, 3);
-    until(|| all_hold(&platform, 3)).await;
+    wait_until(|| all_hold(&platform, 3)).await;
     let engines = platform.engines.lock().unwrap();
     let orders = engines.iter().flat_map(|engine| &engine.orders);
     assert!(
@@ -117,7 +119,7 @@
         tokio::spawn(roll::run(Arc::clone(core)));
         name(core, 2);
     }
-    until(|| all_hold(&platform, 2)).await;
+    wait_until(|| all_hold(&platform, 2)).await;
     let engines = platform.engines.lock().unwrap();
     let orders: Vec<_> = engines.iter().flat_map(|engine| &engine.orders).collect();
     assert!(
@@ -146,7 +148,7 @@
     };
     assert_eq!(ordered(), 0);
     *platform.is_unavailable.lock().unwrap() = false;
-    until(|| all_hold(&platform, 2)).await;
+    wait_until(|| all_hold(&platform, 2)).await;
 }
 
 /// An engine crashed and another instance has its address, while the list still names it. The roll
@@ -162,9 +164,9 @@
         let engines = platform.engines.lock().unwrap();
         engines[1..].iter().all(|engine| engine.version == 2)
     };
-    until(|| others_hold() && !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
+    wait_until(|| others_hold() && !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
     let gone = "e0".parse().unwrap();
-    until(|| core.fleet.lock().get(&gone).unwrap().is_gone(clock::now())).await;
+    wait_until(|| core.fleet.lock().get(&gone).unwrap().is_gone(clock::now())).await;
     let told = core.peers.outbox.take();
     let word = told.iter().find(|news| news.engine == gone);
     assert!(word.is_some_and(|news| news.gone), "{told:?}");
@@ -185,7 +187,7 @@
     }
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
-    until(|| all_hold(&platform, 2)).await;
+    wait_until(|| all_hold(&platform, 2)).await;
     let engines = platform.engines.lock().unwrap();
     let orders = &engines[0].orders;
     assert_eq!(orders.len(), 2);
@@ -212,7 +214,7 @@
     let core = vm(&platform, "vm-1", 3);
     tokio::spawn(roll::run(Arc::clone(&core)));
     name(&core, 2);
-    until(|| !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
+    wait_until(|| !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
     platform.engines.lock().unwrap()[0].version = 1;
     let began = clock::now();
     let id = "e0".parse().unwrap();
@@ -242,7 +244,7 @@
     core.fleet.lock().name_weights(&weights, long_ago);
     tokio::spawn(roll::run(Arc::clone(&core)));
     let mut most = 0;
-    until(|| {
+    wait_until(|| {
         let engines = platform.engines.lock().unwrap();
         let loading = engines.iter().filter(|engine| engine.is_loading()).count();
         most = most.max(loading);
@@ -291,7 +293,7 @@
     let named = clock::now_less(Duration::from_secs(2));
     core.fleet.lock().name_weights(&weights, named);
     core.named.notify_one();
-    until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
+    wait_until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
     let drained = clock::now().since(began);
     assert!(drained >= Duration::from_millis(2_900), "{drained:?}");
 }
@@ -319,7 +321,7 @@
         let engines = platform.engines.lock().unwrap();
         engines[..3].iter().all(|engine| engine.version == 2)
     };
-    until(own_hold).await;
+    wait_until(own_hold).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(platform.engines.lock().unwrap()[3].orders.is_empty());
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -193,7 +193,7 @@
 }
 
 /// Waits until something has come to pass.
-pub async fn until(mut done: impl FnMut() -> bool) {
+pub async fn wait_until(mut done: impl FnMut() -> bool) {
     for _ in 0..2_000 {
         if done() {
             return;
