--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -1,5 +1,5 @@
 use crate::support::{
-    Platform, StandinKvStore, document, entry, offset, settings, unused, wait_until,
+    Platform, StandinKvStore, document, entry, offset, settings, unused_addr, wait_until,
 };
 use sesamegap_entry::catalogue::KvStore;
 use sesamegap_entry::clock;
@@ -36,7 +36,7 @@
 fn listed(beat: u64) -> Record {
     let entry = Entry {
         beat,
-        ..entry("desk", unused())
+        ..entry("desk", unused_addr())
     };
     Record::Upstream(worker(), Box::new(entry))
 }
@@ -95,7 +95,7 @@
 }
 
 fn engine(born: u64, beat: u64, version: u32) -> Record {
-    let mut entry = entry("engines", unused());
+    let mut entry = entry("engines", unused_addr());
     entry.born = Some(Incarnation(born));
     entry.beat = beat;
     entry.weights[0].version = WeightsVersion(version);
@@ -273,7 +273,7 @@
     let core = Arc::new(core.unwrap());
     let mut document = document(1);
     document.kv_stores = vec![KvStore {
-        addr: unused(),
+        addr: unused_addr(),
         domain: "hall-a".parse().unwrap(),
         link: 1_000,
     }];
--- a/crates/sesamegap-entry/tests/testsuite/fleet.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet.rs
@@ -1,4 +1,4 @@
-use crate::support::{entry, offset, unused};
+use crate::support::{entry, offset, unused_addr};
 use sesamegap_entry::fleet::{Change, Entry, Fleet, Rules};
 use sesamegap_entry::ports::Weights;
 use sesamegap_policy::routing::{Availability, belief};
@@ -19,7 +19,7 @@
 fn beat(number: u64) -> Entry {
     Entry {
         beat: number,
-        ..entry("engines", unused())
+        ..entry("engines", unused_addr())
     }
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{
     Act, LogLines, Platform, Process, Upstream, ask, document, entry, offset, route, settings,
-    unused,
+    unused_addr,
 };
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
@@ -28,7 +28,7 @@
 }
 
 fn sound(no: usize, beat: u64) -> Record {
-    let mut entry = entry("desk", unused());
+    let mut entry = entry("desk", unused_addr());
     entry.beat = beat;
     Record::Upstream(id(no), Box::new(entry))
 }
--- a/crates/sesamegap-entry/tests/testsuite/once.rs
+++ b/crates/sesamegap-entry/tests/testsuite/once.rs
@@ -1,4 +1,4 @@
-use crate::support::{Act, Process, Upstream, ask, unused};
+use crate::support::{Act, Process, Upstream, ask, unused_addr};
 
 /// A save's answer is lost in one of many ways after the worker may have run it. A second run
 /// would file it twice; "not run" would make the clerk do so.
@@ -32,7 +32,7 @@
 async fn a_save_goes_on_after_a_connection_that_was_refused() {
     let process = Process::new().await;
     let good = Upstream::start(vec![Act::Answer(200, "saved")]).await;
-    process.add("w1", "desk", unused());
+    process.add("w1", "desk", unused_addr());
     process.add("w2", "desk", good.addr);
     for _ in 0..4 {
         let answer = ask(process.callers, "POST", "/save/", "", "form").await;
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -77,7 +77,7 @@
             .unwrap()
     };
     for no in 0..count {
-        let entry = crate::support::entry("engines", crate::support::unused());
+        let entry = crate::support::entry("engines", crate::support::unused_addr());
         two.fleet
             .lock()
             .apply(&engine(no), entry, offset(0), sesamegap_entry::clock::now());
@@ -117,7 +117,7 @@
             vm: "old-1".parse().unwrap(),
             incarnation: sesamegap_wire::Incarnation(1),
         },
-        addr: crate::support::unused(),
+        addr: crate::support::unused_addr(),
         version: 1,
         status: Status::Alive,
     };
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -1,6 +1,6 @@
 //! Prompts placed by the VM that owns the shard of their home.
 
-use crate::support::{Platform, document, entry, offset, settings, unused, wait_until};
+use crate::support::{Platform, document, entry, offset, settings, unused_addr, wait_until};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::{Flight, PromptShape, Selection};
@@ -55,7 +55,7 @@
 
 /// Two VMs among strangers that answer nothing; all prompts of the first are placed by the second, or by itself.
 fn pair(last: u8) -> (Arc<Core>, Arc<Core>) {
-    let port = unused().port();
+    let port = unused_addr().port();
     let (one, two) = (format!("127.0.9.{last}"), format!("127.0.8.{last}"));
     let (asker, owner) = (vm("vm-asker", &one, port), vm("vm-owner", &two, port));
     for core in [&asker, &owner] {
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{
     Act, CRASH_MARK, CrashingUpstream, Platform, Upstream, ask, document, entry, offset, settings,
-    unused, wait_until,
+    unused_addr, wait_until,
 };
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -70,7 +70,7 @@
 /// VMs that know each other.
 async fn vms(net: u8) -> Vec<Vm> {
     let platform = Arc::new(Platform::default());
-    let port = unused().port();
+    let port = unused_addr().port();
     let mut all = Vec::new();
     for no in 0..VMS {
         all.push(vm(no, net, port, &platform).await);
@@ -191,7 +191,7 @@
 #[tokio::test]
 async fn a_vm_that_starts_learns_from_the_store_what_is_quarantined() {
     let platform = Arc::new(Platform::default());
-    let port = unused().port();
+    let port = unused_addr().port();
     let request = fingerprint("/chat/a", CRASH_MARK);
     let before = vm(0, 23, port, &platform).await;
     tokio::spawn(quarantine::sync(Arc::clone(&before.core)));
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,4 +1,4 @@
-use crate::support::{Platform, entry, offset, settings, unused, wait_until};
+use crate::support::{Platform, entry, offset, settings, unused_addr, wait_until};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::follow::{Reading, follow, hear, take};
@@ -45,7 +45,7 @@
 }
 
 fn change(leaving: bool, beat: u64) -> Record {
-    let mut entry = entry("desk", unused());
+    let mut entry = entry("desk", unused_addr());
     entry.leaving = leaving;
     entry.beat = beat;
     Record::Upstream(worker(), Box::new(entry))
@@ -80,7 +80,7 @@
 /// sending requests to it until it is gone.
 #[tokio::test]
 async fn a_leaving_worker_that_one_vm_read_of_is_known_to_all() {
-    let port = unused().port();
+    let port = unused_addr().port();
     let reader = vm("vm-1", "127.0.0.1", port);
     let hearer = vm("vm-2", "127.0.0.2", port);
     knows(&reader, &hearer);
@@ -119,12 +119,12 @@
 fn a_word_that_comes_late_brings_nobody_back() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _guard = runtime.enter();
-    let core = vm("vm-1", "127.0.0.1", unused().port());
+    let core = vm("vm-1", "127.0.0.1", unused_addr().port());
     core.known(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
     let word = |from: u64, next: u64, record: Record| {
-        let other = vm("vm-2", "127.0.0.1", unused().port());
+        let other = vm("vm-2", "127.0.0.1", unused_addr().port());
         let known = change(false, 1);
         take(
             &other,
@@ -163,11 +163,11 @@
 /// more; only a few VMs watch it.
 #[tokio::test]
 async fn a_store_that_one_vm_found_dead_is_left_alone_by_all() {
-    let port = unused().port();
+    let port = unused_addr().port();
     let watcher = vm("vm-1", "127.0.0.1", port);
     let hearer = vm("vm-2", "127.0.0.2", port);
     knows(&watcher, &hearer);
-    let store = unused();
+    let store = unused_addr();
     peers::tell_of_store(&watcher, store);
     wait_until(|| hearer.fleet.lock().is_store_out(store, clock::now())).await;
     let later = clock::now() + Duration::from_secs(2);
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -1,6 +1,6 @@
 //! A store that was restored from an older copy, and VMs that go on.
 
-use crate::support::{Platform, StandinEngine, document, entry, settings, unused, wait_until};
+use crate::support::{Platform, StandinEngine, document, entry, settings, unused_addr, wait_until};
 use sesamegap_entry::catalogue::{Document, Revision};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -34,7 +34,7 @@
 fn worker(no: usize, beat: u64) -> Record {
     let entry = Entry {
         beat,
-        ..entry("desk", unused())
+        ..entry("desk", unused_addr())
     };
     Record::Upstream(id(no), Box::new(entry))
 }
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn a_vm_that_starts_alone_takes_the_stores_document() {
     let platform = platform(vec![published(3)]);
-    let core = vm(&platform, "vm-1", vec![unused()]);
+    let core = vm(&platform, "vm-1", vec![unused_addr()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
     tokio::spawn(peers::rounds(Arc::clone(&core)));
     wait_until(|| core.revision() == Revision(3)).await;
@@ -189,7 +189,7 @@
     {
         let mut engines = platform.engines.lock().unwrap();
         for no in 0..2 {
-            let engine = StandinEngine::new(unused());
+            let engine = StandinEngine::new(unused_addr());
             let entry = entry("engines", engine.addr);
             engines.push(engine);
             let at = LogPosition::new(Timeline(1), Offset(no));
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -1,5 +1,5 @@
 use crate::support::{
-    Platform, StandinEngine, document, entry, offset, settings, unused, wait_until,
+    Platform, StandinEngine, document, entry, offset, settings, unused_addr, wait_until,
 };
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -22,7 +22,7 @@
     let core = Arc::new(core.unwrap());
     let mut all = platform.engines.lock().unwrap();
     while all.len() < engines {
-        all.push(StandinEngine::new(unused()));
+        all.push(StandinEngine::new(unused_addr()));
     }
     for (no, engine) in all.iter().enumerate() {
         let id = format!("e{no}").parse().unwrap();
@@ -305,7 +305,7 @@
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
     core.adopt(&Arc::new(document(1)), "test");
-    let stranger = StandinEngine::new(unused());
+    let stranger = StandinEngine::new(unused_addr());
     let foreign = Entry {
         service: "strangers".parse().unwrap(),
         ..entry("engines", stranger.addr)
--- a/crates/sesamegap-entry/tests/testsuite/stops.rs
+++ b/crates/sesamegap-entry/tests/testsuite/stops.rs
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn the_locator_names_this_process_only_while_it_serves() {
     let process = Process::new().await;
-    process.add("w1", "desk", crate::support::unused());
+    process.add("w1", "desk", crate::support::unused_addr());
     let (addrs, ttl) = locator::answer(&process.core);
     assert_eq!(addrs, [process.core.settings().listen.callers]);
     assert!(ttl > Duration::ZERO);
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// An address with a port that nobody listens on, for what a test does not start.
-pub fn unused() -> SocketAddr {
+pub fn unused_addr() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
@@ -52,12 +52,12 @@
         vm: name.parse().unwrap(),
         domain: "hall-a".parse().unwrap(),
         listen: Listen {
-            callers: unused(),
-            ready: unused(),
-            peers: unused(),
-            loads: unused(),
-            operators: unused(),
-            locator: unused(),
+            callers: unused_addr(),
+            ready: unused_addr(),
+            peers: unused_addr(),
+            loads: unused_addr(),
+            operators: unused_addr(),
+            locator: unused_addr(),
         },
         seeds,
         spans: Spans {
