--- a/crates/sesamegap-entry/tests/testsuite/support/caller.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sees each byte of its answer.
+//! A caller that reads the raw bytes of its answers.
 
 use super::{HOST, KEY};
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait of a test for anything; reached only when something is broken.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a read; reached only if a test fails.
+pub const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller got.
+/// An answer as a caller received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
-    /// The body with its framing undone.
+    /// The body without its transfer encoding.
     pub body: String,
-    /// Whether the body ended as its head promised.
+    /// Whether the whole body arrived, by its length or its last chunk.
     pub is_complete: bool,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// An open connection of a caller.
+/// A connection of a caller.
 #[derive(Debug)]
 pub struct Caller {
     stream: TcpStream,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A caller on a connection that was opened without waiting.
+    /// A caller on an open blocking connection.
     pub fn from_stream(stream: std::net::TcpStream) -> Self {
         stream.set_nonblocking(true).unwrap();
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends without letting anything else run.
+    /// Sends without yielding to other tasks.
     pub fn send_now(&mut self, text: &str) {
         let sent = self.stream.try_write(text.as_bytes()).unwrap();
         assert_eq!(sent, text.len());
@@ -63,10 +63,10 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Reads until this text has come.
+    /// Reads until the bytes contain this text.
     pub async fn until(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.bytes).contains(text) {
-            assert!(self.more().await, "closed before {text:?}");
+            assert!(self.read_more().await, "closed before {text:?}");
         }
     }
 
@@ -77,43 +77,43 @@
                 self.bytes.drain(..used);
                 return answer;
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 let parsed = parse(&self.bytes, true);
                 return parsed.expect("closed without an answer").0;
             }
         }
     }
 
-    /// Whether the other end closes without sending more.
+    /// Whether the connection is closed without any further bytes.
     pub async fn is_closed(&mut self) -> bool {
-        !self.more().await
+        !self.read_more().await
     }
 
-    async fn more(&mut self) -> bool {
+    async fn read_more(&mut self) -> bool {
         let mut chunk = [0; 4096];
-        let read = timeout(PATIENCE, self.stream.read(&mut chunk)).await;
+        let read = timeout(READ_TIMEOUT, self.stream.read(&mut chunk)).await;
         let count = read.expect("an answer in time").unwrap_or(0);
         self.bytes.extend_from_slice(&chunk[..count]);
         count > 0
     }
 }
 
-/// Sends a request on a connection of its own and reads the answer.
-pub async fn ask(addr: SocketAddr, method: &str, path: &str, more: &str, body: &str) -> Answer {
+/// Sends a request on a new connection and reads the answer.
+pub async fn ask(addr: SocketAddr, method: &str, path: &str, headers: &str, body: &str) -> Answer {
     let mut caller = Caller::connect(addr).await;
-    caller.send(&request(method, path, more, body)).await;
+    caller.send(&request(method, path, headers, body)).await;
     caller.answer().await
 }
 
-/// A request's text, with the usual key and an id.
-pub fn request(method: &str, path: &str, more: &str, body: &str) -> String {
+/// The text of a request with [`KEY`] and an id.
+pub fn request(method: &str, path: &str, headers: &str, body: &str) -> String {
     format!(
-        "{method} {path} HTTP/1.1\r\nhost: {HOST}\r\nx-id: r1\r\nauthorization: {KEY}\r\n{more}content-length: {}\r\n\r\n{body}",
+        "{method} {path} HTTP/1.1\r\nhost: {HOST}\r\nx-id: r1\r\nauthorization: {KEY}\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// An answer and its length, once it is whole or the connection is closed.
+/// An answer and its length in bytes, once it is complete or the connection is closed.
 fn parse(bytes: &[u8], closed: bool) -> Option<(Answer, usize)> {
     let text = String::from_utf8_lossy(bytes);
     let (head, rest) = text.split_once("\r\n\r\n")?;
@@ -126,10 +126,10 @@
     };
     let start = head.len() + 4;
     if answer.header("transfer-encoding").is_some() {
-        let (body, used, whole) = unchunk(rest);
+        let (body, used, is_complete) = unchunk(rest);
         answer.body = body;
-        answer.is_complete = whole;
-        return (whole || closed).then_some((answer, start + used));
+        answer.is_complete = is_complete;
+        return (is_complete || closed).then_some((answer, start + used));
     }
     let length: usize = answer.header("content-length")?.parse().ok()?;
     answer.is_complete = rest.len() >= length;
@@ -137,9 +137,9 @@
     (answer.is_complete || closed).then_some((answer, start + length.min(rest.len())))
 }
 
-/// A chunked body undone: its content, what it took, and whether it has ended.
+/// Decodes a chunked body: its content, the bytes used, and whether it has ended.
 fn unchunk(mut text: &str) -> (String, usize, bool) {
-    let all = text.len();
+    let total = text.len();
     let mut body = String::new();
     while let Some((size, rest)) = text.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size.trim(), 16) else {
@@ -151,8 +151,8 @@
         body.push_str(&rest[..size]);
         text = &rest[size + 2..];
         if size == 0 {
-            return (body, all - text.len(), true);
+            return (body, total - text.len(), true);
         }
     }
-    (body, all - text.len(), false)
+    (body, total - text.len(), false)
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
@@ -1,4 +1,4 @@
-//! An upstream whose process ends under a marked request, and starts again after a while.
+//! An upstream that crashes when it runs a marked request, and restarts after a delay.
 
 use super::upstream::{header, read};
 use std::net::SocketAddr;
@@ -10,80 +10,81 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// What a body contains that ends the upstream which runs it.
+/// A request whose body contains this crashes the upstream that runs it.
 pub const CRASH_MARK: &str = "crash";
 
-/// Time that a request runs before its first byte, and between two events.
+/// Time before the first byte of an answer, and between two events.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Events of an answer.
+/// Events in an answer.
 const EVENTS: u64 = 4;
 
-/// Counts of one upstream.
+/// Counts of an upstream.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Marked requests that reached it.
+    /// Marked requests that it received.
     pub marked: usize,
-    /// Times that it ended.
+    /// Number of crashes.
     pub crashes: usize,
 }
 
-/// An upstream that ends and starts again at the same address.
+/// An upstream that crashes and restarts at the same address.
 #[derive(Debug, Clone)]
 pub struct CrashingUpstream {
     pub addr: SocketAddr,
     counts: Arc<Mutex<Counts>>,
-    ends: Arc<Notify>,
+    crash: Arc<Notify>,
 }
 
 impl CrashingUpstream {
-    /// Starts it; after each end it is down for a while, and `started` is called with the number of each start.
-    pub async fn start(down: Duration, started: impl Fn(usize) + Send + 'static) -> Self {
+    /// Starts the upstream; after each crash it is down for `down`.
+    ///
+    /// `on_start` is called at each start with the number of crashes so far.
+    pub async fn start(down: Duration, on_start: impl Fn(usize) + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mortal = Self {
+        let upstream = Self {
             addr: listener.local_addr().unwrap(),
             counts: Arc::default(),
-            ends: Arc::default(),
+            crash: Arc::default(),
         };
-        started(0);
-        tokio::spawn(mortal.clone().live(listener, down, started));
-        mortal
+        on_start(0);
+        tokio::spawn(upstream.clone().run(listener, down, on_start));
+        upstream
     }
 
-    /// Its counts.
     pub fn counts(&self) -> std::sync::MutexGuard<'_, Counts> {
         self.counts.lock().unwrap()
     }
 
-    /// Ends it now, by no request's fault.
+    /// Crashes the upstream independently of any request.
     pub fn crash(&self) {
-        self.ends.notify_one();
+        self.crash.notify_one();
     }
 
-    async fn live(
+    async fn run(
         self,
         mut listener: TcpListener,
         down: Duration,
-        started: impl Fn(usize) + Send + 'static,
+        on_start: impl Fn(usize) + Send + 'static,
     ) {
         loop {
             self.serve(&listener).await;
-            let times = {
+            let crashes = {
                 let mut counts = self.counts();
                 counts.crashes += 1;
                 counts.crashes
             };
-            // Without a pause its supervisor holds the socket and hands it to the next start.
+            // Without downtime the listening socket stays open, as if a supervisor passed it to the next start.
             if !down.is_zero() {
                 drop(listener);
                 sleep(down).await;
                 listener = self.listen().await;
             }
-            started(times);
+            on_start(crashes);
         }
     }
 
-    /// Serves until it ends, and closes all at once then.
+    /// Serves until the next crash, which closes all connections at once.
     async fn serve(&self, listener: &TcpListener) {
         let mut requests = JoinSet::new();
         loop {
@@ -91,7 +92,7 @@
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                     requests.spawn(self.clone().answer(stream));
                 },
-                () = self.ends.notified() => return,
+                () = self.crash.notified() => return,
             }
         }
     }
@@ -114,7 +115,7 @@
         sleep(STEP).await;
         if request.contains(CRASH_MARK) {
             self.counts().marked += 1;
-            self.ends.notify_one();
+            self.crash.notify_one();
             std::future::pending::<()>().await;
         }
         let id = header(&request, "x-id").unwrap_or_default();
--- a/crates/sesamegap-entry/tests/testsuite/support/lines.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/lines.rs
@@ -1,4 +1,4 @@
-//! A log that is kept in memory.
+//! A log in memory.
 
 use sesamegap_entry::telemetry::Logging;
 use std::io::{self, Write};
@@ -6,17 +6,17 @@
 use tracing::Subscriber;
 use tracing_subscriber::EnvFilter;
 
-/// What was logged.
+/// Log lines in memory.
 #[derive(Debug, Clone, Default)]
 pub struct LogLines(Arc<Mutex<Vec<u8>>>);
 
 impl LogLines {
-    /// A subscriber that logs here, and its log: all is written once that is dropped.
+    /// A subscriber that logs here; all lines are written once the [`Logging`] is dropped.
     pub fn subscriber(&self) -> (impl Subscriber + Send + Sync + use<>, Logging) {
         Logging::to_writer(self.clone(), EnvFilter::new("info"))
     }
 
-    /// Lines with the number of an event.
+    /// Lines with this event number.
     pub fn with_event(&self, event: u16) -> Vec<String> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         let number = format!("\"event\":{event}");
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! A process with stand-ins around it.
+//! An entry VM process with stand-ins for the platform and upstreams.
 
 mod caller;
 mod crashing;
@@ -41,7 +41,7 @@
     pub callers: SocketAddr,
 }
 
-/// An address with a port that nobody listens on, for what a test does not start.
+/// An address with a port that nothing listens on, for servers that a test does not start.
 pub fn unused_addr() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
@@ -79,7 +79,7 @@
 }
 
 impl Process {
-    /// Serves callers on a free port; knows neither settings nor upstreams yet.
+    /// Serves callers on a free port, without a document or upstreams.
     pub async fn empty() -> Self {
         let platform = Arc::new(Platform::default());
         let core = Core::new(
@@ -94,7 +94,7 @@
         Self { core, callers }
     }
 
-    /// Serves callers under the usual document.
+    /// Serves callers with [`document`] in force.
     pub async fn new() -> Self {
         let process = Self::empty().await;
         process.core.adopt(&Arc::new(document(1)), "test");
@@ -129,7 +129,7 @@
     }
 }
 
-/// Routes of each kind under paths of their names.
+/// A document with a route of each kind.
 pub fn document(revision: u64) -> Document {
     let service = |name: &str, engine: Option<EngineSpec>| Service {
         name: name.parse().unwrap(),
@@ -187,18 +187,18 @@
     }
 }
 
-/// An offset on the store's first timeline.
+/// A position on the first timeline of the store.
 pub fn offset(no: u64) -> LogPosition {
     LogPosition::new(Timeline::default(), Offset(no))
 }
 
-/// Waits until something has come to pass.
-pub async fn wait_until(mut done: impl FnMut() -> bool) {
+/// Waits until a condition holds, for at most 20 seconds.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     for _ in 0..2_000 {
-        if done() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("it never came to pass");
+    panic!("condition not met in time");
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform behind the ports, in words of their own.
+//! A stand-in for the platform behind the ports, with header names of its own.
 
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -66,17 +66,17 @@
         &ESSENTIAL
     }
 
-    fn write_dispatch(&self, told: &Dispatch, headers: &mut HeaderMap) {
+    fn write_dispatch(&self, dispatch: &Dispatch, headers: &mut HeaderMap) {
         let mut set = |name: &HeaderName, value: Option<String>| {
             if let Some(value) = value {
                 headers.insert(name, HeaderValue::from_str(&value).unwrap());
             }
         };
-        set(&LEFT, Some(told.left.as_millis().to_string()));
-        set(&MEANT, told.upstream.as_ref().map(ToString::to_string));
-        set(&TEAM, told.team.as_ref().map(ToString::to_string));
-        set(&SPACE, told.namespace.as_ref().map(ToString::to_string));
-        set(&AFTER, told.after.map(|event| event.to_string()));
+        set(&LEFT, Some(dispatch.left.as_millis().to_string()));
+        set(&MEANT, dispatch.upstream.as_ref().map(ToString::to_string));
+        set(&TEAM, dispatch.team.as_ref().map(ToString::to_string));
+        set(&SPACE, dispatch.namespace.as_ref().map(ToString::to_string));
+        set(&AFTER, dispatch.after.map(|event| event.to_string()));
     }
 
     fn read_answer(&self, headers: &HeaderMap) -> AnswerHead {
@@ -92,31 +92,31 @@
     }
 }
 
-/// An engine that takes orders.
+/// An engine that accepts orders to load weights.
 #[derive(Debug)]
 pub struct StandinEngine {
     pub addr: SocketAddr,
     pub version: u32,
-    /// Orders that it has taken.
+    /// Orders that it has accepted.
     pub orders: Vec<LoadOrder>,
-    /// Orders that it still leaves unanswered.
+    /// Number of further orders that it does not answer.
     pub unanswered_orders: u32,
-    /// Whether another instance has its address.
+    /// Whether another instance is at its address now.
     pub moved: bool,
-    /// The last of these, to be carried out late.
+    /// The last unanswered order, to be executed late.
     pub late: Option<LoadOrder>,
-    /// Its present life, if it says.
+    /// Incarnation that it states, if any.
     pub born: Option<Incarnation>,
-    /// Orders of former lives, of which it knows nothing.
-    pub forgotten: usize,
-    /// Orders in the midst of which it starts again.
+    /// Number of orders that it accepted before its last restart and no longer knows.
+    pub orders_before_restart: usize,
+    /// Number of further orders during which it restarts.
     pub restarts: u32,
-    /// Times that it was asked for its state.
+    /// Number of reports that it was asked for.
     pub reports: u32,
-    /// How long it loads weights.
+    /// Time to load weights.
     pub load_time: Duration,
-    /// Until when it loads.
-    pub loads: Option<Instant>,
+    /// Time when the current load completes.
+    pub loading_until: Option<Instant>,
 }
 
 impl StandinEngine {
@@ -129,72 +129,73 @@
             moved: false,
             late: None,
             born: None,
-            forgotten: 0,
+            orders_before_restart: 0,
             restarts: 0,
             reports: 0,
             load_time: Duration::ZERO,
-            loads: None,
+            loading_until: None,
         }
     }
 
-    /// Orders that its present life has taken.
+    /// Number of orders accepted since its last restart.
     pub fn taken(&self) -> u64 {
-        (self.orders.len() - self.forgotten) as u64
+        (self.orders.len() - self.orders_before_restart) as u64
     }
 
-    /// Whether it loads weights now.
+    /// Whether it is loading weights.
     pub fn is_loading(&self) -> bool {
-        self.loads.is_some_and(|until| Instant::now() < until)
+        self.loading_until
+            .is_some_and(|until| Instant::now() < until)
     }
 
-    /// Starts again with the weights that it had.
+    /// Restarts with the same weights.
     pub fn restart(&mut self) {
         self.born = self.born.map(|Incarnation(born)| Incarnation(born + 1));
-        self.forgotten = self.orders.len();
+        self.orders_before_restart = self.orders.len();
     }
 
-    /// Carries an order out if its number of orders still holds.
+    /// Executes an order if it expects the present number of accepted orders; returns whether it did.
     pub fn execute(&mut self, order: &LoadOrder) -> bool {
-        let fits = order.expected == self.taken();
-        if fits {
+        let accepted = order.expected == self.taken();
+        if accepted {
             self.orders.push(order.clone());
             if self.restarts > 0 {
                 self.restarts -= 1;
                 self.restart();
             } else {
                 self.version = order.weights.version.0;
-                self.loads = Some(Instant::now() + self.load_time);
+                self.loading_until = Some(Instant::now() + self.load_time);
             }
         }
-        fits
+        accepted
     }
 }
 
-/// A store of kept cache that tells news.
+/// A kept-KV store that answers with news.
 #[derive(Debug)]
 pub struct StandinKvStore {
     pub news: CacheNews,
-    /// Numbers that it was asked from.
+    /// Numbers since which news were requested.
     pub asked: Vec<u64>,
 }
 
-/// A store that can be away, and engines that take orders.
+/// A store that can be unavailable, and engines that accept orders.
 #[derive(Debug, Default)]
 pub struct Platform {
     pub is_unavailable: Mutex<bool>,
     pub engines: Mutex<Vec<StandinEngine>>,
     pub cache: Mutex<Option<StandinKvStore>>,
-    /// Weights that are named.
+    /// Weights announced in the store.
     pub named_weights: Mutex<Option<Weights>>,
-    /// Whether it has dropped the history that the next call asks for.
+    /// Whether the next call asks for records that were compacted.
     pub dropped: Mutex<bool>,
-    /// How often it was restored from a copy, if it says.
+    /// Timeline that the store states, if any: how often it was restored from a backup.
     pub timeline: Mutex<Option<Timeline>>,
-    /// What its tables hold; what one table is asked for is found in all.
+    /// Records of its tables; all tables return the same ones.
     pub records: Mutex<Vec<Record>>,
-    /// Entries of VMs that were written.
+    /// VMs whose entries were written.
     pub announced: Mutex<Vec<VmId>>,
-    /// Requests under which upstreams ended, as they were written.
+    /// Records of requests that crashed upstreams.
     pub quarantine: Mutex<Vec<quarantine::Record>>,
     leases: Mutex<Vec<Bytes>>,
 }
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Comes back from a copy that holds these records of its tables and so many claims of the lease log.
+    /// Restores the store from a backup with these table records and this many claims of the lease log.
     pub fn restore(&self, records: Vec<Record>, claims: usize) {
         let mut timeline = self.timeline.lock().unwrap();
         *timeline = Some(Timeline(timeline.map_or(0, |timeline| timeline.0) + 1));
@@ -216,16 +217,16 @@
         self.leases.lock().unwrap().truncate(claims);
     }
 
-    fn there(&self) -> Result<(), StoreError> {
+    fn check_available(&self) -> Result<(), StoreError> {
         if *self.is_unavailable.lock().unwrap() {
             return Err(StoreError::Busy);
         }
         Ok(())
     }
 
-    /// Records of a table from an offset on, if the store is there.
+    /// Records of a table from an offset on, if the store is available.
     fn table(&self, from: Offset) -> Result<Records, StoreError> {
-        self.there()?;
+        self.check_available()?;
         let records = self.records.lock().unwrap();
         let next = Offset(records.len() as u64);
         if from > next {
@@ -256,22 +257,22 @@
         }
     }
 
-    /// Does something with the engine at an address.
+    /// Calls a function with the engine at an address.
     fn with<T>(
         &self,
         addr: SocketAddr,
-        act: impl FnOnce(&mut StandinEngine) -> Result<T, String>,
+        call: impl FnOnce(&mut StandinEngine) -> Result<T, String>,
     ) -> Result<T, String> {
         let mut engines = self.engines.lock().unwrap();
         let engine = engines.iter_mut().find(|engine| engine.addr == addr);
-        engine.map_or(Err("no engine there".to_owned()), act)
+        engine.map_or(Err("no engine there".to_owned()), call)
     }
 }
 
 impl Store for Platform {
     fn snapshot(&self, table: Table) -> Call<'_, Records> {
         let quarantined = || {
-            self.there()?;
+            self.check_available()?;
             let records = self.quarantine.lock().unwrap();
             let records = records.iter().cloned().map(Box::new);
             Ok(Records {
@@ -302,11 +303,11 @@
 
     fn announce(&self, vm: &VmId, _peers: SocketAddr) -> Call<'_, ()> {
         self.announced.lock().unwrap().push(vm.clone());
-        async move { self.reply(self.there()) }.boxed()
+        async move { self.reply(self.check_available()) }.boxed()
     }
 
     fn quarantine(&self, records: &[quarantine::Record]) -> Call<'_, ()> {
-        let written = self.there().map(|()| {
+        let written = self.check_available().map(|()| {
             let mut kept = self.quarantine.lock().unwrap();
             kept.retain(|old| records.iter().all(|new| new.fingerprint != old.fingerprint));
             kept.extend_from_slice(records);
@@ -316,7 +317,7 @@
 
     fn lease_records(&self, from: Offset) -> Call<'_, (Vec<Bytes>, Offset)> {
         async move {
-            let read = self.there().map(|()| {
+            let read = self.check_available().map(|()| {
                 let leases = self.leases.lock().unwrap();
                 let seen = leases.iter().skip(usize::try_from(from.0).unwrap());
                 (seen.cloned().collect(), Offset(leases.len() as u64))
@@ -328,7 +329,7 @@
 
     fn lease_append(&self, record: Bytes, at: Offset) -> Call<'_, Offset> {
         async move {
-            let done = self.there().and_then(|()| {
+            let done = self.check_available().and_then(|()| {
                 let mut leases = self.leases.lock().unwrap();
                 let end = Offset(leases.len() as u64);
                 if at != end {
--- a/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that does what a test tells it, down to the bytes.
+//! An upstream that sends the bytes that a test prescribes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -6,44 +6,44 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What an upstream does with one request.
+/// What an upstream does with a request.
 #[derive(Debug, Clone)]
 pub enum Act {
-    /// Answers whole.
+    /// Sends a complete answer.
     Answer(u16, &'static str),
-    /// Says that it did not run it.
+    /// States that it did not run the request.
     NotRun(u16),
-    /// Says that it is another instance than the one that was meant.
+    /// States that it is another instance than the one addressed.
     Elsewhere(&'static str),
-    /// Says that it holds these weights, and not those that were asked for.
+    /// States that it holds these weights instead of the requested ones.
     OtherWeights(u32),
-    /// Answers with a status that promises not run, without saying so.
+    /// Answers with a status that implies that the request was not run, without stating it.
     FalsePromise(u16),
-    /// Answers whole, but to another request.
+    /// Sends a complete answer to another request.
     OtherId,
-    /// Answers a success without a seal.
+    /// Answers with success but without a seal.
     Unsealed,
     /// Sends half of the body and closes.
     Half,
-    /// Sends a whole answer without a length and closes.
+    /// Sends a complete answer without a length and closes.
     NoLength(&'static str),
-    /// Sends bytes that are no answer.
+    /// Sends bytes that are not HTTP.
     Garbage,
     /// Closes without an answer.
     Close,
     /// Never answers.
     Silent,
-    /// Sends these events and ends.
+    /// Sends these events and ends the stream.
     Events(std::ops::Range<u64>),
-    /// Sends these events, half of one more, and closes.
+    /// Sends these events and a part of the next one, and closes.
     CutEvents(std::ops::Range<u64>),
-    /// Sends these events and then nothing.
+    /// Sends these events and then nothing more, without closing.
     StalledEvents(std::ops::Range<u64>),
-    /// Sends these events, pauses, and sends the rest up to this one.
+    /// Sends these events, pauses, and sends the rest up to this id.
     PausedEvents(std::ops::Range<u64>, Duration, u64),
-    /// Waits, then does the other thing.
+    /// Waits, then acts.
     After(Duration, Box<Act>),
-    /// Sends these events once the requests before it have ended; drops it if the connection closes
+    /// Sends these events after a time in the queue; drops the request if the connection closes
     /// before.
     Queued(Duration, std::ops::Range<u64>),
 }
@@ -58,7 +58,7 @@
 }
 
 impl Upstream {
-    /// Plays the acts in turn, the last one for all further requests.
+    /// Starts an upstream that performs the acts in turn, and the last one for all further requests.
     pub async fn start(acts: Vec<Act>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = Self {
@@ -81,17 +81,17 @@
         upstream
     }
 
-    /// Requests that reached it, as text.
+    /// Requests that it received, as text.
     pub fn seen(&self) -> Vec<String> {
         self.seen.lock().unwrap().clone()
     }
 
-    /// Connections that the other end has closed.
+    /// Number of connections that the client has closed.
     pub fn closed(&self) -> usize {
         *self.closed.lock().unwrap()
     }
 
-    /// Queued requests that have begun.
+    /// Number of queued requests that were started.
     pub fn started(&self) -> usize {
         *self.started.lock().unwrap()
     }
@@ -103,7 +103,7 @@
         let id = header(&request, "x-id").unwrap_or_default();
         self.seen.lock().unwrap().push(request);
         self.act(&mut stream, &id, act).await;
-        // Waits for the other end, which must notice a cut and close a stuck connection.
+        // The client has to notice a truncated answer and close a stalled connection.
         let mut byte = [0; 16];
         while !matches!(stream.read(&mut byte).await, Ok(0) | Err(_)) {}
         *self.closed.lock().unwrap() += 1;
@@ -187,7 +187,7 @@
                 return Box::pin(self.act(stream, id, *act)).await;
             }
         };
-        // A test may have ended by now.
+        // The client may have closed the connection by now.
         drop(stream.write_all(bytes.as_bytes()).await);
         if close {
             drop(stream.shutdown().await);
@@ -195,7 +195,7 @@
     }
 }
 
-/// Events as chunks of a body.
+/// Events in chunked encoding.
 fn chunks(range: std::ops::Range<u64>) -> String {
     let chunks: Vec<String> = range
         .map(|id| {
@@ -227,7 +227,7 @@
     }
 }
 
-/// A header's value in a request's text.
+/// The value of a header in the text of a request.
 pub(super) fn header(text: &str, name: &str) -> Option<String> {
     let head = text.split("\r\n\r\n").next()?;
     let lines = head.lines().filter_map(|line| line.split_once(':'));
