--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -242,7 +242,7 @@
                     .complete_query(answer.number, answer.chosen);
             }
             Ok(Datagram::Placing(PlacementMessage::Reports(words))) => {
-                placing::apply_reports(&core, from, &words)
+                placing::apply_reports(&core, from, &words);
             }
             Ok(Datagram::Quarantine(message)) => quarantine::receive(&core, from, message).await,
             Err(error) => {
--- a/crates/sesamegap-entry/tests/testsuite/logs.rs
+++ b/crates/sesamegap-entry/tests/testsuite/logs.rs
@@ -5,16 +5,16 @@
 use tracing::info;
 use tracing_subscriber::EnvFilter;
 
-/// A pipe whose reader has stopped: each write waits until it goes on.
-struct Stopped {
-    wrote: Sender<()>,
-    goes_on: Receiver<()>,
+/// A pipe whose reader has stopped: each write blocks until `resume` receives.
+struct BlockedPipe {
+    write_started: Sender<()>,
+    resume: Receiver<()>,
 }
 
-impl Write for Stopped {
+impl Write for BlockedPipe {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Either channel is closed once the test has ended, and then nobody waits.
-        if self.wrote.send(()).is_ok() && self.goes_on.recv().is_err() {
+        // Both channels are closed at the end of the test, and then writes do not block.
+        if self.write_started.send(()).is_ok() && self.resume.recv().is_err() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         Ok(bytes.len())
@@ -25,35 +25,40 @@
     }
 }
 
-/// Whoever reads the log stops reading. Requests that wrote a line would wait for it, and with them
-/// every caller of the VM.
+/// Guards against requests that block on a log line when the reader of the log has stopped.
 #[test]
-fn a_stopped_reader_holds_up_nobody_and_lost_lines_are_counted() {
-    let (wrote, writes) = channel();
-    let (go, goes_on) = channel();
+fn a_stopped_log_reader_blocks_no_request_and_dropped_lines_are_counted() {
+    let (write_started, writes) = channel();
+    let (resume_sender, resume) = channel();
     let filter = EnvFilter::new("info");
-    let (subscriber, logging) = Logging::to_writer(Stopped { wrote, goes_on }, filter);
+    let (subscriber, logging) = Logging::to_writer(
+        BlockedPipe {
+            write_started,
+            resume,
+        },
+        filter,
+    );
     tracing::subscriber::with_default(subscriber, || {
         info!("the first line");
         writes.recv().unwrap();
-        // The writer waits now, and many times what the queue holds is written.
+        // The writer is blocked now; log several times the capacity of the queue.
         for line in 0..20_000 {
             info!(line, "one of many");
         }
     });
     let dropped = logging.dropped();
     assert!((10_000..20_000).contains(&dropped), "{dropped}");
-    drop(go);
+    drop(resume_sender);
 }
 
-/// A worker breaks off a save. The log would say that it ran twice, and whoever looks for a save that was
-/// filed twice would find one that was not.
+/// Guards against a request that a worker aborted, logged as two runs: a search for duplicate saves would
+/// find one that ran once.
 #[tokio::test]
 async fn a_save_that_was_lost_once_is_logged_as_one_run() {
     let process = Process::new().await;
     let worker = Upstream::start(vec![Act::Close]).await;
     process.add("w1", "desk", worker.addr);
-    // The place that logs is reached once before, so that it is known when the subscriber comes.
+    // The first request registers the log call site before the subscriber is set.
     ask(process.callers, "POST", "/save/", "", "first").await;
     let lines = LogLines::default();
     let (subscriber, logging) = lines.subscriber();
--- a/crates/sesamegap-entry/tests/testsuite/main.rs
+++ b/crates/sesamegap-entry/tests/testsuite/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the process of an entry VM, over loopback sockets and stand-ins behind its ports.
+//! Tests of the entry VM process, over loopback sockets and with stand-ins behind its ports.
 #![expect(
     clippy::unwrap_used,
-    reason = "a test ends where a helper cannot go on"
+    reason = "a failed unwrap in a helper fails its test"
 )]
 
 mod belief;
--- a/crates/sesamegap-entry/tests/testsuite/pages.rs
+++ b/crates/sesamegap-entry/tests/testsuite/pages.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-/// The numbers in the code and those in the page that operators read must be the same.
+/// Guards against events whose number or meaning is missing or outdated in `docs/events.md`.
 #[test]
 fn every_event_is_in_the_catalogue() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -1,4 +1,4 @@
-//! Prompts placed by the VM that owns the shard of their home.
+//! Placing of prompts by the VM that owns the shard of their home.
 
 use crate::support::{Platform, document, entry, offset, settings, unused_addr, wait_until};
 use sesamegap_entry::clock;
@@ -17,10 +17,10 @@
 
 const ENGINES: usize = 4;
 
-/// Other VMs that each of them knows: more than tell each other of every prompt.
-const STRANGERS: usize = 12;
+/// Unreachable VMs that each VM knows: with them the fleet is too large to announce every prompt to all VMs.
+const UNREACHABLE_VMS: usize = 12;
 
-/// An entry VM at an address of its own, with engines; only its datagrams run.
+/// An entry VM with engines at its own address; of its servers only the datagram exchange runs.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
     settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
@@ -40,8 +40,8 @@
     core
 }
 
-fn knows(core: &Core, name: &str, addr: SocketAddr) {
-    let news = MemberUpdate {
+fn add_peer(core: &Core, name: &str, addr: SocketAddr) {
+    let update = MemberUpdate {
         who: ProcessId {
             vm: name.parse().unwrap(),
             incarnation: Incarnation(1),
@@ -50,26 +50,27 @@
         version: 0,
         status: Status::Alive,
     };
-    core.peers.hear(&news, clock::now());
+    core.peers.hear(&update, clock::now());
 }
 
-/// Two VMs among strangers that answer nothing; all prompts of the first are placed by the second, or by itself.
+/// Two VMs that know each other.
 fn pair(last: u8) -> (Arc<Core>, Arc<Core>) {
     let port = unused_addr().port();
     let (one, two) = (format!("127.0.9.{last}"), format!("127.0.8.{last}"));
     let (asker, owner) = (vm("vm-asker", &one, port), vm("vm-owner", &two, port));
     for core in [&asker, &owner] {
-        knows(core, "vm-asker", asker.settings().listen.peers);
-        knows(core, "vm-owner", owner.settings().listen.peers);
+        add_peer(core, "vm-asker", asker.settings().listen.peers);
+        add_peer(core, "vm-owner", owner.settings().listen.peers);
     }
     (asker, owner)
 }
 
-fn strangers(core: &Core) {
-    for no in 0..STRANGERS {
+/// Adds peers that never answer.
+fn add_unreachable_vms(core: &Core) {
+    for no in 0..UNREACHABLE_VMS {
         let ip: IpAddr = format!("127.0.7.{no}").parse().unwrap();
         let port = core.settings().listen.peers.port();
-        knows(core, &format!("stranger-{no}"), SocketAddr::new(ip, port));
+        add_peer(core, &format!("stranger-{no}"), SocketAddr::new(ip, port));
     }
 }
 
@@ -102,13 +103,13 @@
     choose(core, &selection, Duration::from_secs(5)).await
 }
 
-/// Prompt tokens that a VM knows to be unread at all engines.
+/// Prompt tokens that a VM counts as not prefilled yet, over all engines.
 fn unread(core: &Core) -> u64 {
     let fleet = core.fleet.lock();
     fleet.upstreams().map(|engine| fleet.unread(engine)).sum()
 }
 
-/// A prompt that the owner placed: strangers that are asked first are left alone for a while.
+/// A prompt placed by `owner`: unreachable owners that are queried first get no further queries for a while.
 async fn placed_by(asker: &Core, owner: &Core) -> Flight {
     let addr = owner.settings().listen.loads;
     for part in 0..200 {
@@ -117,24 +118,24 @@
             return flight;
         }
     }
-    panic!("nothing was placed by the owner");
+    panic!("the owner placed no prompt");
 }
 
-/// Guards against an owner that is dead and holds prompts up or has them refused.
+/// Guards against a dead owner that delays prompts or causes them to be refused.
 #[tokio::test]
-async fn an_owner_that_does_not_answer_costs_a_moment() {
+async fn a_prompt_is_placed_despite_an_unresponsive_owner() {
     let (asker, _owner) = pair(1);
-    strangers(&asker);
+    add_unreachable_vms(&asker);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let flight = place(&asker, 1).await;
     assert!(flight.is_some());
 }
 
-/// Guards against owners that lose count of prompts, so that engines seem busy or idle for good.
+/// Guards against owners that miscount prompts, so that engines seem busy or idle for ever.
 #[tokio::test]
-async fn an_owner_counts_a_prompt_until_it_was_read() {
+async fn an_owner_counts_a_prompt_until_it_is_prefilled() {
     let (asker, owner) = pair(2);
-    strangers(&asker);
+    add_unreachable_vms(&asker);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut flight = placed_by(&asker, &owner).await;
     wait_until(|| unread(&owner) == 6_000).await;
@@ -155,25 +156,25 @@
     .await;
 }
 
-/// Guards against an owner that counts prompts whose callers have left before the answer came.
+/// Guards against an owner that keeps counting prompts whose callers disconnected before the answer came.
 #[tokio::test]
-async fn a_question_that_is_given_up_is_taken_back() {
+async fn a_cancelled_query_is_not_counted() {
     let (asker, owner) = pair(3);
-    strangers(&asker);
+    add_unreachable_vms(&asker);
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(placed_by(&asker, &owner).await);
     for part in 0..40 {
-        let given_up = tokio::time::timeout(Duration::from_micros(200), place(&asker, part)).await;
-        drop(given_up);
+        let cancelled = tokio::time::timeout(Duration::from_micros(200), place(&asker, part)).await;
+        drop(cancelled);
     }
     wait_until(|| unread(&owner) == 0).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(unread(&owner), 0);
 }
 
-/// Guards against a fleet of few VMs that asks where all know of all prompts.
+/// Guards against needless queries among few VMs, where each announces its prompts to all others.
 #[tokio::test]
-async fn nobody_is_asked_in_a_small_fleet() {
+async fn no_owner_is_queried_in_a_small_fleet() {
     let (asker, _owner) = pair(4);
     tokio::time::sleep(Duration::from_millis(100)).await;
     for part in 0..20 {
--- a/crates/sesamegap-entry/tests/testsuite/stops.rs
+++ b/crates/sesamegap-entry/tests/testsuite/stops.rs
@@ -6,10 +6,9 @@
 const PULL: &str =
     "GET /pull/ HTTP/1.1\r\nhost: desk.example\r\nx-id: r1\r\nauthorization: clerks-key\r\n\r\n";
 
-/// A process is told to stop while a request is at a worker and another connection is idle. The
-/// request must get its answer, and the idle connection must close between requests.
+/// Guards against a stopping process that cuts a request at a worker, or keeps an idle connection open.
 #[tokio::test]
-async fn a_planned_stop_ends_requests_and_closes_idle_connections() {
+async fn a_planned_stop_completes_requests_and_closes_idle_connections() {
     let process = Process::new().await;
     let slow = Act::After(
         Duration::from_millis(300),
@@ -35,9 +34,9 @@
     assert!(busy.is_closed().await);
 }
 
-/// Callers that asked before the stop still come. They are served, on connections that close.
+/// Guards against a stopping process that refuses callers which got its address before the stop.
 #[tokio::test]
-async fn a_leaving_process_serves_and_asks_callers_to_go() {
+async fn a_leaving_process_serves_requests_and_closes_their_connections() {
     let process = Process::new().await;
     let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
     process.add("w1", "desk", desk.addr);
@@ -58,9 +57,9 @@
     assert_eq!(locator::answer(&process.core).0, []);
 }
 
-/// A caller sends half of a head and stops. It would hold a connection for ever.
+/// Guards against a caller that sends a part of a head and keeps the connection for ever.
 #[tokio::test]
-async fn a_head_that_does_not_end_is_given_up() {
+async fn a_connection_with_an_incomplete_head_is_closed() {
     let process = Process::empty().await;
     let mut document = crate::support::document(1);
     document.limits.head_time = Duration::from_millis(200);
@@ -71,17 +70,17 @@
     assert!(caller.is_closed().await);
 }
 
-/// A caller sends half of its body and stops. A process that is told to stop would wait for it until
-/// it is killed, and report a request cut that it had never got.
+/// Guards against a stopping process that waits for the rest of a body until it is killed, and logs a
+/// request as cut that it never received completely.
 #[tokio::test]
-async fn a_request_that_is_not_whole_holds_up_no_stop() {
+async fn an_incomplete_request_does_not_delay_a_stop() {
     let process = Process::new().await;
     let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
     process.add("w1", "desk", desk.addr);
     let mut caller = Caller::connect(process.callers).await;
     let half = "POST /save/ HTTP/1.1\r\nhost: desk.example\r\nx-id: r1\r\nauthorization: clerks-key\r\ncontent-length: 9\r\n\r\nhalf";
     caller.send(half).await;
-    // Once another request was answered, the half one has been seen too.
+    // When a later request has been answered, the incomplete one has been read too.
     assert_eq!(
         ask(process.callers, "GET", "/pull/", "", "").await.status,
         200
