--- a/crates/sesamegap-entry/src/intake/mod.rs
+++ b/crates/sesamegap-entry/src/intake/mod.rs
@@ -22,15 +22,15 @@
 
 /// How long a stopping process still accepts connections from the listen queue.
 ///
-/// Closing the listener would reset these connections and the requests already sent on them. The limit
-/// is for all of them together: otherwise new callers would keep the port open, and requests accepted
-/// late would be cut when the process is killed.
+/// Closing the listener would reset these connections and the requests already sent on them. The
+/// limit is for all of them together: otherwise new callers would keep the port open, and requests
+/// accepted late would be cut when the process is killed.
 const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(20);
 
 /// Waits until the process has reached a phase or a later one.
 async fn wait_for_phase(phases: &mut watch::Receiver<Phase>, phase: Phase) {
     if phases.wait_for(|current| *current >= phase).await.is_err() {
-        // The sender lives as long as the process, so this is not reached in practice.
+        // The sender lives as long as the process; without it no phase can follow.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/sesamegap-entry/src/intake/reply.rs
+++ b/crates/sesamegap-entry/src/intake/reply.rs
@@ -9,23 +9,23 @@
 use std::time::Duration;
 
 /// `Retry-After` if no document is in force yet: a start takes about this long.
-const START_TIME: Duration = Duration::from_millis(500);
+const START_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// `Retry-After` if no upstream is available.
 ///
-/// The restart of a worker or a full queue takes about this long, and the caller still has time for a
-/// second attempt.
-const UPSTREAM_TIME: Duration = Duration::from_millis(400);
+/// The restart of a worker or a full queue takes about this long, and the caller still has time for
+/// a second attempt.
+const UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// `Retry-After` if the request has to wait for its trial: a few trials have ended by then.
-const TRIAL_TIME: Duration = Duration::from_secs(1);
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// `Retry-After` if the request is quarantined: only an operator or other software on the upstreams
 /// ends that.
-const QUARANTINE_TIME: Duration = Duration::from_hours(1);
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_hours(1);
 
 /// `Retry-After` if the memory for bodies is used up: a body is held for about a second.
-const MEMORY_TIME: Duration = Duration::from_millis(500);
+const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Body of a response to a caller; an error in it aborts the connection.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
@@ -54,8 +54,8 @@
     NoDocument,
     /// No upstream is available; the request was not run and will not be.
     NoUpstream,
-    /// Upstreams crashed while they ran it, and another such request is on trial; it was not run and will
-    /// not be.
+    /// Upstreams crashed while they ran it, and another such request is on trial; it was not run
+    /// and will not be.
     Suspect,
     /// Upstreams crash while they run it; it was not run and will not be.
     Quarantined,
@@ -71,11 +71,11 @@
     /// The delay for `Retry-After`, if a retry can help.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NoDocument => Some(START_TIME),
-            Self::NoUpstream => Some(UPSTREAM_TIME),
-            Self::Suspect => Some(TRIAL_TIME),
-            Self::Quarantined => Some(QUARANTINE_TIME),
-            Self::OutOfMemory => Some(MEMORY_TIME),
+            Self::NoDocument => Some(START_RETRY_AFTER),
+            Self::NoUpstream => Some(UPSTREAM_RETRY_AFTER),
+            Self::Suspect => Some(TRIAL_RETRY_AFTER),
+            Self::Quarantined => Some(QUARANTINE_RETRY_AFTER),
+            Self::OutOfMemory => Some(MEMORY_RETRY_AFTER),
             _ => None,
         }
     }
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -20,7 +20,8 @@
 
 /// How long the body of a refused request is read and discarded.
 ///
-/// Closing a connection with unread bytes would reset it, and the caller might not get the response.
+/// Closing a connection with unread bytes would reset it, and the caller might not get the
+/// response.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Handles a request; `busy` is held until the response body is dropped.
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -13,7 +13,8 @@
 use tokio::sync::oneshot;
 use tracing::info;
 
-/// How long an owner that did not answer gets no queries: about the time until its peers suspect it.
+/// How long an owner that did not answer gets no queries: about the time until its peers suspect
+/// it.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(1);
 
 /// Reports to one owner per datagram, at about 25 bytes each.
@@ -131,8 +132,8 @@
 
     /// Passes an answer to its query.
     ///
-    /// If nothing waits for it any more, the owner counts the prompt until the report of its end, which the
-    /// query sent when it was dropped.
+    /// If nothing waits for it any more, the owner counts the prompt until the report of its end,
+    /// which the query sent when it was dropped.
     pub fn complete_query(&self, number: u64, chosen: Option<ChosenEngine>) {
         let sender = lock(&self.state).pending.remove(&number);
         if let Some(sender) = sender
@@ -176,7 +177,8 @@
         if let Some(socket) = self.socket.get()
             && let Some(bytes) = peers::placing(message)
         {
-            // A lost query or answer ends in a timeout; the effect of a lost report expires at the owner.
+            // A lost query or answer ends in a timeout; the effect of a lost report expires at the
+            // owner.
             drop(socket.send_to(&bytes, to).await);
         }
     }
--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -1,9 +1,10 @@
 //! Lets the entry VM that owns the shard of a prompt's home place the prompt.
 //!
-//! [`choose`] queries the owner with a datagram. If no answer comes within a few round trips, this VM places the
-//! prompt by what it knows itself, and sends its queries to the next VM in rank for a while. So an owner that is
-//! dead, paused or partitioned delays one prompt by that timeout. Reports that a placed prompt was prefilled or
-//! has ended go out with the next datagrams ([`PlacementClient`]); prompts without reports expire at the owner.
+//! [`choose`] queries the owner with a datagram. If no answer comes within a few round trips, this
+//! VM places the prompt by what it knows itself, and sends its queries to the next VM in rank for a
+//! while. So an owner that is dead, paused or partitioned delays one prompt by that timeout.
+//! Reports that a placed prompt was prefilled or has ended go out with the next datagrams
+//! ([`PlacementClient`]); prompts without reports expire at the owner.
 
 mod client;
 mod message;
@@ -23,8 +24,8 @@
 use tokio::time::timeout;
 use tracing::info;
 
-/// Timeout of a query to an owner: about ten times a round trip across failure domains, and a small part of any
-/// latency objective.
+/// Timeout of a query to an owner: about ten times a round trip across failure domains, and a small
+/// part of any latency objective.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// The VM that places a prompt.
@@ -61,7 +62,8 @@
 
 /// The shard of a prompt's home and its owner.
 ///
-/// None if the request has no prompt, or if there are so few VMs that each announces its prompts to all others.
+/// None if the request has no prompt, or if there are so few VMs that each announces its prompts to
+/// all others.
 fn find_owner(core: &Core, selection: &Selection<'_>) -> Option<(Shard, Owner)> {
     if selection.apart {
         return None;
@@ -90,7 +92,8 @@
     Some(responsive[at].1.map_or(Owner::Local, Owner::Remote))
 }
 
-/// Queries an owner; none if it does not answer, finds no engine, or names one that this VM may not use.
+/// Queries an owner; none if it does not answer, finds no engine, or names one that this VM may not
+/// use.
 async fn query(
     core: &Core,
     selection: &Selection<'_>,
--- a/crates/sesamegap-entry/src/process/stopping.rs
+++ b/crates/sesamegap-entry/src/process/stopping.rs
@@ -8,7 +8,8 @@
 
 /// How long idle connections stay open, in percent of the grace period.
 ///
-/// Callers that got the address just before the VM announced that it leaves connect within this time.
+/// Callers that got the address just before the VM announced that it leaves connect within this
+/// time.
 const IDLE_PERCENT: u32 = 15;
 
 /// How long connections are accepted, in percent of the grace period.
--- a/crates/sesamegap-entry/src/telemetry/metrics.rs
+++ b/crates/sesamegap-entry/src/telemetry/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and latency histograms, in the text format of Prometheus.
 //!
-//! Labels have few values: a kind of route, an outcome, a status class. They hold nothing of a request's
-//! content, key or team. `docs/OPERATIONS.md` lists names and units.
+//! Labels have few values: a kind of route, an outcome, a status class. They hold nothing of a
+//! request's content, key or team. `docs/OPERATIONS.md` lists names and units.
 
 use crate::catalogue::Kind;
 use opentelemetry::KeyValue;
--- a/crates/sesamegap-entry/tests/testsuite/logs.rs
+++ b/crates/sesamegap-entry/tests/testsuite/logs.rs
@@ -51,8 +51,8 @@
     drop(resume_sender);
 }
 
-/// Guards against a request that a worker aborted, logged as two runs: a search for duplicate saves would
-/// find one that ran once.
+/// Guards against a request that a worker aborted, logged as two runs: a search for duplicate saves
+/// would find one that ran once.
 #[tokio::test]
 async fn a_save_that_was_lost_once_is_logged_as_one_run() {
     let process = Process::new().await;
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -17,7 +17,8 @@
 
 const ENGINES: usize = 4;
 
-/// Unreachable VMs that each VM knows: with them the fleet is too large to announce every prompt to all VMs.
+/// Unreachable VMs that each VM knows: with them the fleet is too large to announce every prompt to
+/// all VMs.
 const UNREACHABLE_VMS: usize = 12;
 
 /// An entry VM with engines at its own address; of its servers only the datagram exchange runs.
@@ -109,7 +110,8 @@
     fleet.upstreams().map(|engine| fleet.unread(engine)).sum()
 }
 
-/// A prompt placed by `owner`: unreachable owners that are queried first get no further queries for a while.
+/// A prompt placed by `owner`: unreachable owners that are queried first get no further queries for
+/// a while.
 async fn placed_by(asker: &Core, owner: &Core) -> Flight {
     let addr = owner.settings().listen.loads;
     for part in 0..200 {
@@ -156,7 +158,8 @@
     .await;
 }
 
-/// Guards against an owner that keeps counting prompts whose callers disconnected before the answer came.
+/// Guards against an owner that keeps counting prompts whose callers disconnected before the answer
+/// came.
 #[tokio::test]
 async fn a_cancelled_query_is_not_counted() {
     let (asker, owner) = pair(3);
--- a/crates/sesamegap-entry/tests/testsuite/stops.rs
+++ b/crates/sesamegap-entry/tests/testsuite/stops.rs
@@ -6,7 +6,8 @@
 const PULL: &str =
     "GET /pull/ HTTP/1.1\r\nhost: desk.example\r\nx-id: r1\r\nauthorization: clerks-key\r\n\r\n";
 
-/// Guards against a stopping process that cuts a request at a worker, or keeps an idle connection open.
+/// Guards against a stopping process that cuts a request at a worker, or keeps an idle connection
+/// open.
 #[tokio::test]
 async fn a_planned_stop_completes_requests_and_closes_idle_connections() {
     let process = Process::new().await;
@@ -70,8 +71,8 @@
     assert!(caller.is_closed().await);
 }
 
-/// Guards against a stopping process that waits for the rest of a body until it is killed, and logs a
-/// request as cut that it never received completely.
+/// Guards against a stopping process that waits for the rest of a body until it is killed, and logs
+/// a request as cut that it never received completely.
 #[tokio::test]
 async fn an_incomplete_request_does_not_delay_a_stop() {
     let process = Process::new().await;
--- a/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/crashing.rs
@@ -74,7 +74,8 @@
                 counts.crashes += 1;
                 counts.crashes
             };
-            // Without downtime the listening socket stays open, as if a supervisor passed it to the next start.
+            // Without downtime the listening socket stays open, as if a supervisor passed it to the
+            // next start.
             if !down.is_zero() {
                 drop(listener);
                 sleep(down).await;
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -154,7 +154,8 @@
         self.orders_before_restart = self.orders.len();
     }
 
-    /// Executes an order if it expects the present number of accepted orders; returns whether it did.
+    /// Executes an order if it expects the present number of accepted orders; returns whether it
+    /// did.
     pub fn execute(&mut self, order: &LoadOrder) -> bool {
         let accepted = order.expected == self.taken();
         if accepted {
@@ -187,7 +188,7 @@
     pub cache: Mutex<Option<StandinKvStore>>,
     /// Weights announced in the store.
     pub named_weights: Mutex<Option<Weights>>,
-    /// Whether the next call asks for records that were compacted.
+    /// Whether the next call for changes reports that its records were compacted.
     pub dropped: Mutex<bool>,
     /// Timeline that the store states, if any: how often it was restored from a backup.
     pub timeline: Mutex<Option<Timeline>>,
@@ -209,7 +210,8 @@
         }
     }
 
-    /// Restores the store from a backup with these table records and this many claims of the lease log.
+    /// Restores the store from a backup with these table records and this many claims of the lease
+    /// log.
     pub fn restore(&self, records: Vec<Record>, claims: usize) {
         let mut timeline = self.timeline.lock().unwrap();
         *timeline = Some(Timeline(timeline.map_or(0, |timeline| timeline.0) + 1));
--- a/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
@@ -58,7 +58,8 @@
 }
 
 impl Upstream {
-    /// Starts an upstream that performs the acts in turn, and the last one for all further requests.
+    /// Starts an upstream that performs the acts in turn, and the last one for all further
+    /// requests.
     pub async fn start(acts: Vec<Act>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = Self {
