--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -2,7 +2,7 @@
 
 use super::SharedFleet;
 use crate::kept::OnWay;
-use crate::placing::Asked;
+use crate::placing::TrackedPrompt;
 use crate::ports::Load;
 use crate::quarantine::TrialPermit;
 use sesamegap_policy::routing::engines::Prefix;
@@ -48,7 +48,7 @@
     /// When the engine last served the whole shared prefix, as reported by the shard's owner.
     pub(super) served: Option<Moment>,
     /// Set if the owner of the engine's shard knows the request.
-    pub(super) asked: Option<Asked>,
+    pub(super) asked: Option<TrackedPrompt>,
 }
 
 impl Flight {
@@ -69,11 +69,11 @@
 
     /// Address of the VM that placed the request or was notified of it, if there is one.
     pub fn owner(&self) -> Option<SocketAddr> {
-        self.asked.as_ref().map(Asked::owner)
+        self.asked.as_ref().map(TrackedPrompt::owner)
     }
 
     /// Records that the owner of the engine's shard knows the request.
-    pub fn set_owner(&mut self, asked: Asked) {
+    pub fn set_owner(&mut self, asked: TrackedPrompt) {
         self.asked = Some(asked);
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.shared.running += 1;
@@ -114,7 +114,7 @@
         self.on_way = None;
         let shared = self.asked.as_ref().filter(|_| unread > 0);
         if let Some(asked) = shared {
-            asked.read();
+            asked.report_read();
         }
         let shared = if self.asked.is_some() { unread } else { 0 };
         let mut fleet = self.fleet.lock();
--- a/crates/sesamegap-entry/src/fleet/selection.rs
+++ b/crates/sesamegap-entry/src/fleet/selection.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, Flight, SharedFleet, Upstream};
 use crate::catalogue::KvStore;
 use crate::kept;
-use crate::placing::{Asked, Found};
+use crate::placing::{ChosenEngine, TrackedPrompt};
 use sesamegap_policy::routing::shards::Division;
 use sesamegap_policy::routing::{Availability, engines, plain};
 use sesamegap_wire::{DomainId, Moment, ServiceId, UpstreamId};
@@ -129,8 +129,8 @@
     pub fn accept_placement(
         &self,
         selection: &Selection<'_>,
-        found: Found,
-        asked: Asked,
+        found: ChosenEngine,
+        asked: TrackedPrompt,
         now: Moment,
     ) -> Option<Flight> {
         let mut flight = {
--- /dev/null
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -0,0 +1,185 @@
+//! Open queries to shard owners, and prompt reports queued for them.
+
+use super::message::{ChosenEngine, PlacementMessage, PromptReport};
+use crate::clock;
+use crate::fleet::Flight;
+use crate::peers;
+use rustc_hash::FxHashMap;
+use sesamegap_wire::Moment;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
+use std::time::Duration;
+use tokio::net::UdpSocket;
+use tokio::sync::oneshot;
+use tracing::info;
+
+/// How long an owner that did not answer gets no queries: about the time until its peers suspect
+/// it.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(1);
+
+/// Reports to one owner per datagram, at about 25 bytes each.
+const REPORTS_PER_DATAGRAM: usize = 48;
+
+/// Sends queries and prompt reports of this VM to the owners of shards.
+#[derive(Debug, Default)]
+pub struct PlacementClient {
+    state: Arc<Mutex<State>>,
+    socket: OnceLock<Arc<UdpSocket>>,
+}
+
+#[derive(Debug, Default)]
+struct State {
+    last_number: u64,
+    pending: FxHashMap<u64, oneshot::Sender<Option<ChosenEngine>>>,
+    reports: FxHashMap<SocketAddr, Vec<PromptReport>>,
+    unresponsive: FxHashMap<SocketAddr, Moment>,
+}
+
+impl State {
+    /// A number that no earlier process on this VM has used recently.
+    fn next_number(&mut self) -> u64 {
+        self.last_number = self.last_number.max(clock::unix_ms() << 20) + 1;
+        self.last_number
+    }
+}
+
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// A prompt that an owner knows about; dropping this reports its end to the owner.
+#[derive(Debug)]
+pub struct TrackedPrompt {
+    state: Arc<Mutex<State>>,
+    owner: SocketAddr,
+    number: u64,
+}
+
+impl TrackedPrompt {
+    /// Number of the prompt, unique among those of this VM.
+    pub fn number(&self) -> u64 {
+        self.number
+    }
+
+    /// Address of the owner.
+    pub fn owner(&self) -> SocketAddr {
+        self.owner
+    }
+
+    /// Reports that the engine has prefilled the prompt.
+    pub fn report_read(&self) {
+        self.report(PromptReport::Read(self.number));
+    }
+
+    fn report(&self, report: PromptReport) {
+        let mut state = lock(&self.state);
+        state.reports.entry(self.owner).or_default().push(report);
+    }
+}
+
+impl Drop for TrackedPrompt {
+    fn drop(&mut self) {
+        self.report(PromptReport::Ended(self.number));
+        lock(&self.state).pending.remove(&self.number);
+    }
+}
+
+impl PlacementClient {
+    /// Sets the socket for all messages; a second call has no effect.
+    pub fn set_socket(&self, socket: Arc<UdpSocket>) {
+        if self.socket.set(socket).is_err() {
+            info!("the socket for placement messages is already set");
+        }
+    }
+
+    /// Registers a query to an owner; the receiver gets the answer.
+    pub fn start_query(
+        &self,
+        owner: SocketAddr,
+    ) -> (TrackedPrompt, oneshot::Receiver<Option<ChosenEngine>>) {
+        let (sender, receiver) = oneshot::channel();
+        let mut state = lock(&self.state);
+        let number = state.next_number();
+        state.pending.insert(number, sender);
+        (self.track(owner, number), receiver)
+    }
+
+    /// Reports a prompt to an owner that did not place it.
+    pub fn report_begun(
+        &self,
+        owner: SocketAddr,
+        flight: &Flight,
+        left: Duration,
+    ) -> TrackedPrompt {
+        let number = lock(&self.state).next_number();
+        let tracked = self.track(owner, number);
+        tracked.report(PromptReport::Began {
+            number,
+            life: flight.life(),
+            tokens: flight.tokens(),
+            left_ms: clock::ms_told(left),
+        });
+        tracked
+    }
+
+    fn track(&self, owner: SocketAddr, number: u64) -> TrackedPrompt {
+        TrackedPrompt {
+            state: Arc::clone(&self.state),
+            owner,
+            number,
+        }
+    }
+
+    /// Passes an answer to its query.
+    ///
+    /// If nothing waits for it any more, the owner counts the prompt until the report of its end,
+    /// which the query sent when it was dropped.
+    pub fn complete_query(&self, number: u64, chosen: Option<ChosenEngine>) {
+        let sender = lock(&self.state).pending.remove(&number);
+        if let Some(sender) = sender
+            && sender.send(chosen).is_err()
+        {
+            tracing::debug!(number, "an owner's answer came after its query had ended");
+        }
+    }
+
+    /// Whether an owner recently failed to answer.
+    pub fn is_unresponsive(&self, owner: SocketAddr, now: Moment) -> bool {
+        lock(&self.state)
+            .unresponsive
+            .get(&owner)
+            .is_some_and(|until| now < *until)
+    }
+
+    /// Stops queries to an owner for [`UNRESPONSIVE_TIME`].
+    pub fn mark_unresponsive(&self, owner: SocketAddr, now: Moment) {
+        let mut state = lock(&self.state);
+        state.unresponsive.retain(|_, until| now < *until);
+        state.unresponsive.insert(owner, now + UNRESPONSIVE_TIME);
+    }
+
+    /// Takes all queued reports, split to fit into datagrams.
+    pub fn take_reports(&self) -> Vec<(SocketAddr, PlacementMessage)> {
+        let reports = std::mem::take(&mut lock(&self.state).reports);
+        let messages = reports.into_iter().flat_map(|(owner, reports)| {
+            let chunks = reports
+                .chunks(REPORTS_PER_DATAGRAM)
+                .map(<[PromptReport]>::to_vec);
+            chunks
+                .map(move |chunk| (owner, PlacementMessage::Reports(chunk)))
+                .collect::<Vec<_>>()
+        });
+        messages.collect()
+    }
+
+    /// Sends a message if the socket is set; the network may drop it.
+    pub async fn send(&self, message: PlacementMessage, to: SocketAddr) {
+        if let Some(socket) = self.socket.get()
+            && let Some(bytes) = peers::placing(message)
+        {
+            // A lost query or answer ends in a timeout; the effect of a lost report expires at the
+            // owner.
+            drop(socket.send_to(&bytes, to).await);
+        }
+    }
+}
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -1,6 +1,6 @@
-//! What an owner does: it places prompts for others, and takes in what became of them.
+//! The owner's side: places prompts for other VMs and applies their reports.
 
-use super::message::{Answer, Ask, Found, Word};
+use super::message::{ChosenEngine, PlacementAnswer, PlacementQuery, PromptReport};
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Selection, Shard};
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Places a prompt for another VM, and counts it at its engine.
-pub fn answer(core: &Core, from: SocketAddr, ask: &Ask) -> Answer {
-    let found = core.catalogue().and_then(|catalogue| {
-        let shape = ask.shape();
-        let (bits, number) = ask.shard;
+/// Places a prompt for another VM and counts it at the chosen engine.
+pub fn answer_query(core: &Core, from: SocketAddr, query: &PlacementQuery) -> PlacementAnswer {
+    let chosen = core.catalogue().and_then(|catalogue| {
+        let shape = query.shape();
+        let (bits, number) = query.shard;
         let selection = Selection {
-            service: &ask.service,
-            domain: &ask.domain,
+            service: &query.service,
+            domain: &query.domain,
             stores: catalogue.kv_stores(),
             shape: Some(&shape),
-            tried: &ask.tried,
+            tried: &query.tried,
             tie_breaker: 0,
             least_loaded: false,
             shard: Some(Shard {
@@ -27,20 +27,25 @@
                 number,
             }),
         };
-        place(core, from, ask, &selection)
+        place(core, from, query, &selection)
     });
-    Answer {
-        number: ask.number,
-        found,
+    PlacementAnswer {
+        number: query.number,
+        chosen,
     }
 }
 
-fn place(core: &Core, from: SocketAddr, ask: &Ask, selection: &Selection<'_>) -> Option<Found> {
+fn place(
+    core: &Core,
+    from: SocketAddr,
+    query: &PlacementQuery,
+    selection: &Selection<'_>,
+) -> Option<ChosenEngine> {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     let chosen = fleet.choose(selection, now)?;
     let engine = fleet.get(&chosen.id)?;
-    let version = engine.version(&ask.model).unwrap_or_default().0;
+    let version = engine.version(&query.model).unwrap_or_default().0;
     let (life, running, ahead) = (
         engine.life,
         fleet.running(engine, now),
@@ -53,14 +58,14 @@
         .and_then(|inner| fleet.cache_locations.last(inner.hash, life, version));
     let placement = Placement {
         life,
-        tokens: ask.tokens,
+        tokens: query.tokens,
         ahead,
-        left: Duration::from_millis(u64::from(ask.left_ms)),
+        left: Duration::from_millis(u64::from(query.left_ms)),
         prefixes,
         version,
     };
-    fleet.placements.begin((from, ask.number), placement, now);
-    Some(Found {
+    fleet.placements.begin((from, query.number), placement, now);
+    Some(ChosenEngine {
         engine: chosen.id,
         life,
         source: chosen.source,
@@ -71,13 +76,13 @@
     })
 }
 
-/// Takes in what became of prompts of another VM.
-pub fn hear(core: &Core, from: SocketAddr, words: &[Word]) {
+/// Applies another VM's reports on its prompts.
+pub fn apply_reports(core: &Core, from: SocketAddr, reports: &[PromptReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
-    for word in words {
-        match *word {
-            Word::Began {
+    for report in reports {
+        match *report {
+            PromptReport::Began {
                 number,
                 life,
                 tokens,
@@ -95,7 +100,7 @@
                 };
                 fleet.placements.begin((from, number), placement, now);
             }
-            Word::Read(number) => {
+            PromptReport::Read(number) => {
                 if let Some(read) = fleet.placements.read(&(from, number)) {
                     for prefix in read.prefixes {
                         fleet
@@ -104,7 +109,7 @@
                     }
                 }
             }
-            Word::Ended(number) => fleet.placements.end(&(from, number)),
+            PromptReport::Ended(number) => fleet.placements.end(&(from, number)),
         }
     }
 }
--- a/crates/sesamegap-entry/src/relay/plain.rs
+++ b/crates/sesamegap-entry/src/relay/plain.rs
@@ -11,7 +11,7 @@
 use super::retry::RetryState;
 use super::waiting::wait_for_upstream;
 use crate::core::Core;
-use crate::intake::{Body, Refusal, full, refuse};
+use crate::intake::{Body, Refusal, full_body, refusal_response};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
@@ -30,7 +30,7 @@
     let answer = try_upstreams(core, job, &mut retry).await;
     let (response, why) = match answer {
         Ok(response) => (response, String::new()),
-        Err(refusal) => (refuse(refusal), refusal.to_string()),
+        Err(refusal) => (refusal_response(refusal), refusal.to_string()),
     };
     log.record_end(response.status().as_u16(), retry.runs, why);
     response
@@ -138,7 +138,7 @@
     Some(caller_response(
         head.status,
         &head.headers,
-        full(bytes.freeze()),
+        full_body(bytes.freeze()),
     ))
 }
 
--- a/crates/sesamegap-entry/src/relay/request_log.rs
+++ b/crates/sesamegap-entry/src/relay/request_log.rs
@@ -72,11 +72,11 @@
         let span = self.arrived.elapsed();
         self.core
             .metrics
-            .ended(self.kind, self.status, span, self.first_event_after);
+            .record_request(self.kind, self.status, span, self.first_event_after);
         let took = clock::ms(span);
         let Some(status) = self.status else {
             info!(
-                event = events::LEFT,
+                event = events::CALLER_LEFT,
                 request = %self.id,
                 route = %self.route,
                 took_ms = took,
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -18,7 +18,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::intake::{Body, Refusal, full, refuse};
+use crate::intake::{Body, Refusal, full_body, refusal_response};
 use crate::telemetry::events;
 use crate::upstream::Connection;
 use bytes::Bytes;
@@ -101,7 +101,7 @@
         Err(refusal) => {
             let status = refusal.status().as_u16();
             log.record_end(status, relay.retry.runs, refusal.to_string());
-            refuse(refusal)
+            refusal_response(refusal)
         }
     }
 }
@@ -237,7 +237,7 @@
             return Ok(Opened::Complete(caller_response(
                 head.status,
                 &head.headers,
-                full(body),
+                full_body(body),
             )));
         }
         let mut stream = UpstreamStream {
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -1,4 +1,6 @@
-use crate::support::{Platform, StandinCache, document, entry, offset, settings, until, unused};
+use crate::support::{
+    Platform, StandinKvStore, document, entry, offset, settings, unused_addr, wait_until,
+};
 use sesamegap_entry::catalogue::KvStore;
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -19,7 +21,7 @@
     let core = Core::new(
         settings(name, Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
     let position = core.known(Table::Fleet);
@@ -34,7 +36,7 @@
 fn listed(beat: u64) -> Record {
     let entry = Entry {
         beat,
-        ..entry("desk", unused())
+        ..entry("desk", unused_addr())
     };
     Record::Upstream(worker(), Box::new(entry))
 }
@@ -92,7 +94,7 @@
 }
 
 fn engine(born: u64, beat: u64, version: u32) -> Record {
-    let mut entry = entry("engines", unused());
+    let mut entry = entry("engines", unused_addr());
     entry.born = Some(Incarnation(born));
     entry.beat = beat;
     entry.weights[0].version = WeightsVersion(version);
@@ -265,19 +267,19 @@
         next,
         born: Some(Incarnation(born)),
     };
-    *platform.cache.lock().unwrap() = Some(StandinCache {
+    *platform.cache.lock().unwrap() = Some(StandinKvStore {
         news: news(1, 900),
         asked: Vec::new(),
     });
     let core = Core::new(
         settings("vm-1", Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
     let mut document = document(1);
     document.kv_stores = vec![KvStore {
-        addr: unused(),
+        addr: unused_addr(),
         domain: "hall-a".parse().unwrap(),
         link: 1_000,
     }];
@@ -287,8 +289,8 @@
         let cache = platform.cache.lock().unwrap();
         cache.as_ref().unwrap().asked.last() == Some(&since)
     };
-    until(|| asked(900)).await;
+    wait_until(|| asked(900)).await;
     platform.cache.lock().unwrap().as_mut().unwrap().news = news(2, 3);
-    until(|| asked(0)).await;
-    until(|| asked(3)).await;
+    wait_until(|| asked(0)).await;
+    wait_until(|| asked(3)).await;
 }
--- a/crates/sesamegap-entry/tests/testsuite/fleet_records.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet_records.rs
@@ -1,7 +1,8 @@
 //! Records that other writers put into the tables that a process reads.
 
 use crate::support::{
-    Act, Lines, Platform, Process, Upstream, ask, document, entry, offset, route, settings, unused,
+    Act, LogLines, Platform, Process, Upstream, ask, document, entry, offset, route, settings,
+    unused_addr,
 };
 use sesamegap_entry::catalogue::{Kind, Service};
 use sesamegap_entry::clock;
@@ -17,7 +18,7 @@
     let core = Core::new(
         settings("vm-1", Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     Arc::new(core.unwrap())
 }
@@ -27,7 +28,7 @@
 }
 
 fn valid_entry(no: usize, beat: u64) -> Record {
-    let mut entry = entry("desk", unused());
+    let mut entry = entry("desk", unused_addr());
     entry.beat = beat;
     Record::Upstream(id(no), Box::new(entry))
 }
@@ -157,11 +158,11 @@
     // test reached it without a subscriber while this test installs its own, the callsite would stay
     // disabled. So it is reached here first.
     read_records(&new_core(), 0, vec![malformed_entry(0, 0, "missing")]);
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let (subscriber, logging) = lines.subscriber();
     tracing::subscriber::with_default(subscriber, act);
     drop(logging);
-    lines.of(712)
+    lines.with_event(712)
 }
 
 /// Another writer repeats a malformed entry with each heartbeat, and each VM reads them all. A line for each would
--- a/crates/sesamegap-entry/tests/testsuite/forwarding.rs
+++ b/crates/sesamegap-entry/tests/testsuite/forwarding.rs
@@ -8,7 +8,7 @@
     let answer = ask(process.callers, "GET", "/pull/doc?page=2", "", "").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "stamped"));
     assert_eq!(answer.header("x-seal"), Some("s-r1"));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     let seen = worker.seen();
     assert!(
         seen[0].starts_with("GET /pull/doc?page=2 HTTP/1.1\r\n"),
@@ -50,7 +50,7 @@
     process.add("w1", "desk", worker.addr);
     let answer = ask(process.callers, "GET", "/pull/", "", "").await;
     assert_eq!(answer.body, "to the end");
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
 
 /// Workers break off responses, send invalid bytes, answer another request or omit the seal. The caller must not
--- a/crates/sesamegap-entry/tests/testsuite/idle_close.rs
+++ b/crates/sesamegap-entry/tests/testsuite/idle_close.rs
@@ -38,7 +38,7 @@
     for _ in 0..REPETITIONS {
         let (process, _worker, mut caller) = idle_caller(LONG_IDLE_LIMIT).await;
         process.core.enter(Phase::Leaving);
-        caller.send_at_once(SAVE_REQUEST);
+        caller.send_now(SAVE_REQUEST);
         process.core.enter(Phase::Closing);
         let answer = caller.answer().await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ok"));
@@ -54,7 +54,7 @@
     for _ in 0..REPETITIONS {
         let idle_limit = Duration::from_millis(100);
         let (_process, _worker, mut caller) = idle_caller(idle_limit).await;
-        caller.send_at_once(SAVE_REQUEST);
+        caller.send_now(SAVE_REQUEST);
         // Blocks the runtime's only thread, as a pause of the VM does.
         std::thread::sleep(idle_limit + Duration::from_millis(20));
         assert_eq!(caller.answer().await.body, "ok");
@@ -91,7 +91,7 @@
         let mut stream = std::net::TcpStream::connect(process.callers).unwrap();
         stream.write_all(SAVE_REQUEST.as_bytes()).unwrap();
         process.core.enter(Phase::Ended);
-        let mut caller = Caller::of(stream);
+        let mut caller = Caller::from_stream(stream);
         assert_eq!(caller.answer().await.body, "ok");
     }
 }
--- a/crates/sesamegap-entry/tests/testsuite/non_idempotent.rs
+++ b/crates/sesamegap-entry/tests/testsuite/non_idempotent.rs
@@ -1,4 +1,4 @@
-use crate::support::{Act, Process, Upstream, ask, unused};
+use crate::support::{Act, Process, Upstream, ask, unused_addr};
 
 /// The response to a save is lost in one of several ways after the worker may have run it. A retry could save
 /// twice, and so could the caller if it were told that the save did not run.
@@ -32,7 +32,7 @@
 async fn a_save_is_retried_after_a_refused_connection() {
     let process = Process::new().await;
     let good = Upstream::start(vec![Act::Answer(200, "saved")]).await;
-    process.add("w1", "desk", unused());
+    process.add("w1", "desk", unused_addr());
     process.add("w2", "desk", good.addr);
     for _ in 0..4 {
         let answer = ask(process.callers, "POST", "/save/", "", "form").await;
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -1,7 +1,8 @@
 //! Quarantine of requests that crash upstreams, with several VMs that share the same engines.
 
 use crate::support::{
-    Act, MARK, Mortal, Platform, Upstream, ask, document, entry, offset, settings, until, unused,
+    Act, CRASH_MARK, CrashingUpstream, Platform, Upstream, ask, document, entry, offset, settings,
+    unused_addr, wait_until,
 };
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
@@ -44,7 +45,7 @@
     settings.listen.loads =
         SocketAddr::new(format!("127.0.{net}.{}", no + 1).parse().unwrap(), port);
     settings.listen.peers = settings.listen.loads;
-    let core = Arc::new(Core::new(settings, platform.ports(), Logging::none()).unwrap());
+    let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
     tokio::spawn(peers::exchange(Arc::clone(&core)));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -69,7 +70,7 @@
 /// Starts VMs that have each other as members.
 async fn vms(net: u8) -> Vec<Vm> {
     let platform = Arc::new(Platform::default());
-    let port = unused().port();
+    let port = unused_addr().port();
     let mut all = Vec::new();
     for no in 0..VMS {
         all.push(vm(no, net, port, &platform).await);
@@ -86,7 +87,7 @@
 }
 
 /// Starts engines that all VMs list; each start of an engine gets a new id.
-async fn engines(vms: &[Vm], down: Duration) -> Vec<Mortal> {
+async fn engines(vms: &[Vm], down: Duration) -> Vec<CrashingUpstream> {
     let position = Arc::new(AtomicU64::new(0));
     let mut all = Vec::new();
     for no in 0..ENGINES {
@@ -107,7 +108,7 @@
             }
         };
         let first = list.clone();
-        let engine = Mortal::start(down, list).await;
+        let engine = CrashingUpstream::start(down, list).await;
         addr.set(engine.addr).unwrap();
         first(0);
         all.push(engine);
@@ -115,7 +116,7 @@
     all
 }
 
-fn marked(engines: &[Mortal]) -> usize {
+fn marked(engines: &[CrashingUpstream]) -> usize {
     engines.iter().map(|engine| engine.counts().marked).sum()
 }
 
@@ -130,7 +131,7 @@
     let vms = vms(21).await;
     let engines = engines(&vms, DOWNTIME).await;
     for no in 0..SENDS {
-        let body = format!("{MARK} now");
+        let body = format!("{CRASH_MARK} now");
         ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), &body).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -153,13 +154,13 @@
         let ends = async {
             tokio::time::sleep(Duration::from_millis(25)).await;
             for engine in engines.iter().skip(round % 3).step_by(3) {
-                engine.end();
+                engine.crash();
             }
         };
         tokio::join!(sends, ends);
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    assert!(engines.iter().all(|engine| engine.counts().ended > 0));
+    assert!(engines.iter().all(|engine| engine.counts().crashes > 0));
     tokio::time::sleep(Duration::from_secs(1)).await;
     for no in 0..VMS {
         let answer = send(no).await;
@@ -193,15 +194,15 @@
 #[tokio::test]
 async fn a_restarted_vm_reads_quarantined_requests_from_the_store() {
     let platform = Arc::new(Platform::default());
-    let port = unused().port();
-    let request = fingerprint("/chat/a", MARK);
+    let port = unused_addr().port();
+    let request = fingerprint("/chat/a", CRASH_MARK);
     let before = vm(0, 23, port, &platform).await;
     tokio::spawn(quarantine::sync(Arc::clone(&before.core)));
     condemn(&before.core, request);
-    until(|| platform.quarantine.lock().unwrap().len() == 1).await;
+    wait_until(|| platform.quarantine.lock().unwrap().len() == 1).await;
     let after = vm(1, 23, port, &platform).await;
     tokio::spawn(quarantine::sync(Arc::clone(&after.core)));
-    until(|| after.core.quarantine.standing(request) == Standing::Quarantined).await;
+    wait_until(|| after.core.quarantine.standing(request) == Standing::Quarantined).await;
 }
 
 /// A VM misses all datagrams that are sent when a request is condemned. If they were not repeated, it would keep sending
@@ -209,11 +210,11 @@
 #[tokio::test]
 async fn a_vm_that_missed_a_broadcast_receives_the_record_later() {
     let vms = vms(24).await;
-    let request = fingerprint("/chat/a", MARK);
+    let request = fingerprint("/chat/a", CRASH_MARK);
     for vm in &vms[1..] {
         condemn(&vm.core, request);
     }
-    until(|| vms[0].core.quarantine.standing(request) == Standing::Quarantined).await;
+    wait_until(|| vms[0].core.quarantine.standing(request) == Standing::Quarantined).await;
 }
 
 /// The caller of a quarantined request learns that the request did not run. Without a retry delay it would return at
@@ -222,8 +223,8 @@
 async fn a_quarantined_request_is_refused_at_once_and_reaches_no_upstream() {
     let vms = vms(25).await;
     let engines = engines(&vms, DOWNTIME).await;
-    condemn(&vms[0].core, fingerprint("/chat/a", MARK));
-    let answer = ask(vms[0].callers, "POST", "/chat/a", &head(0), MARK).await;
+    condemn(&vms[0].core, fingerprint("/chat/a", CRASH_MARK));
+    let answer = ask(vms[0].callers, "POST", "/chat/a", &head(0), CRASH_MARK).await;
     assert_eq!(answer.status, 503);
     assert!(answer.body.contains("quarantined") && answer.body.contains("not run"));
     assert_eq!(answer.header("retry-after"), Some("3600.00"));
@@ -263,7 +264,7 @@
     let vms = vms(27).await;
     let engines = engines(&vms, Duration::ZERO).await;
     for no in 0..SENDS / 2 {
-        let body = format!("{MARK} now");
+        let body = format!("{CRASH_MARK} now");
         ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), &body).await;
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
@@ -277,7 +278,7 @@
     let vms = vms(28).await;
     let engines = engines(&vms, DOWNTIME).await;
     let request = async |vm: &Vm, no: usize| {
-        ask(vm.callers, "POST", "/chat/a", &head(no), MARK).await;
+        ask(vm.callers, "POST", "/chat/a", &head(no), CRASH_MARK).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     };
     let (first, others): (Vec<&Vm>, Vec<&Vm>) = vms
@@ -305,7 +306,7 @@
 #[tokio::test]
 async fn repeated_crashes_before_a_list_update_count_separately() {
     let vms = vms(29).await;
-    let engine = Mortal::start(Duration::from_millis(700), |_| {}).await;
+    let engine = CrashingUpstream::start(Duration::from_millis(700), |_| {}).await;
     let id: UpstreamId = "e1".parse().unwrap();
     for vm in &vms {
         let entry = entry("engines", engine.addr);
@@ -313,7 +314,14 @@
         fleet.apply(&id, entry, offset(1), clock::now());
     }
     for no in 0..SENDS / 4 {
-        ask(vms[no % VMS].callers, "POST", "/chat/a", &head(no), MARK).await;
+        ask(
+            vms[no % VMS].callers,
+            "POST",
+            "/chat/a",
+            &head(no),
+            CRASH_MARK,
+        )
+        .await;
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let sent = marked(std::slice::from_ref(&engine));
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -1,4 +1,4 @@
-use crate::support::{Platform, entry, offset, settings, until, unused};
+use crate::support::{Platform, entry, offset, settings, unused_addr, wait_until};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::follow::{TableUpdate, apply_batch, apply_update, follow};
@@ -17,7 +17,7 @@
     settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
     settings.listen.peers = settings.listen.loads;
     let platform = Arc::new(Platform::default());
-    let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
+    let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(peers::exchange(Arc::clone(&core)));
     core
@@ -45,7 +45,7 @@
 }
 
 fn change(leaving: bool, beat: u64) -> Record {
-    let mut entry = entry("desk", unused());
+    let mut entry = entry("desk", unused_addr());
     entry.leaving = leaving;
     entry.beat = beat;
     Record::Upstream(worker(), Box::new(entry))
@@ -59,18 +59,18 @@
 async fn weights_named_while_the_store_drops_its_history_count_as_new() {
     let platform = Arc::new(Platform::default());
     let settings = settings("vm-1", Vec::new());
-    let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
+    let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    until(|| core.known(Table::Settings).position().next().is_some()).await;
+    wait_until(|| core.known(Table::Settings).position().next().is_some()).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let weights = Weights {
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    *platform.named.lock().unwrap() = Some(weights);
+    *platform.named_weights.lock().unwrap() = Some(weights);
     *platform.dropped.lock().unwrap() = true;
-    until(|| core.fleet.lock().namings().newest_of("m").is_some()).await;
+    wait_until(|| core.fleet.lock().namings().newest_of("m").is_some()).await;
     let naming = core.fleet.lock().namings().newest_of("m").unwrap();
     let followed = Duration::from_secs(3);
     assert!(clock::now().since(naming.at) < followed, "{naming:?}");
@@ -80,7 +80,7 @@
 /// the others would send it requests until it is gone.
 #[tokio::test]
 async fn an_announcement_to_leave_is_relayed_by_the_reader() {
-    let port = unused().port();
+    let port = unused_addr().port();
     let reader = vm("vm-1", "127.0.0.1", port);
     let receiver = vm("vm-2", "127.0.0.2", port);
     add_peer(&reader, &receiver);
@@ -102,7 +102,7 @@
         read(vec![change(false, 1)], 4),
     );
     reader.peers.outbox.put_reading(new);
-    until(|| receiver.fleet.lock().get(&worker()).is_some()).await;
+    wait_until(|| receiver.fleet.lock().get(&worker()).is_some()).await;
     let beats = read(vec![change(false, 2), change(true, 3)], 5);
     let leaving = apply_batch(&reader, Table::Fleet, offset(5), beats);
     assert_eq!(
@@ -111,7 +111,7 @@
         "a heartbeat without other changes is not relayed"
     );
     reader.peers.outbox.put_reading(leaving);
-    until(|| leaves(&receiver)).await;
+    wait_until(|| leaves(&receiver)).await;
     assert_eq!(
         receiver.known(Table::Fleet).position().next(),
         Some(offset(7))
@@ -123,12 +123,12 @@
 fn a_delayed_update_does_not_restore_a_removed_worker() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _guard = runtime.enter();
-    let core = vm("vm-1", "127.0.0.1", unused().port());
+    let core = vm("vm-1", "127.0.0.1", unused_addr().port());
     core.known(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
     let update = |from: u64, next: u64, record: Record| {
-        let other = vm("vm-2", "127.0.0.1", unused().port());
+        let other = vm("vm-2", "127.0.0.1", unused_addr().port());
         let known = change(false, 1);
         apply_batch(
             &other,
@@ -167,13 +167,13 @@
 /// wait for at least a tenth of a second.
 #[tokio::test]
 async fn a_store_found_dead_by_one_vm_is_avoided_by_all() {
-    let port = unused().port();
+    let port = unused_addr().port();
     let watcher = vm("vm-1", "127.0.0.1", port);
     let receiver = vm("vm-2", "127.0.0.2", port);
     add_peer(&watcher, &receiver);
-    let store = unused();
+    let store = unused_addr();
     peers::tell_of_store(&watcher, store);
-    until(|| {
+    wait_until(|| {
         receiver
             .fleet
             .lock()
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -1,4 +1,6 @@
-use crate::support::{Platform, StandinEngine, document, entry, offset, settings, until, unused};
+use crate::support::{
+    Platform, StandinEngine, document, entry, offset, settings, unused_addr, wait_until,
+};
 use sesamegap_entry::clock;
 use sesamegap_entry::core::Core;
 use sesamegap_entry::fleet::Entry;
@@ -15,12 +17,12 @@
     let core = Core::new(
         settings(name, Vec::new()),
         platform.ports(),
-        Logging::none(),
+        Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
     let mut all = platform.engines.lock().unwrap();
     while all.len() < engines {
-        all.push(StandinEngine::new(unused()));
+        all.push(StandinEngine::new(unused_addr()));
     }
     for (no, engine) in all.iter().enumerate() {
         let id = format!("e{no}").parse().unwrap();
@@ -53,7 +55,7 @@
     tokio::spawn(roll::run(Arc::clone(&core)));
     name_weights(&core, 2);
     let mut least = usize::MAX;
-    until(|| {
+    wait_until(|| {
         let now = clock::now();
         let fleet = core.fleet.lock();
         let open = fleet.upstreams().filter(|up| !up.is_paused(now));
@@ -71,17 +73,17 @@
 async fn a_late_order_is_rejected() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
-    platform.engines.lock().unwrap()[0].mute_orders = 1;
+    platform.engines.lock().unwrap()[0].unanswered_orders = 1;
     tokio::spawn(roll::run(Arc::clone(&core)));
     name_weights(&core, 2);
-    until(|| all_have(&platform, 2)).await;
+    wait_until(|| all_have(&platform, 2)).await;
     let mut engines = platform.engines.lock().unwrap();
     let late = engines[0]
         .late
         .clone()
         .expect("an order should have been left unanswered");
     assert!(
-        !engines[0].carry_out(&late),
+        !engines[0].execute(&late),
         "the late order expects an earlier number of orders"
     );
     assert_eq!(engines[0].version, 2);
@@ -96,7 +98,7 @@
     tokio::spawn(roll::run(Arc::clone(&core)));
     name_weights(&core, 2);
     name_weights(&core, 3);
-    until(|| all_have(&platform, 3)).await;
+    wait_until(|| all_have(&platform, 3)).await;
     let engines = platform.engines.lock().unwrap();
     let orders = engines.iter().flat_map(|engine| &engine.orders);
     assert!(
@@ -117,7 +119,7 @@
         tokio::spawn(roll::run(Arc::clone(core)));
         name_weights(core, 2);
     }
-    until(|| all_have(&platform, 2)).await;
+    wait_until(|| all_have(&platform, 2)).await;
     let engines = platform.engines.lock().unwrap();
     let orders: Vec<_> = engines.iter().flat_map(|engine| &engine.orders).collect();
     assert!(
@@ -133,7 +135,7 @@
 async fn no_orders_are_given_without_the_lease() {
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 2);
-    *platform.away.lock().unwrap() = true;
+    *platform.is_unavailable.lock().unwrap() = true;
     tokio::spawn(roll::run(Arc::clone(&core)));
     name_weights(&core, 2);
     tokio::time::sleep(Duration::from_millis(600)).await;
@@ -145,8 +147,8 @@
             .sum::<usize>()
     };
     assert_eq!(ordered(), 0);
-    *platform.away.lock().unwrap() = false;
-    until(|| all_have(&platform, 2)).await;
+    *platform.is_unavailable.lock().unwrap() = false;
+    wait_until(|| all_have(&platform, 2)).await;
 }
 
 /// An engine crashed and another instance has its address, but the list still contains the old entry. The roll would
@@ -162,9 +164,9 @@
         let engines = platform.engines.lock().unwrap();
         engines[1..].iter().all(|engine| engine.version == 2)
     };
-    until(|| others_have() && !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
+    wait_until(|| others_have() && !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
     let gone = "e0".parse().unwrap();
-    until(|| core.fleet.lock().get(&gone).unwrap().is_gone(clock::now())).await;
+    wait_until(|| core.fleet.lock().get(&gone).unwrap().is_gone(clock::now())).await;
     let told = core.peers.outbox.take();
     let word = told.iter().find(|news| news.engine == gone);
     assert!(word.is_some_and(|news| news.gone), "{told:?}");
@@ -185,7 +187,7 @@
     }
     tokio::spawn(roll::run(Arc::clone(&core)));
     name_weights(&core, 2);
-    until(|| all_have(&platform, 2)).await;
+    wait_until(|| all_have(&platform, 2)).await;
     let engines = platform.engines.lock().unwrap();
     let orders = &engines[0].orders;
     assert_eq!(orders.len(), 2);
@@ -212,7 +214,7 @@
     let core = vm(&platform, "vm-1", 3);
     tokio::spawn(roll::run(Arc::clone(&core)));
     name_weights(&core, 2);
-    until(|| !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
+    wait_until(|| !platform.engines.lock().unwrap()[0].orders.is_empty()).await;
     platform.engines.lock().unwrap()[0].version = 1;
     let began = clock::now();
     let id = "e0".parse().unwrap();
@@ -232,7 +234,7 @@
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 6);
     for engine in platform.engines.lock().unwrap().iter_mut() {
-        engine.load = Duration::from_millis(400);
+        engine.load_time = Duration::from_millis(400);
     }
     name_weights(&core, 2);
     let weights = Weights {
@@ -243,7 +245,7 @@
     core.fleet.lock().observe_naming(&weights, long_ago);
     tokio::spawn(roll::run(Arc::clone(&core)));
     let mut most = 0;
-    until(|| {
+    wait_until(|| {
         let engines = platform.engines.lock().unwrap();
         let loading = engines.iter().filter(|engine| engine.is_loading()).count();
         most = most.max(loading);
@@ -295,7 +297,7 @@
     let named = clock::now_less(Duration::from_secs(2));
     core.fleet.lock().observe_naming(&weights, named);
     core.named.notify_one();
-    until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
+    wait_until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
     let drained = clock::now().since(began);
     assert!(drained >= Duration::from_millis(2_900), "{drained:?}");
 }
@@ -307,7 +309,7 @@
     let platform = Arc::new(Platform::default());
     let core = vm(&platform, "vm-1", 3);
     core.adopt(&Arc::new(document(1)), "test");
-    let foreign_engine = StandinEngine::new(unused());
+    let foreign_engine = StandinEngine::new(unused_addr());
     let foreign_entry = Entry {
         service: "strangers".parse().unwrap(),
         ..entry("engines", foreign_engine.addr)
@@ -323,7 +325,7 @@
         let engines = platform.engines.lock().unwrap();
         engines[..3].iter().all(|engine| engine.version == 2)
     };
-    until(own_engines_have).await;
+    wait_until(own_engines_have).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(platform.engines.lock().unwrap()[3].orders.is_empty());
 }
--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -17,7 +17,7 @@
     process.add("e1", "engines", engine.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(answer.body, events(1..6));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.header("x-seal"), Some("s-r1"));
     let seen = engine.seen();
     assert!(
@@ -35,7 +35,7 @@
     process.add("e1", "engines", engine.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, &*events(1..6)));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     let seen = engine.seen();
     assert_eq!(seen.len(), 2);
     assert!(
@@ -79,7 +79,7 @@
     let two = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", one.addr);
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.body, events(1..4), "no partial event is forwarded");
     assert_eq!(two.seen().len(), 0);
 }
@@ -96,7 +96,7 @@
     // Whichever engine is chosen first breaks off. The other then runs its first act too and starts over
     // instead of resuming, which uses up the route's attempts.
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(
         answer.body,
         events(1..4),
@@ -127,7 +127,7 @@
     process.add("e2", "engines", two.addr);
     let answer = caller.answer().await;
     assert_eq!(answer.body, events(1..9));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(
         answer.header("x-seal"),
         Some("s-r1"),
@@ -140,7 +140,7 @@
 #[tokio::test]
 async fn a_stream_moves_from_a_silent_engine_to_another() {
     let process = Process::new().await;
-    let stuck = Upstream::start(vec![Act::Stuck(1..3)]).await;
+    let stuck = Upstream::start(vec![Act::StalledEvents(1..3)]).await;
     process.add("e1", "engines", stuck.addr);
     let other = Upstream::start(vec![Act::Events(3..6)]).await;
     let mut caller = Caller::connect(process.callers).await;
@@ -160,7 +160,7 @@
 #[tokio::test]
 async fn a_callers_disconnect_closes_the_engine_connection() {
     let process = Process::new().await;
-    let engine = Upstream::start(vec![Act::Stuck(1..3)]).await;
+    let engine = Upstream::start(vec![Act::StalledEvents(1..3)]).await;
     process.add("e1", "engines", engine.addr);
     let mut caller = Caller::connect(process.callers).await;
     caller.send(&request("POST", "/chat/", CHAT, "")).await;
@@ -222,10 +222,10 @@
 async fn a_stream_stays_at_a_silent_engine_without_an_alternative() {
     let process = Process::new().await;
     let pause = Duration::from_millis(2_600);
-    let slow = Upstream::start(vec![Act::Halting(1..3, pause, 6)]).await;
+    let slow = Upstream::start(vec![Act::PausedEvents(1..3, pause, 6)]).await;
     process.add("e1", "engines", slow.addr);
     let answer = ask(process.callers, "POST", "/review/", CHAT, "hello").await;
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.body, events(1..6));
     assert_eq!(slow.seen().len(), 1);
 }
@@ -253,5 +253,5 @@
     process.add("e2", "engines", two.addr);
     let answer = caller.answer().await;
     assert_eq!(answer.body, events(1..9));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/lines.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/lines.rs
@@ -1,4 +1,4 @@
-//! A log that is kept in memory.
+//! A log in memory.
 
 use sesamegap_entry::telemetry::Logging;
 use std::io::{self, Write};
@@ -6,18 +6,18 @@
 use tracing::Subscriber;
 use tracing_subscriber::EnvFilter;
 
-/// What was logged.
+/// Log lines in memory.
 #[derive(Debug, Clone, Default)]
-pub struct Lines(Arc<Mutex<Vec<u8>>>);
+pub struct LogLines(Arc<Mutex<Vec<u8>>>);
 
-impl Lines {
-    /// A subscriber that logs here, and its log: all is written once that is dropped.
+impl LogLines {
+    /// A subscriber that logs here; all lines are written once the [`Logging`] is dropped.
     pub fn subscriber(&self) -> (impl Subscriber + Send + Sync + use<>, Logging) {
-        Logging::to(self.clone(), EnvFilter::new("info"))
+        Logging::to_writer(self.clone(), EnvFilter::new("info"))
     }
 
-    /// Lines with the number of an event.
-    pub fn of(&self, event: u16) -> Vec<String> {
+    /// Lines with this event number.
+    pub fn with_event(&self, event: u16) -> Vec<String> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         let number = format!("\"event\":{event}");
         let lines = text.lines().filter(|line| line.contains(&number));
@@ -25,7 +25,7 @@
     }
 }
 
-impl Write for Lines {
+impl Write for LogLines {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -40,7 +40,7 @@
     while engine.closed() < engine.seen().len() {
         tokio::task::yield_now().await;
     }
-    assert_eq!(engine.begun(), 0);
+    assert_eq!(engine.started(), 0);
 }
 
 /// As above, with a prompt that may run again and an engine with the newer weights. The prompt is withdrawn, well
@@ -61,8 +61,11 @@
     process.add("e2", "engines", newer.addr);
     record_version(&process, "e2", 2);
     let answer = caller.answer().await;
-    assert!(answer.whole && answer.body.contains("t5"), "{answer:?}");
-    assert_eq!(full.begun(), 0);
+    assert!(
+        answer.is_complete && answer.body.contains("t5"),
+        "{answer:?}"
+    );
+    assert_eq!(full.started(), 0);
     assert_eq!(full.closed(), 1, "its connection is closed first");
 }
 
@@ -77,7 +80,7 @@
     name_newer(&process, Duration::from_millis(6_300));
     let answer = ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
     assert_eq!(answer.status, 502);
-    assert_eq!((full.seen().len(), full.begun()), (1, 0));
+    assert_eq!((full.seen().len(), full.started()), (1, 0));
 }
 
 /// One of two engines has expired weights. A resumable stream waits at the other, which sends its head at once and its
@@ -86,7 +89,7 @@
 #[tokio::test]
 async fn an_engine_with_expired_weights_is_no_alternative() {
     let process = Process::new().await;
-    let slow = Act::Halting(1..1, Duration::from_secs(3), 6);
+    let slow = Act::PausedEvents(1..1, Duration::from_secs(3), 6);
     let newer = Upstream::start(vec![slow]).await;
     let expired = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", newer.addr);
@@ -144,7 +147,7 @@
     process.add("e1", "engines", old.addr);
     name_newer(&process, Duration::from_secs(20));
     ask(process.callers, "POST", "/chat/", "x-model: m\r\n", "hello").await;
-    assert_eq!(old.begun(), 0);
+    assert_eq!(old.started(), 0);
 }
 
 /// The list does not name an engine's weights of a model yet. If they counted as the oldest when sending and as the
@@ -162,7 +165,7 @@
     unknown(&mut process.core.fleet.lock());
     name_newer(&process, Duration::from_millis(6_200));
     ask(process.callers, "POST", "/chat/", CHAT, "hello").await;
-    assert_eq!(engine.begun(), 0);
+    assert_eq!(engine.started(), 0);
 }
 
 /// An engine sends a prompt's answer as a whole, after it has run. The prompt starts at once, 5.5 s after a naming, and
