--- a/crates/sesamegap-policy/src/decider/admission.rs
+++ b/crates/sesamegap-policy/src/decider/admission.rs
@@ -17,13 +17,12 @@
 /// that a restart or a settings change takes to become visible.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Deviations above the mean first-token time that a request of the highest class must have time
-/// for if it has to queue: at most one in a hundred of that class may miss its deadline.
+/// Deviations above the mean time to first token that a request of the highest class must have
+/// time for if it has to queue: at most one in a hundred of that class may miss its deadline.
 const HIGHEST_CLASS_MARGIN: f64 = 2.0;
 
-/// The same margin for other classes: with the margin of the highest class, the team with the
-/// least weight was refused 50% more often, and no more answers met their deadline
-/// (docs/design/load.md).
+/// The same margin for other classes: with the margin of the highest class, the lightest team
+/// was refused 50% more often, and no more answers met their deadline (docs/design/load.md).
 const OTHER_CLASSES_MARGIN: f64 = 0.5;
 
 /// Factor by which the estimated wait of a queued request must exceed its remaining time before
@@ -116,10 +115,8 @@
     ) -> Result<(), Rejection> {
         let left = (work.arrived + settings.class.deadline).since(now);
         let rank = Rank::new(false, settings.class.priority);
-        let time_to_first_token = self.estimator.first_token_time(work, rank, now);
-        if time_to_first_token.is_some_and(|time| time.mean_plus_deviations(0.0) > left)
-            || left.is_zero()
-        {
+        let ttft = self.estimator.ttft(work, rank, now);
+        if ttft.is_some_and(|time| time.mean_plus_deviations(0.0) > left) || left.is_zero() {
             return Err(Rejection::new(RefusalCode::Deadline, DEFAULT_RETRY_DELAY));
         }
         if work.attempt > settings.class.retries || !self.budget.try_spend() {
@@ -157,8 +154,8 @@
         let excess = self.shares.exceeds(&claim, rate, now);
         let deadline = work.arrived + settings.class.deadline;
         let rank = Rank::new(excess, settings.class.priority);
-        let first = self.estimator.first_token_time(&work, rank, now);
-        // The shortest first-token time that is still likely: one deviation below the mean.
+        let first = self.estimator.ttft(&work, rank, now);
+        // The shortest time to first token that is still likely: one deviation below the mean.
         let least = first.map_or(Duration::ZERO, |time| time.mean_plus_deviations(-1.0));
         let left = deadline.since(now).saturating_sub(least);
         QueuedRequest {
@@ -177,7 +174,7 @@
     ///
     /// Guards against saturation: engines would compute answers that come too late, and callers
     /// would wait for nothing. The estimate is the time for the work queued ahead at the learned
-    /// rate plus the engines' first-token time, which gets a margin only if the request has to
+    /// rate plus the engines' time to first token, with a margin only if the request has to
     /// queue. Otherwise the mean is used, since an idle system must not refuse requests because of
     /// a variance that was observed under load.
     fn check_admission(
@@ -207,7 +204,7 @@
         Ok(())
     }
 
-    /// Estimates the time from now to the first token, margin included.
+    /// Estimates the time from now to the first token, queueing and margin included.
     fn time_to_first_token(&self, item: &QueuedRequest, now: Moment) -> Duration {
         let wait = self.estimator.queue_wait(&self.queue, item, item.cost, now);
         let margin = match wait.is_zero() {
@@ -215,7 +212,7 @@
             false if item.rank.priority.0 >= self.highest_priority => HIGHEST_CLASS_MARGIN,
             false => OTHER_CLASSES_MARGIN,
         };
-        let first = self.estimator.first_token_time(&item.work, item.rank, now);
+        let first = self.estimator.ttft(&item.work, item.rank, now);
         wait + first.map_or(Duration::ZERO, |time| time.mean_plus_deviations(margin))
     }
 
@@ -265,7 +262,7 @@
         let step = self.estimator.service_time(&item.work.model, item.cost);
         let priority = item.rank.priority.0;
         let after = self
-            .comebacks
+            .retry_schedule
             .reserve(priority, min_delay, step, now, &mut self.rng);
         self.refuse_after(&item.work, code, after);
     }
--- a/crates/sesamegap-policy/src/decider/attempts.rs
+++ b/crates/sesamegap-policy/src/decider/attempts.rs
@@ -22,7 +22,7 @@
     pub sent_at: Moment,
     /// Rank in the queue.
     pub rank: Rank,
-    /// First-token time expected by the placer.
+    /// Time to first token expected by the placer.
     pub expected_first_token: Duration,
     /// Time after sending at which a missing first token counts as late.
     pub late_after: Duration,
--- a/crates/sesamegap-policy/src/decider/builder.rs
+++ b/crates/sesamegap-policy/src/decider/builder.rs
@@ -81,7 +81,7 @@
             teams: TeamLimits::default(),
             shares: Shares::default(),
             budget: RetryBudget::default(),
-            comebacks: RetrySchedule::default(),
+            retry_schedule: RetrySchedule::default(),
             highest_priority: 0,
             recheck_at: None,
             last_sweep: Moment::default(),
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::{Attempt, AttemptTable};
 use super::estimator::WaitEstimator;
-use super::{Decider, Decision, RefusalCode, Work, ask};
+use super::{Decider, Decision, RefusalCode, Work, placement_request};
 use crate::load::Windows;
 use crate::load::queue::{DispatchOutcome, OUTPUT_TOKEN_COST, QueuedRequest, Rank};
 use crate::placing::{Placement, PlacementOutcome, PlacementRequest, Placer};
@@ -15,7 +15,7 @@
 /// time is left for a second attempt.
 const LATE_FRACTION: f64 = 0.5;
 
-/// Deviations above the mean first-token time after which a hedge is sent. About one request in
+/// Deviations above the mean time to first token after which a hedge is sent. About one request in
 /// twenty is that late on a healthy engine, which the retry budget can bear.
 const HEDGE_AFTER: f64 = 4.0;
 
@@ -49,7 +49,7 @@
         let Some(class) = catalogue.classes.get(&item.work.class) else {
             return self.drop_item(item, RefusalCode::Unknown);
         };
-        let ask = ask(&item.work, class);
+        let ask = placement_request(&item.work, class);
         let is_highest = class.priority >= self.highest_priority && !item.rank.excess;
         let room = self.windows.room(is_highest);
         let placed = self.placer.place(&ask, &room, self.now, self.rng);
@@ -148,7 +148,7 @@
         };
         self.queue.serve(|item| {
             let work = &item.work;
-            let time = estimator.first_token_time(work, item.rank, now);
+            let time = estimator.ttft(work, item.rank, now);
             let due = time.map(|time| now + time.mean_plus_deviations(HEDGE_AFTER));
             let hedge = due.filter(|_| work.repeatable && work.attempt == 0);
             sender.try_send(item, hedge)
@@ -184,12 +184,12 @@
         };
         let deadline = hedge.arrived + class.deadline;
         let rank = Rank::new(false, class.priority);
-        let time = self.estimator.first_token_time(hedge, rank, now);
+        let time = self.estimator.ttft(hedge, rank, now);
         let too_late = time.is_some_and(|time| now + time.mean_plus_deviations(0.0) >= deadline);
         if !class.hedge || too_late || !self.budget.try_spend() {
             return;
         }
-        let ask = ask(hedge, class);
+        let ask = placement_request(hedge, class);
         let is_highest = class.priority >= self.highest_priority;
         let room = self.windows.room(is_highest);
         let placed = self.placer.place(&ask, &room, now, &mut self.rng);
--- a/crates/sesamegap-policy/src/decider/estimator.rs
+++ b/crates/sesamegap-policy/src/decider/estimator.rs
@@ -1,4 +1,4 @@
-//! Estimates of queueing delay and first-token time, learned from this router's traffic.
+//! Estimates of queueing delay and time to first token (TTFT), learned from this router's traffic.
 
 use super::Work;
 use super::attempts::Attempt;
@@ -16,13 +16,13 @@
 /// Upper bound on estimates; a longer wait is no less hopeless.
 const MAX_ESTIMATE: Duration = Duration::from_mins(10);
 
-/// Weight of a new sample in the moving averages of observed and expected first-token times.
+/// Weight of a new sample in the moving averages of observed and expected times to first token.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Bounds on the correction factor, so that a few outliers cannot distort the estimate.
 const CORRECTION_BOUNDS: (f64, f64) = (0.1, 3.0);
 
-/// Moving averages of observed and expected first-token times, in seconds.
+/// Moving averages of observed and expected times to first token, in seconds.
 ///
 /// Both are averaged before they are divided: a mean of ratios would be dominated by the shortest
 /// expectations, which are wrong by the largest factor and matter least.
@@ -32,12 +32,12 @@
     expected: f64,
 }
 
-/// Service rates and first-token times learned from this router's traffic.
+/// Service rates and times to first token learned from this router's traffic.
 #[derive(Debug, Default)]
 pub struct WaitEstimator {
-    paces: ServiceRates,
-    firsts: TtftEstimates,
-    inflow: AdmittedRates,
+    service_rates: ServiceRates,
+    ttft_estimates: TtftEstimates,
+    admitted_rates: AdmittedRates,
     errors: BTreeMap<Rank, ExpectationError>,
 }
 
@@ -45,7 +45,7 @@
     /// Returns the rate, in cost per second, at which the engines of a model serve this router, if
     /// known.
     pub fn rate(&self, model: &ModelId) -> Option<f64> {
-        self.paces.rate(model)
+        self.service_rates.rate(model)
     }
 
     /// Estimates the time that a request would wait in the queue.
@@ -61,7 +61,7 @@
         now: Moment,
     ) -> Duration {
         let model = &item.work.model;
-        let Some(rate) = self.paces.rate(model) else {
+        let Some(rate) = self.service_rates.rate(model) else {
             return Duration::ZERO;
         };
         let team = &item.work.team;
@@ -69,7 +69,7 @@
         if ahead <= 0.0 {
             return Duration::ZERO;
         }
-        let left = rate - self.inflow.above(model, item.rank, now);
+        let left = rate - self.admitted_rates.above(model, item.rank, now);
         let seconds = ahead / left.max(rate * MIN_RATE_FRACTION);
         Duration::try_from_secs_f64(seconds).map_or(MAX_ESTIMATE, |wait| wait.min(MAX_ESTIMATE))
     }
@@ -80,22 +80,24 @@
         Duration::try_from_secs_f64(seconds).map_or(MAX_ESTIMATE, |span| span.min(MAX_ESTIMATE))
     }
 
-    /// Estimates the first-token time from requests of similar size and rank.
-    pub fn first_token_time(&self, work: &Work, rank: Rank, now: Moment) -> Option<TtftEstimate> {
-        self.firsts.get(&work.model, rank, work.chain.tokens, now)
+    /// Estimates the time to first token, after dispatch, from requests of similar size and rank.
+    pub fn ttft(&self, work: &Work, rank: Rank, now: Moment) -> Option<TtftEstimate> {
+        self.ttft_estimates
+            .get(&work.model, rank, work.chain.tokens, now)
     }
 
     /// Records an admitted request.
     pub fn record_admitted(&mut self, item: &QueuedRequest, now: Moment) {
-        self.inflow.add(&item.work.model, item.rank, item.cost, now);
+        self.admitted_rates
+            .add(&item.work.model, item.rank, item.cost, now);
     }
 
-    /// Records an observed first-token time beside the placer's expectation.
+    /// Records an observed time to first token beside the placer's expectation.
     ///
     /// Placers assume that engines serve requests in order of arrival; an engine that respects
     /// priorities is faster than that for high classes and slower for low ones.
     pub fn record_first_token(&mut self, attempt: &Attempt, time: Duration, now: Moment) {
-        self.firsts
+        self.ttft_estimates
             .add(&attempt.model, attempt.rank, attempt.tokens, time, now);
         if attempt.expected_first_token.is_zero() {
             return;
@@ -122,25 +124,25 @@
 
     /// Records completed work.
     pub fn record_done(&mut self, model: &ModelId, cost: u64, now: Moment) {
-        self.paces.done(model, cost, now);
+        self.service_rates.done(model, cost, now);
     }
 
     /// Samples the service rates if a sample is due.
     pub fn sample(&mut self, waiting: impl Fn(&ModelId) -> u64, now: Moment) {
-        self.paces.tick(waiting, now);
+        self.service_rates.tick(waiting, now);
     }
 
     /// Discards models that are not in the settings.
-    pub fn retain_models(&mut self, catalogue: &Catalogue) {
-        self.paces.keep(catalogue.models.keys());
-        self.firsts
-            .keep(|model| catalogue.models.contains_key(model));
-        self.inflow
-            .keep(|model| catalogue.models.contains_key(model));
+    pub fn retain(&mut self, catalogue: &Catalogue) {
+        self.service_rates.set_models(catalogue.models.keys());
+        self.ttft_estimates
+            .retain(|model| catalogue.models.contains_key(model));
+        self.admitted_rates
+            .retain(|model| catalogue.models.contains_key(model));
     }
 
-    /// Returns the learned rates as JSON, for diagnostics.
+    /// Returns the learned rates as JSON for a diagnostic dump.
     pub fn dump(&self) -> serde_json::Value {
-        self.paces.dump()
+        self.service_rates.dump()
     }
 }
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -53,7 +53,7 @@
     teams: TeamLimits,
     shares: Shares,
     budget: RetryBudget,
-    comebacks: RetrySchedule,
+    retry_schedule: RetrySchedule,
     highest_priority: u8,
     recheck_at: Option<Moment>,
     last_sweep: Moment,
@@ -67,8 +67,8 @@
     }
 
     /// Applies an observation.
-    pub fn observe(&mut self, news: Observation, now: Moment) {
-        match news {
+    pub fn observe(&mut self, observation: Observation, now: Moment) {
+        match observation {
             Observation::Settings(catalogue) => self.settings(catalogue),
             Observation::Fleet(engines) => self.fleet(&engines, now),
             Observation::Store(store) => self.placer.store(store),
@@ -140,7 +140,7 @@
         self.placer.warmth(now)
     }
 
-    /// Returns the state as JSON, for diagnostics.
+    /// Returns the state as JSON for a diagnostic dump.
     pub fn dump(&self, now: Moment) -> serde_json::Value {
         serde_json::json!({
             "queue": self.queue.dump(),
@@ -157,10 +157,10 @@
         self.placer.settings(&catalogue);
         let priorities = catalogue.classes.values().map(|class| class.priority);
         self.highest_priority = priorities.max().unwrap_or(0);
-        self.teams.keep(&catalogue);
+        self.teams.retain(&catalogue);
         self.shares
-            .keep(|model| catalogue.models.contains_key(model));
-        self.estimator.retain_models(&catalogue);
+            .retain(|model| catalogue.models.contains_key(model));
+        self.estimator.retain(&catalogue);
         self.catalogue = catalogue;
         self.queue.notify_room();
     }
@@ -168,7 +168,7 @@
     fn fleet(&mut self, engines: &[EngineEntry], now: Moment) {
         self.placer.set_engines(engines, now);
         let known: rustc_hash::FxHashSet<_> = engines.iter().map(|entry| &entry.id).collect();
-        self.windows.keep(|id| known.contains(id));
+        self.windows.retain(|id| known.contains(id));
         self.queue.notify_room();
     }
 
@@ -226,8 +226,8 @@
 
     /// Finishes attempts whose end was never reported.
     ///
-    /// If the caller loses track of a stream, its place on the engine would stay taken forever
-    /// and the dump would show flights without traffic. An attempt is therefore treated as
+    /// If the caller loses track of a stream, its place on the engine would stay taken forever and
+    /// the dump would show attempts in flight without traffic. An attempt is therefore treated as
     /// finished some time after the longest duration that its class allows.
     fn finish_expired(&mut self, now: Moment) {
         while let Some(request) = self.attempts.next_expired(now) {
@@ -236,8 +236,8 @@
     }
 }
 
-/// Builds the placement query for a request.
-fn ask<'a>(work: &'a Work, class: &'a ClassSpec) -> PlacementRequest<'a> {
+/// Builds the placement request for a submitted request.
+fn placement_request<'a>(work: &'a Work, class: &'a ClassSpec) -> PlacementRequest<'a> {
     PlacementRequest {
         request: &work.request,
         model: &work.model,
--- a/crates/sesamegap-policy/src/load/learned/admitted_rates.rs
+++ b/crates/sesamegap-policy/src/load/learned/admitted_rates.rs
@@ -32,11 +32,11 @@
             return 0.0;
         };
         let above = ranks.range(..rank);
-        above.map(|(_, flow)| flow.rate(now, DECAY_TIME)).sum()
+        above.map(|(_, rate)| rate.rate(now, DECAY_TIME)).sum()
     }
 
     /// Drops the rates of models that are not in the settings.
-    pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
 }
--- a/crates/sesamegap-policy/src/load/learned/decaying_rate.rs
+++ b/crates/sesamegap-policy/src/load/learned/decaying_rate.rs
@@ -11,15 +11,15 @@
 }
 
 impl DecayingRate {
-    /// Adds an amount; `memory` is the time constant of the decay.
-    pub fn add(&mut self, amount: f64, now: Moment, memory: Duration) {
-        self.rate = self.rate(now, memory) + amount / memory.as_secs_f64();
+    /// Adds an amount; `decay_time` is the time constant of the decay.
+    pub fn add(&mut self, amount: f64, now: Moment, decay_time: Duration) {
+        self.rate = self.rate(now, decay_time) + amount / decay_time.as_secs_f64();
         self.at = now.max(self.at);
     }
 
     /// The rate at `now`.
-    pub fn rate(&self, now: Moment, memory: Duration) -> f64 {
+    pub fn rate(&self, now: Moment, decay_time: Duration) -> f64 {
         let age = now.since(self.at).as_secs_f64();
-        self.rate * (-age / memory.as_secs_f64()).exp()
+        self.rate * (-age / decay_time.as_secs_f64()).exp()
     }
 }
--- a/crates/sesamegap-policy/src/load/learned/service_rate.rs
+++ b/crates/sesamegap-policy/src/load/learned/service_rate.rs
@@ -3,8 +3,8 @@
 //! The rate is sampled only while requests are queued, because without a backlog throughput
 //! measures demand and not capacity. It is computed from completed work and not from dispatched
 //! work, since a burst into empty windows says nothing about the engines. Engines can sustain at
-//! least the throughput they have just shown, so higher recent throughput raises an estimate that
-//! a short stall has lowered.
+//! least the throughput they have just shown, so a low rate measured during a short backlog is
+//! raised by higher throughput afterwards.
 
 use super::DecayingRate;
 use rustc_hash::FxHashMap;
@@ -73,6 +73,8 @@
         self.restart(waiting, now);
     }
 
+    /// Starts a new sample. After `MAX_AGE` without a sample, the rate no longer counts as
+    /// observed.
     fn restart(&mut self, waiting: bool, now: Moment) {
         if now.since(self.last_sample) > MAX_AGE {
             self.observed = Duration::ZERO;
@@ -122,8 +124,8 @@
         rates.collect::<serde_json::Map<_, _>>().into()
     }
 
-    /// Keeps rates for exactly the given models.
-    pub fn keep<'a>(&mut self, models: impl Iterator<Item = &'a ModelId>) {
+    /// Tracks exactly the given models and keeps the rates that are known of them.
+    pub fn set_models<'a>(&mut self, models: impl Iterator<Item = &'a ModelId>) {
         let mut old = std::mem::take(&mut self.models);
         self.models = models
             .map(|model| (model.clone(), old.remove(model).unwrap_or_default()))
--- a/crates/sesamegap-policy/src/load/learned/ttft.rs
+++ b/crates/sesamegap-policy/src/load/learned/ttft.rs
@@ -93,14 +93,14 @@
             return None;
         }
         let age = now.since(time.at).as_secs_f64();
-        let faded = (-age / DECAY_TIME.as_secs_f64()).exp();
-        time.mean *= faded;
-        time.deviation *= faded;
+        let decay = (-age / DECAY_TIME.as_secs_f64()).exp();
+        time.mean *= decay;
+        time.deviation *= decay;
         Some(time)
     }
 
     /// Drops the estimates of models that are not in the settings.
-    pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
 }
--- a/crates/sesamegap-policy/src/load/limits/peers.rs
+++ b/crates/sesamegap-policy/src/load/limits/peers.rs
@@ -11,7 +11,7 @@
 /// Time without a digest after which a peer is removed.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
-/// Maximum number of peers: three times the routers expected at the size that is designed for.
+/// Maximum number of peers: three times the routers expected at the target deployment size.
 const MAX_PEERS: usize = 1_024;
 
 /// Maximum number of teams per peer; a longer digest is truncated.
--- a/crates/sesamegap-policy/src/load/limits/shares.rs
+++ b/crates/sesamegap-policy/src/load/limits/shares.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct PriorityDemand {
     priority: u8,
-    flow: DecayingRate,
+    demand: DecayingRate,
     /// Accumulates the fraction of each request that fits; a request is within the share when
     /// this reaches 1.
     fit_credit: f64,
@@ -53,18 +53,18 @@
         let at = tier.unwrap_or_else(|| {
             self.tiers.push(PriorityDemand {
                 priority,
-                flow: DecayingRate::default(),
+                demand: DecayingRate::default(),
                 fit_credit: 0.0,
             });
             self.tiers.len() - 1
         });
-        self.tiers[at].flow.add(cost, now, DECAY_TIME);
+        self.tiers[at].demand.add(cost, now, DECAY_TIME);
     }
 
     /// Demand at this priority or a higher one.
     fn at_or_above(&self, priority: u8, now: Moment) -> f64 {
         let above = self.tiers.iter().filter(|t| t.priority >= priority);
-        above.map(|tier| tier.flow.rate(now, DECAY_TIME)).sum()
+        above.map(|tier| tier.demand.rate(now, DECAY_TIME)).sum()
     }
 
     /// Whether the next request of a priority fits into a share; updates `fit_credit`.
@@ -73,7 +73,7 @@
         let Some(tier) = self.tiers.iter_mut().find(|t| t.priority == priority) else {
             return true;
         };
-        let own = tier.flow.rate(now, DECAY_TIME);
+        let own = tier.demand.rate(now, DECAY_TIME);
         if all <= share || own <= 0.0 {
             return true;
         }
@@ -180,7 +180,7 @@
     }
 
     /// Drops the shares of models that are not in the settings.
-    pub fn keep(&mut self, known: impl Fn(&ModelId) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(&ModelId) -> bool) {
         self.models.retain(|model, _| known(model));
     }
 
--- a/crates/sesamegap-policy/src/load/limits/teams.rs
+++ b/crates/sesamegap-policy/src/load/limits/teams.rs
@@ -20,7 +20,7 @@
 /// Fraction of each rate that is divided equally between routers, independent of demand.
 const EQUAL_FRACTION: f64 = 0.1;
 
-/// Maximum number of teams in a digest; at 30 bytes each this stays within 4 KB a second.
+/// Maximum number of teams in a digest; at 30 bytes each this stays within 4 KB per second.
 const MAX_DIGEST_TEAMS: usize = 128;
 
 /// Maximum retry delay; a team that reaches it has a rate near zero and should check its settings.
@@ -58,8 +58,9 @@
     /// Charges a request to its team's bucket.
     ///
     /// Keeps a team that exceeds its rate limit from filling queues and caches that other teams
-    /// need. A prompt larger than the whole burst is accepted when the bucket is full, and leaves
-    /// the bucket with a negative level.
+    /// need. The bucket is as large as the team's own burst limit allows at this router. A larger
+    /// prompt is accepted when the bucket is full, and leaves a negative level that later tokens
+    /// pay off.
     ///
     /// # Errors
     ///
@@ -124,7 +125,7 @@
         self.routers = count.max(1);
     }
 
-    /// Returns the tokens of a request that was not admitted after all.
+    /// Refunds the tokens of a request that was not admitted after all.
     pub fn refund(&mut self, team: &TeamId, tokens: Tokens) {
         if let Some(bucket) = self.buckets.get_mut(team) {
             bucket.level += tokens.0 as f64;
@@ -154,7 +155,7 @@
     }
 
     /// Drops the buckets of teams without a rate limit in the settings.
-    pub fn keep(&mut self, catalogue: &Catalogue) {
+    pub fn retain(&mut self, catalogue: &Catalogue) {
         let limited = |team: &TeamId| {
             let spec = catalogue.teams.get(team);
             spec.is_some_and(|spec| spec.rate.is_some())
--- a/crates/sesamegap-policy/src/load/queue/mod.rs
+++ b/crates/sesamegap-policy/src/load/queue/mod.rs
@@ -339,7 +339,7 @@
     ///
     /// Returns the evicted requests, or `None` without evicting any if the new one can't fit. Used
     /// when a class's queue or the whole queue is full, so that a request of a higher class or of
-    /// a team with less queued isn't refused in favor of less important ones. The number of
+    /// a team with less queued isn't refused in favour of less important ones. The number of
     /// evictions is bounded so that a submission stays cheap.
     pub fn make_room(&mut self, item: &QueuedRequest, most: Tokens) -> Option<Vec<QueuedRequest>> {
         let mut victims = Vec::new();
--- a/crates/sesamegap-policy/src/load/windows/adaptive.rs
+++ b/crates/sesamegap-policy/src/load/windows/adaptive.rs
@@ -46,12 +46,12 @@
         self.size as usize
     }
 
-    fn signal(&mut self, signal: Signal, flights: usize, now: Moment) {
+    fn signal(&mut self, signal: Signal, in_flight: usize, now: Moment) {
         let size = self.size;
         match signal {
             // Timely responses in a window that is less than half used don't show that a larger one
             // would be safe.
-            Signal::Timely if flights as f64 * 2.0 >= size => {
+            Signal::Timely if in_flight as f64 * 2.0 >= size => {
                 self.size = (size + 1.0 / size).min(MAX_WINDOW);
             }
             Signal::Timely => {}
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -56,8 +56,8 @@
     /// Maximum requests in flight when `routers` share the engine.
     fn limit(&self, routers: usize) -> usize;
 
-    /// Updates the window with the outcome of an attempt while `flights` requests are in flight.
-    fn signal(&mut self, signal: Signal, flights: usize, now: Moment);
+    /// Updates the window with the outcome of an attempt while `in_flight` requests are in flight.
+    fn signal(&mut self, signal: Signal, in_flight: usize, now: Moment);
 }
 
 /// A constant window.
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 struct Engine {
     window: Box<dyn Window>,
-    flights: usize,
+    in_flight: usize,
     backlog: Backlog,
 }
 
@@ -103,7 +103,7 @@
 pub struct Windows {
     kind: WindowKind,
     engines: FxHashMap<UpstreamId, Engine>,
-    flights: FxHashMap<RequestId, UpstreamId>,
+    in_flight: FxHashMap<RequestId, UpstreamId>,
     routers: usize,
 }
 
@@ -119,7 +119,7 @@
         Self {
             kind,
             engines: FxHashMap::default(),
-            flights: FxHashMap::default(),
+            in_flight: FxHashMap::default(),
             routers: 1,
         }
     }
@@ -134,7 +134,7 @@
         let entry = self.engines.entry(engine.clone());
         entry.or_insert_with(|| Engine {
             window: kind.make(),
-            flights: 0,
+            in_flight: 0,
             backlog: Backlog::default(),
         })
     }
@@ -143,9 +143,9 @@
     pub fn take(&mut self, request: &RequestId, at: &Placement, prefill: Tokens, now: Moment) {
         self.release(request);
         let engine = self.entry(&at.engine);
-        engine.flights += 1;
+        engine.in_flight += 1;
         engine.backlog.sent(request, prefill.0, now);
-        self.flights.insert(request.clone(), at.engine.clone());
+        self.in_flight.insert(request.clone(), at.engine.clone());
     }
 
     /// Applies an engine's load report.
@@ -156,30 +156,30 @@
 
     /// Records that a request's prompt is computed.
     pub fn computed(&mut self, request: &RequestId, signal: Signal, now: Moment) {
-        if let Some(engine) = self.flights.get(request)
+        if let Some(engine) = self.in_flight.get(request)
             && let Some(engine) = self.engines.get_mut(engine)
         {
             engine.backlog.computed(request);
-            engine.window.signal(signal, engine.flights, now);
+            engine.window.signal(signal, engine.in_flight, now);
         }
     }
 
     /// Records that an attempt failed on its engine.
     pub fn failed(&mut self, request: &RequestId, now: Moment) {
-        if let Some(engine) = self.flights.get(request)
+        if let Some(engine) = self.in_flight.get(request)
             && let Some(engine) = self.engines.get_mut(engine)
         {
-            engine.window.signal(Signal::Late, engine.flights, now);
+            engine.window.signal(Signal::Late, engine.in_flight, now);
         }
     }
 
     /// Removes a request from its engine; returns whether it was in flight. Idempotent.
     pub fn release(&mut self, request: &RequestId) -> bool {
-        let Some(engine) = self.flights.remove(request) else {
+        let Some(engine) = self.in_flight.remove(request) else {
             return false;
         };
         if let Some(engine) = self.engines.get_mut(&engine) {
-            engine.flights -= 1;
+            engine.in_flight -= 1;
             engine.backlog.computed(request);
         }
         true
@@ -187,13 +187,13 @@
 
     /// Whether any request is in flight to an engine.
     pub fn busy(&self, engine: &UpstreamId) -> bool {
-        self.engines.get(engine).is_some_and(|e| e.flights > 0)
+        self.engines.get(engine).is_some_and(|e| e.in_flight > 0)
     }
 
     /// Drops unknown engines, except those with requests still in flight.
-    pub fn keep(&mut self, known: impl Fn(&UpstreamId) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(&UpstreamId) -> bool) {
         self.engines
-            .retain(|id, engine| engine.flights > 0 || known(id));
+            .retain(|id, engine| engine.in_flight > 0 || known(id));
     }
 
     /// The room available to the highest class, or to the other classes.
@@ -209,7 +209,7 @@
         let engines = self.engines.iter().map(|(id, engine)| {
             let limit = engine.window.limit(self.routers);
             let state = serde_json::json!({
-                "flights": engine.flights, "limit": limit, "prefill": engine.backlog.prefill(1),
+                "flights": engine.in_flight, "limit": limit, "prefill": engine.backlog.prefill(1),
             });
             (id.to_string(), state)
         });
@@ -230,7 +230,7 @@
         let usable = if highest { limit } else { limit - reserve };
         let factor = if highest { 2 } else { 1 };
         let waiting = engine.backlog.waiting(self.routers);
-        if engine.flights >= usable || waiting >= MAX_WAITING * factor {
+        if engine.in_flight >= usable || waiting >= MAX_WAITING * factor {
             return false;
         }
         let queued = engine.backlog.prefill(self.routers);
