--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -302,11 +302,11 @@
         }
     }
 
-    /// Returns the instances that crashed under a request, in trials or outside them, and that no condemned request
-    /// explains.
+    /// Returns the instances that crashed under a request, in its trials or, if `trial` is not set, outside them, and that
+    /// no condemned request explains.
     fn unexplained(&self, record: &Record, trial: bool) -> Vec<u64> {
-        let ended = record.crashes.iter().filter(|crash| crash.trial == trial);
-        let lives = ended.map(|crash| crash.life);
+        let crashes = record.crashes.iter().filter(|crash| crash.trial == trial);
+        let lives = crashes.map(|crash| crash.life);
         lives
             .filter(|life| !self.is_explained(record.fingerprint, *life))
             .collect()
@@ -367,7 +367,8 @@
         })
     }
 
-    /// Marks a record for publication if the request is restricted or was cleared.
+    /// Marks a record for publication if the request is restricted or was cleared. If it is condemned, also records the
+    /// crashes that it explains.
     fn publish(&mut self, request: Fingerprint, unix_ms: u64) {
         let Some(record) = self.get(request) else {
             return;
@@ -405,12 +406,12 @@
         };
         let explained = &self.explained;
         let is_explained = |life: u64| explained.get(&life).is_some_and(|by| *by != request);
-        let ended = &mut known.record.crashes;
-        if !known.record.condemned && ended.iter().all(|crash| is_explained(crash.life)) {
-            if ended.len() >= SUSPECT_CRASHES {
+        let crashes = &mut known.record.crashes;
+        if !known.record.condemned && crashes.iter().all(|crash| is_explained(crash.life)) {
+            if crashes.len() >= SUSPECT_CRASHES {
                 self.cleared.push(request);
             }
-            ended.clear();
+            crashes.clear();
         }
     }
 
--- a/crates/sesamegap-policy/src/shifting/mod.rs
+++ b/crates/sesamegap-policy/src/shifting/mod.rs
@@ -233,8 +233,8 @@
                 let may_drop = needs_slot && (next.is_some() || (settled && can_be_spared));
                 return may_drop.then(|| (model.clone(), below));
             }
-            let is_placed = self.is_target(model, &engine.id);
-            let is_unneeded = settled && needs_slot && !is_placed && can_be_spared;
+            let is_targeted = self.is_target(model, &engine.id);
+            let is_unneeded = settled && needs_slot && !is_targeted && can_be_spared;
             is_unneeded.then(|| (model.clone(), WeightsVersion(u32::MAX)))
         })
     }
--- a/crates/sesamegap-policy/src/shifting/targets.rs
+++ b/crates/sesamegap-policy/src/shifting/targets.rs
@@ -64,7 +64,7 @@
     let capacity: f64 = usable.iter().map(|engine| engine.capacity).sum();
     let each = (capacity / usable.len().max(1) as f64).max(1.0);
     let demand = fleet.demand.get(model).copied().unwrap_or(0.0).max(0.0);
-    let engines = |room: f64| (demand * room / each).ceil() as usize;
+    let engines = |headroom: f64| (demand * headroom / each).ceil() as usize;
     let held = usable.iter().filter(|engine| engine.holds(model)).count();
     let need = held.clamp(engines(HEADROOM), engines(RELEASE_HEADROOM));
     need.max(spec.least as usize).min(usable.len())
@@ -149,6 +149,7 @@
         (demand + 1.0) / (self.count(model) + 1) as f64
     }
 
+    /// Number of engines in a failure domain that are assigned to a model.
     fn copies(&self, model: &ModelId, domain: &DomainId) -> usize {
         let engines = self.fleet.engines.iter();
         let there = engines.filter(|engine| engine.domain == *domain);
