--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -147,7 +147,7 @@
     }
 
     fn place(&mut self, at: usize) {
-        // In a deployment of the target size, one router gets about 53 requests per second.
+        // At the target deployment size, one router gets about 53 requests per second.
         self.now = self.now + Duration::from_millis(19);
         let ask = PlacementRequest {
             request: &self.request,
--- a/crates/sesamegap-policy/tests/testsuite/load/limits.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/limits.rs
@@ -228,13 +228,13 @@
             [
                 Decision::Hedge {
                     request: of,
-                    hedge_id: twin,
+                    hedge_id: hedge,
                     at: other,
                     ..
                 },
             ] if repeatable => {
                 assert_eq!(*of, request(50));
-                assert_ne!(twin, of);
+                assert_ne!(hedge, of);
                 assert_ne!(other.engine, place.engine);
             }
             [] if !repeatable => {}
--- a/crates/sesamegap-policy/tests/testsuite/load/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/load/mod.rs
@@ -48,13 +48,14 @@
     world.run(at(60_000));
     let status = world.tally(|call| call.class == "status");
     assert!(status.good * 100 >= status.calls * 99, "{status:?}");
-    let returns = world.returns();
-    let seconds: std::collections::BTreeSet<_> = returns.iter().map(|at| at.0 / 500_000).collect();
-    assert!(returns.len() > 20, "{}", returns.len());
+    let retry_times = world.retry_times();
+    let half_seconds: std::collections::BTreeSet<_> =
+        retry_times.iter().map(|at| at.0 / 500_000).collect();
+    assert!(retry_times.len() > 20, "{}", retry_times.len());
     assert!(
-        seconds.len() > 5,
+        half_seconds.len() > 5,
         "all retries fall into {} half seconds",
-        seconds.len()
+        half_seconds.len()
     );
     let after = world.tally(|call| call.at > at(20_000));
     assert_eq!(after.late, 0, "late after the burst: {after:?}");
@@ -113,8 +114,8 @@
 }
 
 /// Demand rises to four times the capacity of the engines. Admitted requests of the highest class
-/// must be answered in time, lower classes be refused first and the light team hardly at all, and
-/// the useful throughput of the engines must not drop by more than a fifth.
+/// must be answered in time, lower classes must be refused first and the light team hardly at all,
+/// and the useful throughput of the engines must not drop by more than a fifth.
 #[test]
 fn saturation() {
     let mut done = Vec::new();
@@ -177,7 +178,7 @@
     let mut all = calls(9, at(0), at(20_000), &mix(0.5));
     all.extend(calls(10, at(5_000), at(8_000), &mix(4.0)));
     for call in &mut all {
-        call.returns = 4;
+        call.max_retries = 4;
     }
     let mut world = world(all);
     world.run(at(120_000));
@@ -216,7 +217,7 @@
     for (seed, load) in [(1, 0.5), (2, 2.0), (3, 6.0)] {
         let mut all = calls(seed, at(0), at(20_000), &mix(load));
         for call in &mut all {
-            call.returns = 1;
+            call.max_retries = 1;
         }
         let mut world = world(all);
         world.crash(0, at(10_000));
--- a/crates/sesamegap-policy/tests/testsuite/quarantine/merging.rs
+++ b/crates/sesamegap-policy/tests/testsuite/quarantine/merging.rs
@@ -25,15 +25,15 @@
         let mut record = Record::new(request(0));
         record.epoch = u32::arbitrary(g) % 3;
         for _ in 0..usize::arbitrary(g) % 5 {
-            let loss = crash(u64::arbitrary(g) % 6, bool::arbitrary(g));
-            record.add(loss, UNIX + u64::arbitrary(g) % 100);
+            let new_crash = crash(u64::arbitrary(g) % 6, bool::arbitrary(g));
+            record.add(new_crash, UNIX + u64::arbitrary(g) % 100);
         }
         record.condemned = bool::arbitrary(g) && !record.crashes.is_empty();
         Self(record)
     }
 }
 
-fn normal(mut record: Record) -> Record {
+fn sorted(mut record: Record) -> Record {
     record.crashes.sort_unstable_by_key(|crash| crash.life);
     record
 }
@@ -43,7 +43,7 @@
     for Known(record) in records {
         all.merge(record);
     }
-    normal(all)
+    sorted(all)
 }
 
 quickcheck! {
@@ -57,8 +57,8 @@
 
 fn condemn(registry: &mut Registry, no: u64) {
     for life in 0..6 {
-        let loss = crash(no * 10 + life, life >= 2);
-        registry.record_crash(request(no), loss, NOW, UNIX);
+        let new_crash = crash(no * 10 + life, life >= 2);
+        registry.record_crash(request(no), new_crash, NOW, UNIX);
     }
 }
 
@@ -71,8 +71,8 @@
         condemn(&mut registry, no);
     }
     for no in 1_000..20_000 {
-        let loss = crash(1_000_000 + no / 100, false);
-        registry.record_crash(request(no), loss, NOW + Duration::from_secs(no), UNIX);
+        let new_crash = crash(1_000_000 + no / 100, false);
+        registry.record_crash(request(no), new_crash, NOW + Duration::from_secs(no), UNIX);
     }
     let quarantined =
         (0..50).filter(|no| registry.standing(request(*no), UNIX) == Standing::Quarantined);
--- a/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/checker.rs
@@ -34,7 +34,7 @@
                     .iter()
                     .any(|(held, v)| held == model && *v >= *below);
                 self.drop_fault(engine, model, rest)
-                    .or_else(|| self.stay_fault(engine, order))
+                    .or_else(|| self.residency_fault(engine, order))
             }
         }
     }
@@ -69,7 +69,7 @@
     /// Within the minimum residency, only versions older than the one in the settings may be
     /// dropped, and only if the engine keeps a later version, as when an operator publishes twice
     /// in a row.
-    fn stay_fault(&self, engine: &EngineView, order: &EngineOrder) -> Option<String> {
+    fn residency_fault(&self, engine: &EngineView, order: &EngineOrder) -> Option<String> {
         let Wanted::Drop { model, below } = &order.wanted else {
             return None;
         };
--- a/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
+++ b/crates/sesamegap-policy/tests/testsuite/shifting/fleet.rs
@@ -19,7 +19,7 @@
     /// Hides loads in progress, so that the planner starts more.
     BlindToLoads,
     /// Makes each engine appear past its minimum residency.
-    NoStay,
+    IgnoresResidency,
     /// Adds a copy of each engine with the same weights.
     CountsTwice,
     /// Puts all engines into one failure domain.
@@ -29,7 +29,7 @@
 impl Defect {
     pub const ALL: [Self; 4] = [
         Self::BlindToLoads,
-        Self::NoStay,
+        Self::IgnoresResidency,
         Self::CountsTwice,
         Self::OneDomain,
     ];
@@ -39,12 +39,12 @@
         for engine in engines.iter_mut() {
             match self {
                 Self::BlindToLoads => engine.loading = false,
-                Self::NoStay => engine.since = Moment(0),
+                Self::IgnoresResidency => engine.since = Moment(0),
                 Self::OneDomain => engine.domain = "d".parse().expect("valid"),
                 Self::CountsTwice => {
-                    let mut twin = engine.clone();
-                    twin.id = format!("{}-twin", engine.id).parse().expect("valid");
-                    copies.push(twin);
+                    let mut copy = engine.clone();
+                    copy.id = format!("{}-twin", engine.id).parse().expect("valid");
+                    copies.push(copy);
                 }
             }
         }
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -85,8 +85,8 @@
     }
 
     fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, _now: Moment) {
-        let booked = (at.engine.clone(), ask.chain.tokens.0);
-        self.sent.insert(ask.request.clone(), booked);
+        let sent = (at.engine.clone(), ask.chain.tokens.0);
+        self.sent.insert(ask.request.clone(), sent);
     }
 
     fn started(&mut self, _request: &RequestId, _cached: Tokens, _now: Moment) {}
--- a/crates/sesamegap-policy/tests/testsuite/support/traffic.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/traffic.rs
@@ -67,7 +67,7 @@
                 class: kind.class,
                 tokens: kind.tokens,
                 answer: kind.answer,
-                returns: 0,
+                max_retries: 0,
             });
         }
     }
--- a/crates/sesamegap-policy/tests/testsuite/support/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/world.rs
@@ -23,8 +23,8 @@
     pub class: &'static str,
     pub tokens: u64,
     pub answer: u64,
-    /// Number of times that the caller retries after a refusal.
-    pub returns: u32,
+    /// Maximum number of times that the caller retries after a refusal.
+    pub max_retries: u32,
 }
 
 /// Outcome of a call.
@@ -44,7 +44,7 @@
     Arrive(usize),
     Engine(usize),
     Router(usize),
-    News,
+    Report,
     Crash(usize),
 }
 
@@ -113,7 +113,7 @@
             router.observe(Observation::Fleet(entries.clone()), self.now);
             router.observe(Observation::Routers(count), self.now);
         }
-        self.events.insert((self.now, Event::News));
+        self.events.insert((self.now, Event::Report));
         for (n, call) in self.calls.iter().enumerate() {
             self.events.insert((call.at, Event::Arrive(n)));
         }
@@ -134,7 +134,7 @@
                 Event::Arrive(n) => self.arrive(n),
                 Event::Engine(n) => self.tick(n),
                 Event::Router(n) => self.poll(n),
-                Event::News => self.news(),
+                Event::Report => self.exchange_reports(),
                 Event::Crash(n) => self.crash_engine(n),
             }
         }
@@ -168,18 +168,18 @@
                 }
                 Decision::Hedge {
                     request,
-                    hedge_id: twin,
+                    hedge_id: hedge,
                     at,
                     priority,
                 } => {
                     self.outcomes[index(&request)].hedges += 1;
-                    self.send(&twin, &at.engine, priority);
+                    self.send(&hedge, &at.engine, priority);
                 }
                 Decision::Refuse { request, refusal } => {
                     let n = index(&request);
                     self.outcomes[n].refused = Some((self.now, refusal.code, refusal.after));
                     self.outcomes[n].refusals += 1;
-                    if self.outcomes[n].refusals <= self.calls[n].returns {
+                    if self.outcomes[n].refusals <= self.calls[n].max_retries {
                         let again = self.now + refusal.after;
                         self.events.insert((again, Event::Arrive(n)));
                     }
@@ -220,7 +220,7 @@
                 Tick::Done(request) => (request, true),
             };
             let outcome = &mut self.outcomes[index(&request)];
-            let news = if done {
+            let observation = if done {
                 outcome.done.get_or_insert(self.now);
                 Observation::Finished(request.clone(), true)
             } else {
@@ -228,13 +228,13 @@
                 Observation::FirstToken(request.clone())
             };
             let router = self.router_of(index(&request) as u64);
-            self.routers[router].observe(news, self.now);
+            self.routers[router].observe(observation, self.now);
             self.poll(router);
         }
         self.schedule_engine(engine);
     }
 
-    fn news(&mut self) {
+    fn exchange_reports(&mut self) {
         let digests: Vec<_> = self
             .routers
             .iter_mut()
@@ -254,7 +254,7 @@
             self.poll(n);
         }
         self.events
-            .insert((self.now + REPORT_INTERVAL, Event::News));
+            .insert((self.now + REPORT_INTERVAL, Event::Report));
     }
 
     /// Crashes an engine; the routers resubmit the lost requests that had no token yet.
@@ -321,12 +321,12 @@
     }
 
     /// Times at which refused callers were told to retry.
-    pub fn returns(&self) -> Vec<Moment> {
+    pub fn retry_times(&self) -> Vec<Moment> {
         let refused = self.outcomes.iter().filter_map(|o| o.refused);
         refused.map(|(when, _, after)| when + after).collect()
     }
 
-    /// Sorted first-token times of the calls selected by `of`.
+    /// Sorted times to first token of the calls selected by `of`.
     pub fn first_times(&self, of: impl Fn(&Call) -> bool) -> Vec<Duration> {
         let pairs = self.calls.iter().zip(&self.outcomes);
         let firsts = pairs.filter(|(call, _)| of(call));
