--- a/crates/sesamegap-policy/src/decider/admission.rs
+++ b/crates/sesamegap-policy/src/decider/admission.rs
@@ -137,6 +137,7 @@
         }
     }
 
+    /// Ranks a request for the queue. A first attempt is also added to its team's demand.
     fn item(&mut self, work: Work, settings: RequestSettings<'_>, now: Moment) -> QueuedRequest {
         let cost = work.chain.tokens.0 + OUTPUT_TOKEN_COST * work.answer.0;
         let weight = settings.team.weight.max(MIN_WEIGHT);
--- a/crates/sesamegap-policy/src/decider/dispatch.rs
+++ b/crates/sesamegap-policy/src/decider/dispatch.rs
@@ -44,6 +44,8 @@
 }
 
 impl Sender<'_> {
+    /// Sends a request if an engine has room for it; drops it, to be refused, if none can serve it in
+    /// time.
     fn try_send(&mut self, item: &QueuedRequest, hedge: Option<Moment>) -> DispatchOutcome {
         let catalogue = self.catalogue;
         let Some(class) = catalogue.classes.get(&item.work.class) else {
@@ -94,6 +96,7 @@
         DispatchOutcome::Dropped
     }
 
+    /// Records a sent request with the placer, the windows and the attempts in flight.
     fn start_attempt(
         &mut self,
         ask: &PlacementRequest<'_>,
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -80,7 +80,7 @@
             Observation::Cache(engine, batch) => self.cache(engine, &batch, now),
             Observation::Listing(engine, listing) => self.placer.listing(&engine, &listing, now),
             Observation::Started(request, cached) => self.placer.started(&request, cached, now),
-            Observation::FirstToken(request) => self.first(&request, now),
+            Observation::FirstToken(request) => self.first_token(&request, now),
             Observation::Finished(request, whole) => self.finished(&request, whole, now),
             Observation::EngineFailed(engine) => self.placer.failed(&engine, now),
             Observation::Cancelled(request) => self.cancelled(&request),
@@ -178,7 +178,7 @@
         }
     }
 
-    fn first(&mut self, request: &RequestId, now: Moment) {
+    fn first_token(&mut self, request: &RequestId, now: Moment) {
         self.placer.first_token(request, now);
         let Some(attempt) = self.attempts.record_first_token(request) else {
             return;
--- a/crates/sesamegap-policy/src/load/learned/ttft.rs
+++ b/crates/sesamegap-policy/src/load/learned/ttft.rs
@@ -62,7 +62,7 @@
 }
 
 impl TtftEstimates {
-    fn size(tokens: Tokens) -> usize {
+    fn size_bucket(tokens: Tokens) -> usize {
         (u64::BITS - tokens.0.leading_zeros()).min(SIZE_BUCKETS - 1) as usize
     }
 
@@ -77,7 +77,7 @@
     ) {
         let ranks = self.models.entry(model.clone()).or_default();
         let sizes = ranks.entry(rank).or_default();
-        sizes[Self::size(tokens)].add(time.as_secs_f64(), now);
+        sizes[Self::size_bucket(tokens)].add(time.as_secs_f64(), now);
     }
 
     /// Returns the decayed estimate for a prompt of this size, or `None` without any sample.
@@ -88,7 +88,7 @@
         tokens: Tokens,
         now: Moment,
     ) -> Option<TtftEstimate> {
-        let mut time = self.models.get(model)?.get(&rank)?[Self::size(tokens)];
+        let mut time = self.models.get(model)?.get(&rank)?[Self::size_bucket(tokens)];
         if time.at == Moment::default() {
             return None;
         }
--- a/crates/sesamegap-policy/src/load/windows/mod.rs
+++ b/crates/sesamegap-policy/src/load/windows/mod.rs
@@ -69,7 +69,7 @@
         (FIXED_TOTAL_IN_FLIGHT / routers.max(1)).max(MIN_WINDOW)
     }
 
-    fn signal(&mut self, _signal: Signal, _flights: usize, _now: Moment) {}
+    fn signal(&mut self, _signal: Signal, _in_flight: usize, _now: Moment) {}
 }
 
 /// Kind of window that routers use.
--- a/crates/sesamegap-policy/src/quarantine/registry.rs
+++ b/crates/sesamegap-policy/src/quarantine/registry.rs
@@ -340,6 +340,7 @@
         others.filter(move |other| other.fingerprint != request && !other.is_condemned())
     }
 
+    /// Whether reports of other VMs about a request's last failed trial may still arrive.
     fn is_settling(&self, request: Fingerprint, now: Moment) -> bool {
         let failed_at = self
             .requests
