--- a/crates/sesamegap-policy/benches/load.rs
+++ b/crates/sesamegap-policy/benches/load.rs
@@ -10,7 +10,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-fn name<T: std::str::FromStr>(text: &str) -> T {
+fn parse_name<T: std::str::FromStr>(text: &str) -> T {
     text.parse()
         .unwrap_or_else(|_| panic!("{text} is not a valid name"))
 }
@@ -27,13 +27,13 @@
         seq: 0,
         work: Work {
             request: RequestId {
-                vm: name("vm"),
+                vm: parse_name("vm"),
                 incarnation: Incarnation(1),
                 seq,
             },
-            team: name(&format!("team-{}", seq % 8)),
-            class: name("check"),
-            model: name("model"),
+            team: parse_name(&format!("team-{}", seq % 8)),
+            class: parse_name("check"),
+            model: parse_name("model"),
             version: WeightsVersion(1),
             chain: Chain {
                 keys: Vec::new().into(),
--- a/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/mod.rs
@@ -101,8 +101,8 @@
 #[test]
 fn the_reference_queue_detects_each_defect() {
     for defect in Defect::ALL {
-        let caught =
-            (0..100).any(|seed| find_difference(seed, &mut QueueUnderTest::with(defect)).is_some());
+        let caught = (0..100)
+            .any(|seed| find_difference(seed, &mut QueueUnderTest::with_defect(defect)).is_some());
         assert!(caught, "{defect:?} was not detected");
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
+++ b/crates/sesamegap-policy/tests/testsuite/queue/reference.rs
@@ -46,7 +46,7 @@
 }
 
 impl QueueUnderTest {
-    pub fn with(defect: Defect) -> Self {
+    pub fn with_defect(defect: Defect) -> Self {
         Self {
             queue: Queue::default(),
             defect: Some(defect),
