--- a/crates/sesamegap-entry/src/clock.rs
+++ b/crates/sesamegap-entry/src/clock.rs
@@ -28,7 +28,7 @@
 }
 
 /// The moment that lies this long before the present one.
-pub fn now_less(span: Duration) -> Moment {
+pub fn ago(span: Duration) -> Moment {
     now().less(span)
 }
 
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -99,8 +99,8 @@
 
     fn named(self) -> Named {
         match self {
-            Self::Known(ms) => Named::At(clock::now_less(Duration::from_millis(ms))),
-            Self::Guessed(ms) => Named::Guessed(clock::now_less(Duration::from_millis(ms))),
+            Self::Known(ms) => Named::At(clock::ago(Duration::from_millis(ms))),
+            Self::Guessed(ms) => Named::Guessed(clock::ago(Duration::from_millis(ms))),
         }
     }
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -145,7 +145,7 @@
         }
         Err(_) => {
             BrokenAnswer::new(job, &mut flight, sent, false).silent(core);
-            if flight.last_heard() < clock::now_less(patience) {
+            if flight.last_heard() < clock::ago(patience) {
                 flight.failed(clock::now());
             }
             return Outcome::Lost("no head in time".to_owned());
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -238,7 +238,7 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let long_ago = clock::now_less(Duration::from_secs(7));
+    let long_ago = clock::ago(Duration::from_secs(7));
     core.fleet.lock().name_weights(&weights, long_ago);
     tokio::spawn(roll::run(Arc::clone(&core)));
     let mut most = 0;
@@ -288,7 +288,7 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let named = clock::now_less(Duration::from_secs(2));
+    let named = clock::ago(Duration::from_secs(2));
     core.fleet.lock().name_weights(&weights, named);
     core.named.notify_one();
     until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -15,7 +15,7 @@
         version: WeightsVersion(2),
     };
     let mut fleet = process.core.fleet.lock();
-    fleet.name_weights(&weights, clock::now_less(age));
+    fleet.name_weights(&weights, clock::ago(age));
 }
 
 fn holds(process: &Process, engine: &str, version: u32) {
