--- a/crates/sesamegap-entry/src/clock.rs
+++ b/crates/sesamegap-entry/src/clock.rs
@@ -33,7 +33,7 @@
 }
 
 /// A span in whole milliseconds, as messages carry it.
-pub fn ms_told(span: Duration) -> u32 {
+pub fn wire_millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -130,7 +130,7 @@
         Self {
             engine,
             born,
-            out_ms: clock::ms_told(GONE),
+            out_ms: clock::wire_millis(GONE),
             weights: None,
             gone: true,
         }
--- a/crates/sesamegap-entry/src/placing/desk.rs
+++ b/crates/sesamegap-entry/src/placing/desk.rs
@@ -108,7 +108,7 @@
             number,
             life: flight.life(),
             tokens: flight.tokens(),
-            left_ms: clock::ms_told(left),
+            left_ms: clock::wire_millis(left),
         });
         asked
     }
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -109,7 +109,7 @@
             tried: selection.tried.to_vec(),
             domain: selection.domain.clone(),
             shard: (shard.division.bits(), shard.number),
-            left_ms: clock::ms_told(left),
+            left_ms: clock::wire_millis(left),
         })
     }
 
--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -67,7 +67,7 @@
         at_store: chosen.at_store,
         running,
         ahead,
-        served_ms: served.map(|at| clock::ms_told(now.since(at))),
+        served_ms: served.map(|at| clock::wire_millis(now.since(at))),
     })
 }
 
--- a/crates/sesamegap-entry/src/quarantine/admission.rs
+++ b/crates/sesamegap-entry/src/quarantine/admission.rs
@@ -101,7 +101,7 @@
             asks.open.insert(number, sender);
             number
         };
-        let left_ms = clock::ms_told(left);
+        let left_ms = clock::wire_millis(left);
         let ask = Ask {
             number,
             record,
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -165,7 +165,7 @@
     EngineNews {
         engine: target.engine.clone(),
         born: target.born,
-        out_ms: clock::ms_told(out),
+        out_ms: clock::wire_millis(out),
         weights: done.then(|| wanted(target)),
         gone: false,
     }
