--- a/crates/sesamegap-entry/src/clock.rs
+++ b/crates/sesamegap-entry/src/clock.rs
@@ -38,6 +38,6 @@
 }
 
 /// A span in whole milliseconds, for log lines.
-pub fn ms(span: Duration) -> u64 {
+pub fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -173,7 +173,7 @@
         let records = batch.records.len();
         let missing = replace(core, table, batch, complete);
         if let Some(since) = restored.take() {
-            info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::ms(clock::now().since(since)), "read again from the restored store");
+            info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::millis(clock::now().since(since)), "read again from the restored store");
         }
         known.position().read(at, clock::now());
         known.position().asked(asked);
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -67,7 +67,7 @@
         }
         let mean = self.moments / u128::from(self.unread);
         let mean = Moment(u64::try_from(mean).unwrap_or(u64::MAX));
-        let read = clock::ms(now.since(mean).saturating_sub(holds)) * per_ms;
+        let read = clock::millis(now.since(mean).saturating_sub(holds)) * per_ms;
         self.unread.saturating_sub(read)
     }
 }
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -89,7 +89,7 @@
 
 impl Age {
     fn of(naming: Naming, now: Moment) -> Self {
-        let ms = clock::ms(now.since(naming.at));
+        let ms = clock::millis(now.since(naming.at));
         if naming.guessed {
             Self::Guessed(ms)
         } else {
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -163,7 +163,7 @@
     }
     info!(
         event = events::STOPPED,
-        took_ms = crate::clock::ms(told.elapsed()),
+        took_ms = crate::clock::millis(told.elapsed()),
         "stopped"
     );
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -112,10 +112,10 @@
         unread = flight.ahead,
         tokens = flight.tokens(),
         weights = flight.weights.map(|version| version.0),
-        overtaken_ms = flight.overtaken().map(|at| clock::ms(clock::now().since(at))),
+        overtaken_ms = flight.overtaken().map(|at| clock::millis(clock::now().since(at))),
         fetch = dispatch.fetch.map(tracing::field::display),
         save = dispatch.save.map(tracing::field::display),
-        left_ms = clock::ms(dispatch.left),
+        left_ms = clock::millis(dispatch.left),
         "sent"
     );
     let request = match build(core, job, &dispatch) {
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -93,7 +93,7 @@
             life,
             trial = loss.crash.trial,
             beside = self.beside,
-            ran_ms = clock::ms(self.ran),
+            ran_ms = clock::millis(self.ran),
             begun = self.begun,
             process = ?process,
             "connection broke"
--- a/crates/sesamegap-entry/src/relay/request_log.rs
+++ b/crates/sesamegap-entry/src/relay/request_log.rs
@@ -73,7 +73,7 @@
         self.core
             .metrics
             .ended(self.kind, self.status, span, self.first);
-        let took = clock::ms(span);
+        let took = clock::millis(span);
         let Some(status) = self.status else {
             info!(
                 event = events::LEFT,
@@ -90,8 +90,8 @@
             route = %self.route,
             status,
             runs = self.runs,
-            first_ms = self.first.map(clock::ms),
-            pause_ms = self.last.map(|_| clock::ms(self.pause)),
+            first_ms = self.first.map(clock::millis),
+            pause_ms = self.last.map(|_| clock::millis(self.pause)),
             took_ms = took,
             why = %self.why,
             "ended"
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -69,7 +69,7 @@
     let began = clock::now();
     push(core, news(target, OUT, false));
     if let Some(view) = look(core, target, began, began) {
-        info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = view.running, longest_ms = clock::ms(view.longest), overtaken_ms = view.overtaken.map(clock::ms), "drains before its order");
+        info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = view.running, longest_ms = clock::millis(view.longest), overtaken_ms = view.overtaken.map(clock::millis), "drains before its order");
     }
     sleep(HEARD).await;
     let mut said = clock::now();
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -131,7 +131,7 @@
             return;
         }
         let holder = self.last_holder().map(|holder| holder.vm);
-        let wait_ms = clock::ms(until.since(clock::now()));
+        let wait_ms = clock::millis(until.since(clock::now()));
         info!(event = events::LEASE, holder = ?holder, wait_ms, "another VM may still order");
     }
 
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -144,7 +144,7 @@
         state: smol_str::format_smolstr!("{:?}", fleet.openness(up, now)),
         running: fleet.running(up, now),
         unread: fleet.unread(up),
-        heard_ms_ago: clock::ms(now.since(up.heard)),
+        heard_ms_ago: clock::millis(now.since(up.heard)),
         weights: up
             .entry
             .weights
