--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -181,7 +181,7 @@
     }
 
     /// Whether one more repeat to a service fits into the fleet's bound; counts it if so.
-    pub fn may_repeat(&self, service: &ServiceId) -> bool {
+    pub fn try_retry(&self, service: &ServiceId) -> bool {
         let vms = self.peers.count();
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         budgets
--- a/crates/sesamegap-entry/src/relay/progress.rs
+++ b/crates/sesamegap-entry/src/relay/progress.rs
@@ -80,7 +80,7 @@
             }
             NotRun::Refused | NotRun::OtherWeights => {
                 self.refusals += 1;
-                self.refusals < MOST_REFUSALS && core.may_repeat(&self.service)
+                self.refusals < MOST_REFUSALS && core.try_retry(&self.service)
             }
         }
     }
@@ -88,7 +88,7 @@
     /// Whether a request that may have run at `at` may be sent again.
     pub fn after_run(&mut self, core: &Core, job: &Job, at: UpstreamId) -> bool {
         self.ran(at);
-        self.may_run_again(job) && core.may_repeat(&self.service)
+        self.may_run_again(job) && core.try_retry(&self.service)
     }
 
     /// Notes that a request may have run at an upstream.
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -352,7 +352,7 @@
         while self.progress.may_run_again(&self.job) {
             // Only a try that can be made counts against the fleet's bound.
             let other = self.progress.has_other(&self.core, None);
-            if other && self.core.may_repeat(&self.progress.service) {
+            if other && self.core.try_retry(&self.progress.service) {
                 match self.open().await {
                     Ok(Opened::Live(live)) => return Some(*live),
                     Ok(Opened::Whole(_)) => return None,
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -128,7 +128,7 @@
     drop(ask(process.callers, "POST", "/review/", CHAT, "hello").await);
     assert_eq!(shut.seen().len(), 0);
     let mut left = 0;
-    while process.core.may_repeat(&service) {
+    while process.core.try_retry(&service) {
         left += 1;
     }
     assert!(
