--- a/crates/sesamegap-entry/src/core/active.rs
+++ b/crates/sesamegap-entry/src/core/active.rs
@@ -30,12 +30,12 @@
 /// It counts from when it was read whole: a caller that stops in the middle of its body is owed
 /// nothing, and a process that stops must not wait for it.
 #[derive(Debug)]
-pub struct Active {
+pub struct ActiveRequestGuard {
     all: Arc<ActiveRequests>,
     number: u64,
 }
 
-impl Active {
+impl ActiveRequestGuard {
     /// Counts a request.
     pub fn new(all: &Arc<ActiveRequests>, id: SmolStr) -> Self {
         let mut requests = all.lock();
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
         self.all.lock().ids.remove(&self.number);
     }
--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -2,7 +2,7 @@
 
 mod active;
 
-pub use active::{Active, ActiveRequests};
+pub use active::{ActiveRequestGuard, ActiveRequests};
 
 use crate::catalogue::{Catalogue, Document, Revision};
 use crate::clock;
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -3,7 +3,7 @@
 use super::connection::limits;
 use super::reply::{Body, Refusal, refuse};
 use crate::catalogue::{Catalogue, Route, Team};
-use crate::core::{Active, Core, Phase};
+use crate::core::{ActiveRequestGuard, Core, Phase};
 use crate::ports::RequestHead;
 use crate::relay::{self, Job};
 use crate::telemetry::events;
@@ -29,7 +29,7 @@
         Ok(job) => job.head.id.clone(),
         Err(refused) => refused.id.clone(),
     };
-    let active = Active::new(&core.active, id);
+    let active = ActiveRequestGuard::new(&core.active, id);
     let mut response = match taken {
         Ok(job) => relay::run(&core, job).await,
         Err(refused) => {
