--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -56,7 +56,7 @@
     /// The log.
     pub logging: Logging,
     /// Wakes the roll when weights were named.
-    pub named: Notify,
+    pub weights_named: Notify,
     /// Requests being worked on.
     pub active: Arc<ActiveRequests>,
     /// Room for request bodies, in KiB.
@@ -90,7 +90,7 @@
             fleet: SharedFleet::new(Fleet::new(rules)),
             peers: Peers::new(&settings),
             desk: Desk::default(),
-            named: Notify::new(),
+            weights_named: Notify::new(),
             active: Arc::default(),
             bodies: Arc::new(Semaphore::new(settings.body_memory >> 10)),
             quarantine: Quarantine::default(),
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -157,7 +157,7 @@
     let newer = core.fleet.lock().learn_weights(weights, named);
     if newer {
         info!(event = events::WEIGHTS, model = %weights.model, version = weights.version.0, named = ?named, source, "weights named");
-        core.named.notify_one();
+        core.weights_named.notify_one();
     }
     newer
 }
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -54,7 +54,7 @@
         let behind = behind(&core);
         if behind.is_empty() {
             since = None;
-            drop(timeout(IDLE, core.named.notified()).await);
+            drop(timeout(IDLE, core.weights_named.notified()).await);
             continue;
         }
         let began = *since.get_or_insert_with(clock::now);
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -204,7 +204,7 @@
             version: WeightsVersion(version),
         };
         core.fleet.lock().name_weights(&weights, clock::now());
-        core.named.notify_one();
+        core.weights_named.notify_one();
         until(|| {
             let engines = platform.engines.lock().unwrap();
             engines.iter().all(|engine| engine.version == version)
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -38,7 +38,7 @@
         version: WeightsVersion(version),
     };
     core.fleet.lock().name_weights(&weights, clock::now());
-    core.named.notify_one();
+    core.weights_named.notify_one();
 }
 
 fn all_hold(platform: &Platform, version: u32) -> bool {
@@ -290,7 +290,7 @@
     };
     let named = clock::ago(Duration::from_secs(2));
     core.fleet.lock().name_weights(&weights, named);
-    core.named.notify_one();
+    core.weights_named.notify_one();
     until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
     let drained = clock::now().since(began);
     assert!(drained >= Duration::from_millis(2_900), "{drained:?}");
