--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -195,7 +195,7 @@
     }
 
     /// Follows the phase.
-    pub fn phases(&self) -> watch::Receiver<Phase> {
+    pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -44,7 +44,7 @@
         debug!(event = events::BOUND, %error, "connection closed before it was served");
         return;
     }
-    let mut phases = core.phases();
+    let mut phases = core.subscribe_phase();
     let closing = super::reached(&mut phases, Phase::Closing);
     let answer = |request, busy| request::answer(Arc::clone(&core), request, busy);
     match serving::serve(stream, core.as_ref(), answer, closing).await {
--- a/crates/sesamegap-entry/src/intake/mod.rs
+++ b/crates/sesamegap-entry/src/intake/mod.rs
@@ -35,7 +35,7 @@
 
 /// Accepts connections until the process ends.
 pub async fn serve(core: Arc<Core>, listener: TcpListener) {
-    let mut phases = core.phases();
+    let mut phases = core.subscribe_phase();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
