--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -200,7 +200,7 @@
     }
 
     /// Goes on to a later phase.
-    pub fn enter(&self, phase: Phase) {
+    pub fn advance_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|now| {
             let later = phase > *now;
             if later {
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -138,11 +138,11 @@
         grace_s = grace.as_secs_f64(),
         "told to stop"
     );
-    core.enter(Phase::Leaving);
+    core.advance_phase(Phase::Leaving);
     core.peers.leave();
     peers::tell_all(core).await;
     sleep(times.lingers.saturating_sub(told.elapsed())).await;
-    core.enter(Phase::Closing);
+    core.advance_phase(Phase::Closing);
     let mut busy = Instant::now();
     while told.elapsed() < times.accepts && busy.elapsed() < QUIET {
         if core.active() > 0 {
@@ -150,7 +150,7 @@
         }
         sleep(LOOK).await;
     }
-    core.enter(Phase::Ended);
+    core.advance_phase(Phase::Ended);
     // What was accepted last is read only now, and counts as active from then on.
     sleep(LOOK).await;
     while core.active() > 0 && told.elapsed() < times.ends {
--- a/crates/sesamegap-entry/tests/testsuite/crossing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/crossing.rs
@@ -39,9 +39,9 @@
 async fn a_request_in_the_socket_is_answered_before_a_stop_closes_it() {
     for _ in 0..TRIES {
         let (process, _desk, mut caller) = idle_caller(LONG).await;
-        process.core.enter(Phase::Leaving);
+        process.core.advance_phase(Phase::Leaving);
         caller.send_at_once(SAVE);
-        process.core.enter(Phase::Closing);
+        process.core.advance_phase(Phase::Closing);
         let answer = caller.answer().await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ok"));
         assert_eq!(answer.header("connection"), Some("close"));
@@ -72,7 +72,7 @@
     // Once another request was answered, the half head has been read too.
     let other = ask(process.callers, "POST", "/save/", "", "").await;
     assert_eq!(other.status, 200);
-    process.core.enter(Phase::Closing);
+    process.core.advance_phase(Phase::Closing);
     for _ in 0..20 {
         tokio::task::yield_now().await;
     }
@@ -92,7 +92,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
         let mut stream = std::net::TcpStream::connect(process.callers).unwrap();
         stream.write_all(SAVE.as_bytes()).unwrap();
-        process.core.enter(Phase::Ended);
+        process.core.advance_phase(Phase::Ended);
         let mut caller = Caller::of(stream);
         assert_eq!(caller.answer().await.body, "ok");
     }
@@ -104,7 +104,7 @@
 #[tokio::test]
 async fn callers_that_keep_coming_do_not_hold_the_port_open() {
     let process = Process::new().await;
-    process.core.enter(Phase::Ended);
+    process.core.advance_phase(Phase::Ended);
     for _ in 0..1_000 {
         if tokio::net::TcpStream::connect(process.callers)
             .await
--- a/crates/sesamegap-entry/tests/testsuite/stops.rs
+++ b/crates/sesamegap-entry/tests/testsuite/stops.rs
@@ -25,9 +25,9 @@
     while desk.seen().len() < 2 {
         tokio::task::yield_now().await;
     }
-    process.core.enter(Phase::Leaving);
+    process.core.advance_phase(Phase::Leaving);
     assert!(!process.core.is_ready());
-    process.core.enter(Phase::Closing);
+    process.core.advance_phase(Phase::Closing);
     assert!(idle.is_closed().await);
     let answer = busy.answer().await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "late"));
@@ -41,7 +41,7 @@
     let process = Process::new().await;
     let desk = Upstream::start(vec![Act::Answer(200, "ok")]).await;
     process.add("w1", "desk", desk.addr);
-    process.core.enter(Phase::Leaving);
+    process.core.advance_phase(Phase::Leaving);
     let answer = ask(process.callers, "GET", "/pull/", "", "").await;
     assert_eq!(answer.body, "ok");
     assert_eq!(answer.header("connection"), Some("close"));
@@ -54,7 +54,7 @@
     let (addrs, ttl) = locator::answer(&process.core);
     assert_eq!(addrs, [process.core.settings().listen.callers]);
     assert!(ttl > Duration::ZERO);
-    process.core.enter(Phase::Leaving);
+    process.core.advance_phase(Phase::Leaving);
     assert_eq!(locator::answer(&process.core).0, []);
 }
 
