--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -144,7 +144,7 @@
     let Some(next) = core.known(table).position().next() else {
         return;
     };
-    let mut timelines = core.store.timelines();
+    let mut timelines = core.store.subscribe_timeline();
     drop(timeout(time, timelines.wait_for(|present| next.timeline < *present)).await);
 }
 
@@ -204,7 +204,7 @@
 
 /// Keeps this VM's entry in the store, and reads the others'.
 pub async fn vms(core: Arc<Core>) {
-    let mut timelines = core.store.timelines();
+    let mut timelines = core.store.subscribe_timeline();
     while core.phase() < Phase::Ended {
         timelines.mark_unchanged();
         let listed = match core.store.snapshot(Table::Vms).await {
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -40,7 +40,7 @@
         let lease = CasLease::new(core.peers.me().clone(), terms);
         Self {
             state: Arc::new(Mutex::new(lease)),
-            timeline: core.store.timelines(),
+            timeline: core.store.subscribe_timeline(),
             free: None,
             told: Moment::default(),
         }
--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -53,7 +53,7 @@
     }
 
     /// Follows the timeline.
-    pub fn timelines(&self) -> watch::Receiver<Timeline> {
+    pub fn subscribe_timeline(&self) -> watch::Receiver<Timeline> {
         self.risen.subscribe()
     }
 
