--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -174,7 +174,7 @@
 #[derive(Debug, Clone)]
 pub struct Reply<T> {
     /// What the answer states of its timeline; unset if there was no answer.
-    pub stated: Option<ReportedTimeline>,
+    pub timeline: Option<ReportedTimeline>,
     /// What it brought.
     pub outcome: Result<T, StoreError>,
 }
--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -145,7 +145,7 @@
         asked: Option<LogPosition>,
         reply: Reply<T>,
     ) -> Result<(Timeline, T), StoreError> {
-        let Some(stated) = reply.stated else {
+        let Some(stated) = reply.timeline else {
             return reply.outcome.map(|value| (self.timeline(), value));
         };
         let (verdict, present) = {
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -251,7 +251,7 @@
         let timeline = *self.timeline.lock().unwrap();
         let stated = timeline.map_or(ReportedTimeline::Missing, ReportedTimeline::At);
         Reply {
-            stated: Some(stated),
+            timeline: Some(stated),
             outcome,
         }
     }
