--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -180,27 +180,27 @@
 }
 
 /// The future of a call to the store.
-pub type Call<'a, T> = BoxFuture<'a, Reply<T>>;
+pub type StoreCall<'a, T> = BoxFuture<'a, Reply<T>>;
 
 /// The store that keeps what must last; its offsets are of the timeline that the answer states.
 pub trait Store: fmt::Debug + Send + Sync {
     /// The newest record of each key of a table.
-    fn snapshot(&self, table: Table) -> Call<'_, Records>;
+    fn snapshot(&self, table: Table) -> StoreCall<'_, Records>;
 
     /// Changes from an offset on; waits at most `wait` for the first.
-    fn changes(&self, table: Table, from: Offset, wait: Duration) -> Call<'_, Records>;
+    fn changes(&self, table: Table, from: Offset, wait: Duration) -> StoreCall<'_, Records>;
 
     /// Writes this VM's entry.
-    fn announce(&self, vm: &VmId, peers: SocketAddr) -> Call<'_, ()>;
+    fn announce(&self, vm: &VmId, peers: SocketAddr) -> StoreCall<'_, ()>;
 
     /// Writes what is known of requests under which upstreams ended, each in place of its former record.
-    fn quarantine(&self, records: &[quarantine::Record]) -> Call<'_, ()>;
+    fn quarantine(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()>;
 
     /// Records of the lease log from an offset on, and where it ends.
-    fn lease_records(&self, from: Offset) -> Call<'_, (Vec<Bytes>, Offset)>;
+    fn lease_records(&self, from: Offset) -> StoreCall<'_, (Vec<Bytes>, Offset)>;
 
     /// Appends to the lease log if it ends at this offset.
-    fn lease_append(&self, record: Bytes, at: Offset) -> Call<'_, Offset>;
+    fn lease_append(&self, record: Bytes, at: Offset) -> StoreCall<'_, Offset>;
 }
 
 /// A named part of a prompt.
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -5,9 +5,9 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use sesamegap_entry::ports::{
-    AnswerHead, BadHead, CacheNews, Call, Dispatch, EngineCall, Engines, Headers, LoadOrder,
-    OrderAnswer, Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreError,
-    Table, Weights,
+    AnswerHead, BadHead, CacheNews, Dispatch, EngineCall, Engines, Headers, LoadOrder, OrderAnswer,
+    Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreCall, StoreError, Table,
+    Weights,
 };
 use sesamegap_policy::agreement::timelines::ReportedTimeline;
 use sesamegap_policy::quarantine;
@@ -269,7 +269,7 @@
 }
 
 impl Store for Platform {
-    fn snapshot(&self, table: Table) -> Call<'_, Records> {
+    fn snapshot(&self, table: Table) -> StoreCall<'_, Records> {
         let quarantined = || {
             self.there()?;
             let records = self.quarantine.lock().unwrap();
@@ -289,7 +289,7 @@
         async move { self.reply(found) }.boxed()
     }
 
-    fn changes(&self, _table: Table, from: Offset, wait: Duration) -> Call<'_, Records> {
+    fn changes(&self, _table: Table, from: Offset, wait: Duration) -> StoreCall<'_, Records> {
         async move {
             tokio::time::sleep(wait.min(Duration::from_millis(50))).await;
             if std::mem::take(&mut *self.dropped.lock().unwrap()) {
@@ -300,12 +300,12 @@
         .boxed()
     }
 
-    fn announce(&self, vm: &VmId, _peers: SocketAddr) -> Call<'_, ()> {
+    fn announce(&self, vm: &VmId, _peers: SocketAddr) -> StoreCall<'_, ()> {
         self.announced.lock().unwrap().push(vm.clone());
         async move { self.reply(self.there()) }.boxed()
     }
 
-    fn quarantine(&self, records: &[quarantine::Record]) -> Call<'_, ()> {
+    fn quarantine(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()> {
         let written = self.there().map(|()| {
             let mut kept = self.quarantine.lock().unwrap();
             kept.retain(|old| records.iter().all(|new| new.fingerprint != old.fingerprint));
@@ -314,7 +314,7 @@
         async move { self.reply(written) }.boxed()
     }
 
-    fn lease_records(&self, from: Offset) -> Call<'_, (Vec<Bytes>, Offset)> {
+    fn lease_records(&self, from: Offset) -> StoreCall<'_, (Vec<Bytes>, Offset)> {
         async move {
             let read = self.there().map(|()| {
                 let leases = self.leases.lock().unwrap();
@@ -326,7 +326,7 @@
         .boxed()
     }
 
-    fn lease_append(&self, record: Bytes, at: Offset) -> Call<'_, Offset> {
+    fn lease_append(&self, record: Bytes, at: Offset) -> StoreCall<'_, Offset> {
         async move {
             let done = self.there().and_then(|()| {
                 let mut leases = self.leases.lock().unwrap();
