--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -215,7 +215,7 @@
                 continue;
             }
         };
-        if !listed && let Err(error) = announce(&core).await {
+        if !listed && let Err(error) = write_vm_entry(&core).await {
             warn!(event = events::STORE_LOST, table = ?Table::Vms, %error, "own entry not written");
             sleep(RETRY * 3).await;
             continue;
@@ -235,10 +235,10 @@
     AGAIN * (place >> 56) as u32 / (1 << 8)
 }
 
-async fn announce(core: &Core) -> Result<(), StoreError> {
+async fn write_vm_entry(core: &Core) -> Result<(), StoreError> {
     let settings = core.settings();
     core.store
-        .announce(&settings.vm, settings.listen.peers)
+        .write_vm_entry(&settings.vm, settings.listen.peers)
         .await
 }
 
--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -191,7 +191,7 @@
     fn changes(&self, table: Table, from: Offset, wait: Duration) -> StoreCall<'_, Records>;
 
     /// Writes this VM's entry.
-    fn announce(&self, vm: &VmId, peers: SocketAddr) -> StoreCall<'_, ()>;
+    fn write_vm_entry(&self, vm: &VmId, peers: SocketAddr) -> StoreCall<'_, ()>;
 
     /// Writes what is known of requests under which upstreams ended, each in place of its former record.
     fn quarantine(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()>;
--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -87,8 +87,8 @@
     ///
     /// # Errors
     /// If it was not written.
-    pub async fn announce(&self, vm: &VmId, peers: SocketAddr) -> Result<(), StoreError> {
-        let reply = self.port.announce(vm, peers).await;
+    pub async fn write_vm_entry(&self, vm: &VmId, peers: SocketAddr) -> Result<(), StoreError> {
+        let reply = self.port.write_vm_entry(vm, peers).await;
         self.judge(None, reply).map(|_| ())
     }
 
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -300,7 +300,7 @@
         .boxed()
     }
 
-    fn announce(&self, vm: &VmId, _peers: SocketAddr) -> StoreCall<'_, ()> {
+    fn write_vm_entry(&self, vm: &VmId, _peers: SocketAddr) -> StoreCall<'_, ()> {
         self.announced.lock().unwrap().push(vm.clone());
         async move { self.reply(self.there()) }.boxed()
     }
