--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -280,7 +280,7 @@
 
 /// Why the head of a request cannot be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadHead(pub &'static str);
+pub struct InvalidHeader(pub &'static str);
 
 /// Turns headers into messages and back.
 pub trait Headers: fmt::Debug + Send + Sync {
@@ -288,7 +288,7 @@
     ///
     /// # Errors
     /// If a header that must be there is missing or unreadable.
-    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader>;
 
     /// Headers that only the process sets, and those that it keeps to itself.
     fn reserved(&self) -> &[HeaderName];
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -5,9 +5,9 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use sesamegap_entry::ports::{
-    AnswerHead, BadHead, CacheNews, Dispatch, EngineCall, Engines, Headers, LoadOrder, OrderAnswer,
-    Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreCall, StoreError, Table,
-    Weights,
+    AnswerHead, CacheNews, Dispatch, EngineCall, Engines, Headers, InvalidHeader, LoadOrder,
+    OrderAnswer, Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreCall,
+    StoreError, Table, Weights,
 };
 use sesamegap_policy::agreement::timelines::ReportedTimeline;
 use sesamegap_policy::quarantine;
@@ -38,12 +38,12 @@
 }
 
 impl Headers for PlainHeaders {
-    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead> {
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader> {
         let parts = text(headers, &HeaderName::from_static("x-parts"));
         let parts = parts.unwrap_or_default();
         let parts = parts.split(',').filter(|name| !name.is_empty());
         Ok(RequestHead {
-            id: text(headers, &ID).ok_or(BadHead("no id"))?,
+            id: text(headers, &ID).ok_or(InvalidHeader("no id"))?,
             patience: text(headers, &HeaderName::from_static("x-patience"))
                 .and_then(|ms| ms.parse().ok())
                 .map(Duration::from_millis),
