--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -318,7 +318,7 @@
 
 /// News of what a cache holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CacheNews {
+pub struct CacheUpdate {
     /// Number to ask from next; it means nothing to another life of the same cache.
     pub next: u64,
     /// Life that it tells of; unset if it does not say.
@@ -375,7 +375,7 @@
     fn report(&self, addr: SocketAddr) -> EngineCall<'_, Report>;
 
     /// Waits at a cache for news of what it holds, at most `wait`.
-    fn news(&self, addr: SocketAddr, since: u64, wait: Duration) -> EngineCall<'_, CacheNews>;
+    fn news(&self, addr: SocketAddr, since: u64, wait: Duration) -> EngineCall<'_, CacheUpdate>;
 
     /// Orders an engine to load weights.
     fn load(
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -6,7 +6,7 @@
 use sesamegap_entry::follow::{Reading, hear, take};
 use sesamegap_entry::kept;
 use sesamegap_entry::peers::{self, EngineNews};
-use sesamegap_entry::ports::{Batch, CacheNews, Record, Table, Weights};
+use sesamegap_entry::ports::{Batch, CacheUpdate, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::engines::{Prefix, Prompt};
@@ -255,7 +255,7 @@
 #[tokio::test]
 async fn news_of_a_cache_that_started_again_is_asked_from_its_beginning() {
     let platform = Arc::new(Platform::default());
-    let news = |born, next| CacheNews {
+    let news = |born, next| CacheUpdate {
         next,
         born: Some(Incarnation(born)),
     };
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use sesamegap_entry::ports::{
-    AnswerHead, CacheNews, Dispatch, EngineCall, Engines, Headers, InvalidHeader, LoadOrder,
+    AnswerHead, CacheUpdate, Dispatch, EngineCall, Engines, Headers, InvalidHeader, LoadOrder,
     OrderAnswer, Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreCall,
     StoreError, Table, Weights,
 };
@@ -173,7 +173,7 @@
 /// A store of kept cache that tells news.
 #[derive(Debug)]
 pub struct StandinCache {
-    pub news: CacheNews,
+    pub news: CacheUpdate,
     /// Numbers that it was asked from.
     pub asked: Vec<u64>,
 }
@@ -360,7 +360,7 @@
         async move { report }.boxed()
     }
 
-    fn news(&self, _addr: SocketAddr, since: u64, _wait: Duration) -> EngineCall<'_, CacheNews> {
+    fn news(&self, _addr: SocketAddr, since: u64, _wait: Duration) -> EngineCall<'_, CacheUpdate> {
         let mut cache = self.cache.lock().unwrap();
         let news = cache.as_mut().map(|cache| {
             cache.asked.push(since);
