--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -134,7 +134,7 @@
             sleep(RETRY * 4).await;
             continue;
         }
-        match core.ports.engines.news(store, since, WAIT).await {
+        match core.ports.engines.cache_update(store, since, WAIT).await {
             Ok(news) => {
                 // The number of a former life points to other news, or to none.
                 let restarted = born.is_some() && news.born != born;
--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -375,7 +375,12 @@
     fn report(&self, addr: SocketAddr) -> EngineCall<'_, Report>;
 
     /// Waits at a cache for news of what it holds, at most `wait`.
-    fn news(&self, addr: SocketAddr, since: u64, wait: Duration) -> EngineCall<'_, CacheUpdate>;
+    fn cache_update(
+        &self,
+        addr: SocketAddr,
+        since: u64,
+        wait: Duration,
+    ) -> EngineCall<'_, CacheUpdate>;
 
     /// Orders an engine to load weights.
     fn load(
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -360,7 +360,12 @@
         async move { report }.boxed()
     }
 
-    fn news(&self, _addr: SocketAddr, since: u64, _wait: Duration) -> EngineCall<'_, CacheUpdate> {
+    fn cache_update(
+        &self,
+        _addr: SocketAddr,
+        since: u64,
+        _wait: Duration,
+    ) -> EngineCall<'_, CacheUpdate> {
         let mut cache = self.cache.lock().unwrap();
         let news = cache.as_mut().map(|cache| {
             cache.asked.push(since);
