--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -329,9 +329,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Running {
     /// They end first.
-    End,
+    Finish,
     /// They go on under the new weights.
-    GoOn,
+    Continue,
 }
 
 /// An order to load weights.
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -256,7 +256,7 @@
 ) -> Result<OrderAnswer, String> {
     let order = LoadOrder {
         weights: wanted(target),
-        running: Running::GoOn,
+        running: Running::Continue,
         holder: core.settings().vm.clone(),
         fence,
         expected,
