--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -24,7 +24,7 @@
 
 /// Spans of time that the operators promise or ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spans {
+pub struct Durations {
     /// From SIGTERM to SIGKILL.
     pub grace: Duration,
     /// How long callers may keep a locator's answer.
@@ -53,7 +53,7 @@
     /// Peers to ask first; may be stale.
     pub seeds: Vec<SocketAddr>,
     /// Spans promised or asked for.
-    pub spans: Spans,
+    pub spans: Durations,
     /// The fleet's bound on repeats.
     pub repeats: Bound,
     /// Bytes of request bodies held at once.
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -19,7 +19,7 @@
 use sesamegap_entry::fleet::Entry;
 use sesamegap_entry::intake;
 use sesamegap_entry::ports::Weights;
-use sesamegap_entry::settings::{Listen, Settings, Spans};
+use sesamegap_entry::settings::{Durations, Listen, Settings};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::routing::budget::Bound;
 use sesamegap_wire::{DomainId, LogPosition, Moment, Offset, ServiceId, Timeline, WeightsVersion};
@@ -60,7 +60,7 @@
             locator: unused(),
         },
         seeds,
-        spans: Spans {
+        spans: Durations {
             grace: Duration::from_secs(8),
             answer_ttl: Duration::from_secs(5),
             heartbeat: Duration::from_millis(1_200),
