--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -78,11 +78,11 @@
     pub fn new(settings: Settings, ports: Ports, logging: Logging) -> anyhow::Result<Self> {
         let rules = Rules {
             belief: belief::Rules::new(
-                settings.spans.lapse,
-                settings.spans.heartbeat,
-                settings.spans.drain,
+                settings.durations.lapse,
+                settings.durations.heartbeat,
+                settings.durations.drain,
             ),
-            weights: settings.spans.weights,
+            weights: settings.durations.weights,
         };
         Ok(Self {
             metrics: Metrics::new()?,
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -115,7 +115,7 @@
     match table {
         Table::Settings => SETTINGS_WAIT,
         Table::Fleet | Table::Vms | Table::Quarantine => {
-            core.settings().spans.drain * FLEET_PACE / 100
+            core.settings().durations.drain * FLEET_PACE / 100
         }
     }
 }
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -130,7 +130,7 @@
 /// Ends all requests, as far as the platform gives time for.
 async fn stop(core: &Core) {
     let told = Instant::now();
-    let grace = core.settings().spans.grace;
+    let grace = core.settings().durations.grace;
     let times = Times::of(grace);
     info!(
         event = events::STOPPING,
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -35,7 +35,7 @@
     pub fn new(core: &Core) -> Self {
         let terms = LeaseTiming {
             term: TERM,
-            handover_delay: core.settings().spans.lease,
+            handover_delay: core.settings().durations.lease,
         };
         let lease = CasLease::new(core.peers.me().clone(), terms);
         Self {
--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -53,7 +53,7 @@
     /// Peers to ask first; may be stale.
     pub seeds: Vec<SocketAddr>,
     /// Spans promised or asked for.
-    pub spans: Durations,
+    pub durations: Durations,
     /// The fleet's bound on repeats.
     pub repeats: Bound,
     /// Bytes of request bodies held at once.
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -76,7 +76,7 @@
     })
     .await;
     platform.records.lock().unwrap().push(worker(2, 5));
-    let bound = core.settings().spans.lapse + Duration::from_millis(1_500);
+    let bound = core.settings().durations.lapse + Duration::from_millis(1_500);
     let ends = clock::now() + bound;
     while clock::now() < ends {
         assert_eq!(known(&core).len(), 2);
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -60,7 +60,7 @@
             locator: unused(),
         },
         seeds,
-        spans: Durations {
+        durations: Durations {
             grace: Duration::from_secs(8),
             answer_ttl: Duration::from_secs(5),
             heartbeat: Duration::from_millis(1_200),
