--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -125,15 +125,15 @@
         info!(
             event = events::RELOADED,
             seeds = settings.seeds.len(),
-            repeats = settings.repeats.ratio,
-            slack = settings.repeats.slack,
+            repeats = settings.retry_budget.ratio,
+            slack = settings.retry_budget.slack,
             "settings of the process read again"
         );
         self.budgets
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .values_mut()
-            .for_each(|budget| budget.set(settings.repeats));
+            .for_each(|budget| budget.set(settings.retry_budget));
         self.settings.store(Arc::new(settings));
     }
 
@@ -176,7 +176,7 @@
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(self.settings().repeats));
+            .or_insert_with(|| Budget::new(self.settings().retry_budget));
         budget.record_request(clock::now());
     }
 
--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -55,7 +55,7 @@
     /// Spans promised or asked for.
     pub durations: Durations,
     /// The fleet's bound on repeats.
-    pub repeats: Bound,
+    pub retry_budget: Bound,
     /// Bytes of request bodies held at once.
     pub body_memory: usize,
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -69,7 +69,7 @@
             lease: Duration::from_secs(3),
             lapse: Duration::from_secs(2),
         },
-        repeats: Bound {
+        retry_budget: Bound {
             ratio: 0.2,
             slack: 54.0,
             window: Duration::from_secs(10),
