--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -1,7 +1,7 @@
 //! A request at an upstream, counted there until it is dropped.
 
 use super::SharedFleet;
-use crate::kept::OnWay;
+use crate::kept::InFlightTokens;
 use crate::placing::Asked;
 use crate::ports::Load;
 use crate::quarantine::TrialPermit;
@@ -30,7 +30,7 @@
     /// Whether it uses the store of kept cache that the prompt's home uses.
     pub at_store: bool,
     /// What it fetches from a store, until its prompt was read.
-    pub on_way: Option<OnWay>,
+    pub on_way: Option<InFlightTokens>,
     /// Engines that it was chosen from.
     pub engines: usize,
     /// Requests running there when it was chosen.
--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -84,13 +84,13 @@
 
 /// Tokens on their way from a store, until it is dropped.
 #[derive(Debug)]
-pub struct OnWay {
+pub struct InFlightTokens {
     fleet: SharedFleet,
     store: SocketAddr,
     tokens: u64,
 }
 
-impl OnWay {
+impl InFlightTokens {
     /// Counts tokens as asked of a store.
     pub fn new(fleet: &SharedFleet, store: SocketAddr, tokens: u64) -> Self {
         fleet.lock().kept.ask(store, tokens);
@@ -102,7 +102,7 @@
     }
 }
 
-impl Drop for OnWay {
+impl Drop for InFlightTokens {
     fn drop(&mut self) {
         self.fleet.lock().kept.arrived(self.store, self.tokens);
     }
--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::kept::OnWay;
+use crate::kept::InFlightTokens;
 use sesamegap_policy::routing::transfers::{self, Fetch, PlacedPrompt};
 use sesamegap_wire::WeightsVersion;
 use smol_str::{SmolStr, format_smolstr};
@@ -52,7 +52,13 @@
 }
 
 /// Asks a store for tokens, unless they would arrive too late for the caller.
-fn on_way(core: &Core, job: &Job, flight: &Flight, store: &KvStore, tokens: u64) -> Option<OnWay> {
+fn on_way(
+    core: &Core,
+    job: &Job,
+    flight: &Flight,
+    store: &KvStore,
+    tokens: u64,
+) -> Option<InFlightTokens> {
     let service = job.catalogue.service(job.service());
     let engine = service.and_then(|service| service.engine.as_ref());
     let token_bytes = engine.map_or(0, |engine| engine.token_bytes);
@@ -65,7 +71,7 @@
         };
         fetch.arrives(job.route.objective)
     });
-    arrives.then(|| OnWay::new(&core.fleet, store.addr, tokens))
+    arrives.then(|| InFlightTokens::new(&core.fleet, store.addr, tokens))
 }
 
 /// Cache entries are found only under the weights that made them and, for isolated teams, the team.
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -2,7 +2,7 @@
 
 use crate::support::Process;
 use sesamegap_entry::clock;
-use sesamegap_entry::kept::{OnWay, number};
+use sesamegap_entry::kept::{InFlightTokens, number};
 use sesamegap_entry::peers::{Held, Loads};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 async fn a_fetch_that_is_over_counts_no_longer() {
     let process = Process::new().await;
     let fleet = &process.core.fleet;
-    let first = OnWay::new(fleet, store(), 6_300);
-    let second = OnWay::new(fleet, store(), 12_600);
+    let first = InFlightTokens::new(fleet, store(), 6_300);
+    let second = InFlightTokens::new(fleet, store(), 12_600);
     assert_eq!(fleet.lock().on_way(store(), PER_MS), 18_900);
     drop(first);
     assert_eq!(fleet.lock().on_way(store(), PER_MS), 12_600);
