--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -15,7 +15,7 @@
 pub use upstream::{Entry, Upstream};
 pub use view::{Chosen, PromptShape, Selection, Shard};
 
-use crate::kept::Kept;
+use crate::kept::KvStoreStates;
 use crate::peers::Loads;
 use crate::ports::{Report, Weights};
 use sesamegap_policy::routing::Availability;
@@ -54,7 +54,7 @@
     pub(crate) loads: Loads,
     /// What this VM has placed for others, by who asked and the number given.
     pub(crate) placed: Placements<(SocketAddr, u64)>,
-    pub(crate) kept: Kept,
+    pub(crate) kept: KvStoreStates,
     pub(crate) silences: SilenceReports,
     pub(crate) namings: Namings,
 }
@@ -70,7 +70,7 @@
             recall: CacheLocations::default(),
             loads: Loads::default(),
             placed: Placements::default(),
-            kept: Kept::default(),
+            kept: KvStoreStates::default(),
             silences: SilenceReports::default(),
             namings: Namings::new(rules.weights),
         }
--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -34,12 +34,12 @@
 
 /// Stores that did not answer lately, and what is on its way from each.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct KvStoreStates {
     out: FxHashMap<SocketAddr, Moment>,
     asked: FxHashMap<SocketAddr, u64>,
 }
 
-impl Kept {
+impl KvStoreStates {
     /// Whether prompts should not wait for this store.
     pub fn is_out(&self, store: SocketAddr, now: Moment) -> bool {
         self.out.get(&store).is_some_and(|until| now < *until)
