--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -70,7 +70,7 @@
     pub fn held(&self) -> impl Iterator<Item = Held> {
         let asked = self.asked.iter().filter(|(_, tokens)| **tokens > 0);
         asked.map(|(store, tokens)| Held {
-            life: number(*store),
+            life: load_key(*store),
             running: 0,
             unread: *tokens,
         })
@@ -78,7 +78,7 @@
 }
 
 /// A store's number among the lives that VMs tell of.
-pub fn number(store: SocketAddr) -> u64 {
+pub fn load_key(store: SocketAddr) -> u64 {
     seed(&store.to_smolstr())
 }
 
@@ -125,7 +125,7 @@
 }
 
 async fn watch_one(core: Arc<Core>, store: SocketAddr) {
-    let line = number(store);
+    let line = load_key(store);
     let mut since = 0;
     let mut born = None;
     let mut answers = true;
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -2,7 +2,7 @@
 
 use crate::support::Process;
 use sesamegap_entry::clock;
-use sesamegap_entry::kept::{InFlightTokens, number};
+use sesamegap_entry::kept::{InFlightTokens, load_key};
 use sesamegap_entry::peers::{Held, Loads};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     let told = clock::now();
     for vm in 0..85 {
         let held = Held {
-            life: number(store()),
+            life: load_key(store()),
             running: 0,
             unread: 2_000,
         };
@@ -46,7 +46,7 @@
     }
     let on_way = |loads: &mut Loads, ms| {
         loads.tick(told + Duration::from_millis(ms));
-        loads.on_way(number(store()), PER_MS)
+        loads.on_way(load_key(store()), PER_MS)
     };
     assert_eq!(on_way(&mut loads, 100), 170_000);
     assert_eq!(on_way(&mut loads, 700), 170_000 - 300 * PER_MS);
