--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -292,7 +292,7 @@
 
     /// Whether prompts should not wait for this store of kept cache.
     pub fn is_store_out(&self, store: SocketAddr, now: Moment) -> bool {
-        self.kept.is_out(store, now)
+        self.kept.is_unavailable(store, now)
     }
 }
 
--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -41,7 +41,7 @@
 
 impl KvStoreStates {
     /// Whether prompts should not wait for this store.
-    pub fn is_out(&self, store: SocketAddr, now: Moment) -> bool {
+    pub fn is_unavailable(&self, store: SocketAddr, now: Moment) -> bool {
         self.out.get(&store).is_some_and(|until| now < *until)
     }
 
