--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -46,7 +46,7 @@
     }
 
     /// Leaves a store alone for a while.
-    pub fn leave(&mut self, store: SocketAddr, now: Moment) {
+    pub fn mark_unavailable(&mut self, store: SocketAddr, now: Moment) {
         self.out.retain(|_, until| now < *until);
         self.out.insert(store, now + OUT);
     }
@@ -155,7 +155,7 @@
                     answers = false;
                     warn!(event = events::KEPT, store = %store, error, "the store of kept cache does not answer");
                 }
-                core.fleet.lock().kept.leave(store, clock::now());
+                core.fleet.lock().kept.mark_unavailable(store, clock::now());
                 tell_of_store(&core, store);
                 sleep(RETRY).await;
             }
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -229,7 +229,7 @@
             Ok(Datagram::Silent(vm, words)) => take_words(&core, &vm, &words),
             Ok(Datagram::Reading(reading)) => follow::hear(&core, reading),
             Ok(Datagram::StoreOut(store)) => {
-                core.fleet.lock().kept.leave(store, clock::now());
+                core.fleet.lock().kept.mark_unavailable(store, clock::now());
             }
             Ok(Datagram::Placing(Say::Ask(ask))) => {
                 let answer = placing::answer(&core, from, &ask);
