--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -84,7 +84,7 @@
     /// Tokens that all VMs have asked of a store and that have not arrived, as far as is known.
     pub fn on_way(&self, store: SocketAddr, per_ms: u64) -> u64 {
         let others = self.loads.on_way(kept::load_key(store), per_ms);
-        self.kept.asked(store) + others
+        self.kept.in_flight_tokens(store) + others
     }
 
     /// Prompt tokens that all VMs have at an upstream and that are not read yet.
--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -52,7 +52,7 @@
     }
 
     /// Tokens that this VM has asked of a store and that have not arrived.
-    pub fn asked(&self, store: SocketAddr) -> u64 {
+    pub fn in_flight_tokens(&self, store: SocketAddr) -> u64 {
         self.asked.get(&store).copied().unwrap_or(0)
     }
 
