--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -67,7 +67,7 @@
     }
 
     /// What this VM has asked of all stores, for its peers.
-    pub fn held(&self) -> impl Iterator<Item = Held> {
+    pub fn loads(&self) -> impl Iterator<Item = Held> {
         let asked = self.asked.iter().filter(|(_, tokens)| **tokens > 0);
         asked.map(|(store, tokens)| Held {
             life: load_key(*store),
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -187,7 +187,7 @@
     fleet.placed.expire(clock::now());
     let upstreams = fleet.upstreams().filter_map(Upstream::held);
     // A store is told like an upstream that reads what was asked of it, which needs no message of its own.
-    upstreams.chain(fleet.kept.held()).collect()
+    upstreams.chain(fleet.kept.loads()).collect()
 }
 
 /// Peers whose turn it is.
