--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -1,6 +1,6 @@
 //! One upstream and what was seen of it.
 
-use crate::peers::Held;
+use crate::peers::UpstreamLoad;
 use crate::ports::{Load, Weights};
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::{Belief, Change};
@@ -244,9 +244,9 @@
     }
 
     /// What this VM has there, as far as its peers must be told.
-    pub fn held(&self) -> Option<Held> {
+    pub fn held(&self) -> Option<UpstreamLoad> {
         let running = self.running.saturating_sub(self.shared.running);
-        (running > 0).then_some(Held {
+        (running > 0).then_some(UpstreamLoad {
             life: self.life,
             running,
             unread: self.unread.saturating_sub(self.shared.unread),
--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::core::{Core, Phase};
 use crate::fleet::SharedFleet;
-use crate::peers::{Held, tell_of_store};
+use crate::peers::{UpstreamLoad, tell_of_store};
 use crate::telemetry::events;
 use rustc_hash::FxHashMap;
 use sesamegap_policy::routing::engines::seed;
@@ -67,9 +67,9 @@
     }
 
     /// What this VM has asked of all stores, for its peers.
-    pub fn loads(&self) -> impl Iterator<Item = Held> {
+    pub fn loads(&self) -> impl Iterator<Item = UpstreamLoad> {
         let asked = self.asked.iter().filter(|(_, tokens)| **tokens > 0);
-        asked.map(|(store, tokens)| Held {
+        asked.map(|(store, tokens)| UpstreamLoad {
             life: load_key(*store),
             running: 0,
             unread: *tokens,
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -9,7 +9,7 @@
 //! prevented: with 84 VMs and 140 engines, a request over HTTP for each engine and peer kept the VM
 //! that rolls busy for seconds, and no engine was ever ordered.
 
-use super::loads::Held;
+use super::loads::UpstreamLoad;
 use super::message::EngineNews;
 use crate::clock;
 use crate::core::{Core, Phase};
@@ -45,7 +45,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Datagram {
     /// What a VM has at upstreams.
-    Loads(VmId, Vec<Held>),
+    Loads(VmId, Vec<UpstreamLoad>),
     /// News of engines.
     Engines(Vec<EngineNews>),
     /// What a VM says of upstreams that do not answer.
@@ -105,7 +105,7 @@
     core.desk.open(Arc::clone(&socket));
     core.quarantine.open(Arc::clone(&socket));
     tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
-    let mut last: Vec<Held> = Vec::new();
+    let mut last: Vec<UpstreamLoad> = Vec::new();
     let mut telling = RecipientSelector::default();
     let mut turn = 0;
     let mut ticks: u32 = 0;
@@ -173,7 +173,7 @@
     }
 }
 
-fn sum(held: &[Held]) -> Sum {
+fn sum(held: &[UpstreamLoad]) -> Sum {
     Sum {
         running: held.iter().map(|held| held.running).sum(),
         unread: held.iter().map(|held| held.unread).sum(),
@@ -181,7 +181,7 @@
 }
 
 /// What this VM has at upstreams and has asked of stores.
-fn own(core: &Core) -> Vec<Held> {
+fn own(core: &Core) -> Vec<UpstreamLoad> {
     let mut fleet = core.fleet.lock();
     fleet.loads.tick(clock::now());
     fleet.placed.expire(clock::now());
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -21,7 +21,7 @@
 
 /// What a VM has at one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct UpstreamLoad {
     /// Number of the upstream's life, the same in all VMs.
     pub life: u64,
     /// Requests there.
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct Word {
     at: Moment,
-    held: Vec<Held>,
+    held: Vec<UpstreamLoad>,
 }
 
 /// What all peers together have at one upstream, by their words as they were said.
@@ -46,13 +46,13 @@
 }
 
 impl Sum {
-    fn add(&mut self, held: &Held, at: Moment) {
+    fn add(&mut self, held: &UpstreamLoad, at: Moment) {
         self.running += held.running;
         self.unread += held.unread;
         self.moments += u128::from(held.unread) * u128::from(at.0);
     }
 
-    fn take_off(&mut self, held: &Held, at: Moment) {
+    fn take_off(&mut self, held: &UpstreamLoad, at: Moment) {
         self.running -= held.running;
         self.unread -= held.unread;
         self.moments -= u128::from(held.unread) * u128::from(at.0);
@@ -82,7 +82,7 @@
 
 impl Loads {
     /// Takes a peer's word, in place of its former one.
-    pub fn take(&mut self, vm: VmId, held: Vec<Held>, now: Moment) {
+    pub fn take(&mut self, vm: VmId, held: Vec<UpstreamLoad>, now: Moment) {
         for held in &held {
             self.sums.entry(held.life).or_default().add(held, now);
         }
@@ -94,9 +94,9 @@
     }
 
     /// What all peers together have at an upstream, as of the last word or tick.
-    pub fn at(&self, life: u64) -> Option<Held> {
+    pub fn at(&self, life: u64) -> Option<UpstreamLoad> {
         let sum = self.sums.get(&life)?;
-        Some(Held {
+        Some(UpstreamLoad {
             life,
             running: sum.running,
             unread: sum.left(self.now, PREFILL_TOKENS_PER_MS, Duration::ZERO),
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -3,7 +3,7 @@
 use crate::support::Process;
 use sesamegap_entry::clock;
 use sesamegap_entry::kept::{InFlightTokens, load_key};
-use sesamegap_entry::peers::{Held, Loads};
+use sesamegap_entry::peers::{Loads, UpstreamLoad};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     let mut loads = Loads::default();
     let told = clock::now();
     for vm in 0..85 {
-        let held = Held {
+        let held = UpstreamLoad {
             life: load_key(store()),
             running: 0,
             unread: 2_000,
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -253,7 +253,7 @@
     let mut loads = sesamegap_entry::peers::Loads::default();
     let told = clock::now();
     for vm in 0..30 {
-        let held = sesamegap_entry::peers::Held {
+        let held = sesamegap_entry::peers::UpstreamLoad {
             life: 7,
             running: 2,
             unread: 2_000,
