--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -10,7 +10,7 @@
 //! that rolls busy for seconds, and no engine was ever ordered.
 
 use super::loads::UpstreamLoad;
-use super::message::EngineNews;
+use super::message::EngineUpdate;
 use crate::clock;
 use crate::core::{Core, Phase};
 use crate::fleet::Upstream;
@@ -47,7 +47,7 @@
     /// What a VM has at upstreams.
     Loads(VmId, Vec<UpstreamLoad>),
     /// News of engines.
-    Engines(Vec<EngineNews>),
+    Engines(Vec<EngineUpdate>),
     /// What a VM says of upstreams that do not answer.
     Silent(VmId, Vec<SilenceReport>),
     /// What a VM has read of the store for all.
@@ -248,7 +248,7 @@
 }
 
 /// Takes in news of engines.
-pub fn take(core: &Core, news: &[EngineNews]) {
+pub fn take(core: &Core, news: &[EngineUpdate]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for piece in news {
@@ -291,7 +291,7 @@
 }
 
 /// Tells all VMs news of an engine, this one at once.
-pub fn push(core: &Core, news: EngineNews) {
+pub fn push(core: &Core, news: EngineUpdate) {
     take(core, std::slice::from_ref(&news));
     core.peers.outbox.put(news);
 }
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -107,7 +107,7 @@
 
 /// What a VM says of an upstream: the one that rolls weights, or one that found it gone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineUpdate {
     /// The engine.
     pub engine: UpstreamId,
     /// Its life of which this is said; unset if it is not known.
@@ -124,7 +124,7 @@
 /// within that time.
 const GONE: Duration = Duration::from_secs(6);
 
-impl EngineNews {
+impl EngineUpdate {
     /// An upstream whose address another instance has.
     pub fn gone(engine: UpstreamId, born: Option<Incarnation>) -> Self {
         Self {
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -15,7 +15,7 @@
 pub use client::{rounds, tell_all};
 pub use datagrams::{exchange, placing, push, quarantine, take, tell_of_store};
 pub use loads::{Loads, UpstreamLoad};
-pub use message::{EngineNews, learn_weights};
+pub use message::{EngineUpdate, learn_weights};
 pub use outbox::{Outbox, take_repeated};
 pub use server::endpoints;
 
--- a/crates/sesamegap-entry/src/peers/outbox.rs
+++ b/crates/sesamegap-entry/src/peers/outbox.rs
@@ -1,6 +1,6 @@
 //! News of engines on its way to all peers.
 
-use super::message::EngineNews;
+use super::message::EngineUpdate;
 use crate::follow::Reading;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -11,7 +11,7 @@
 /// News that is still to be sent, and how often.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    engines: Mutex<Vec<(EngineNews, u8)>>,
+    engines: Mutex<Vec<(EngineUpdate, u8)>>,
     stores: Mutex<Vec<SocketAddr>>,
     readings: Mutex<Vec<Reading>>,
 }
@@ -44,14 +44,14 @@
     }
 
     /// Sends a piece with the next datagrams, in place of an older one of the same engine.
-    pub fn put(&self, news: EngineNews) {
+    pub fn put(&self, news: EngineUpdate) {
         let mut pieces = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
         pieces.retain(|(old, _)| old.engine != news.engine);
         pieces.push((news, REPEATS));
     }
 
     /// What goes out now.
-    pub fn take(&self) -> Vec<EngineNews> {
+    pub fn take(&self) -> Vec<EngineUpdate> {
         let mut pieces = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
         take_repeated(&mut pieces)
     }
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Change, Upstream};
-use crate::peers::{EngineNews, push};
+use crate::peers::{EngineUpdate, push};
 use crate::ports::{LoadOrder, OrderAnswer, Report, Running, Weights};
 use crate::telemetry::events;
 use sesamegap_policy::routing::{Availability, rolls};
@@ -161,8 +161,8 @@
     })
 }
 
-fn news(target: &Behind, out: Duration, done: bool) -> EngineNews {
-    EngineNews {
+fn news(target: &Behind, out: Duration, done: bool) -> EngineUpdate {
+    EngineUpdate {
         engine: target.engine.clone(),
         born: target.born,
         out_ms: clock::wire_millis(out),
@@ -233,7 +233,7 @@
                 return false;
             }
             Ok(OrderAnswer::Elsewhere) => {
-                push(core, EngineNews::gone(target.engine.clone(), target.born));
+                push(core, EngineUpdate::gone(target.engine.clone(), target.born));
                 return false;
             }
             Ok(OrderAnswer::Invalid) => return false,
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -5,7 +5,7 @@
 use sesamegap_entry::fleet::{Change, Entry, Flight, PromptShape, Selection};
 use sesamegap_entry::follow::{Reading, hear, take};
 use sesamegap_entry::kept;
-use sesamegap_entry::peers::{self, EngineNews};
+use sesamegap_entry::peers::{self, EngineUpdate};
 use sesamegap_entry::ports::{Batch, CacheUpdate, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::routing::Availability;
@@ -146,7 +146,7 @@
         fleet.failed(&worker(), now);
         fleet.get(&worker()).unwrap().life
     };
-    let out = EngineNews {
+    let out = EngineUpdate {
         engine: worker(),
         born: Some(Incarnation(100)),
         out_ms: 3_000,
@@ -190,7 +190,7 @@
 fn a_life_that_a_peer_met_counts_before_the_list_tells_of_it() {
     let core = vm("vm-1");
     read(&core, 0, vec![engine(100, 40, 3)]);
-    let loaded = EngineNews {
+    let loaded = EngineUpdate {
         engine: worker(),
         born: Some(Incarnation(200)),
         out_ms: 0,
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -84,7 +84,7 @@
     }
     until(|| one.peers.known().alive.len() == 1).await;
     // Both listen on one machine here, so each has a port of its own and one answers the other's.
-    let news = |no| peers::EngineNews {
+    let news = |no| peers::EngineUpdate {
         born: None,
         engine: engine(no),
         out_ms: 60_000,
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -1,6 +1,6 @@
 use crate::support::{Act, Caller, Process, Upstream, ask, request};
 use sesamegap_entry::clock;
-use sesamegap_entry::peers::{EngineNews, take};
+use sesamegap_entry::peers::{EngineUpdate, take};
 use sesamegap_entry::ports::Weights;
 use sesamegap_wire::WeightsVersion;
 use std::time::Duration;
@@ -274,7 +274,7 @@
     let engine = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", engine.addr);
     holds(&process, "e1", 3);
-    let late = EngineNews {
+    let late = EngineUpdate {
         engine: "e1".parse().unwrap(),
         born: None,
         out_ms: 0,
