--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -45,7 +45,7 @@
 }
 
 /// Probes peers until the process ends.
-pub async fn rounds(core: Arc<Core>) {
+pub async fn run_probes(core: Arc<Core>) {
     let mut rng = rand::rngs::StdRng::seed_from_u64(clock::now().0);
     tokio::spawn(ask_listed(Arc::clone(&core)));
     ask_seeds(&core).await;
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -12,7 +12,7 @@
 mod outbox;
 mod server;
 
-pub use client::{rounds, tell_all};
+pub use client::{run_probes, tell_all};
 pub use datagrams::{exchange, placing, push, quarantine, take, tell_of_store};
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -23,7 +23,7 @@
     let acceptor = TcpAcceptor::from_tokio(listener).unwrap();
     let endpoints = peers::endpoints(Arc::clone(&core)).into_endpoint();
     tokio::spawn(Server::new_with_acceptor(acceptor).run(endpoints));
-    tokio::spawn(peers::rounds(Arc::clone(&core)));
+    tokio::spawn(peers::run_probes(Arc::clone(&core)));
     core
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -113,7 +113,7 @@
     let seeds = vec![one.settings().listen.peers];
     let two = vm(&platform, "vm-2", seeds);
     tokio::spawn(follow(Arc::clone(&two), Table::Settings));
-    tokio::spawn(peers::rounds(Arc::clone(&two)));
+    tokio::spawn(peers::run_probes(Arc::clone(&two)));
     let mut seen: Vec<Revision> = Vec::new();
     until(|| {
         let revision = two.revision();
@@ -132,7 +132,7 @@
     let platform = platform(vec![published(3)]);
     let core = vm(&platform, "vm-1", vec![unused()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    tokio::spawn(peers::rounds(Arc::clone(&core)));
+    tokio::spawn(peers::run_probes(Arc::clone(&core)));
     until(|| core.revision() == Revision(3)).await;
 }
 
@@ -144,7 +144,7 @@
     let dark = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let core = vm(&platform, "vm-1", vec![dark.local_addr().unwrap()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    let rounds = peers::rounds(Arc::clone(&core));
+    let rounds = peers::run_probes(Arc::clone(&core));
     let served = until(|| core.revision() == Revision(3));
     tokio::select! {
         () = rounds => panic!("rounds go on"),
