--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -92,7 +92,7 @@
 }
 
 /// Tells peers and hears them until the process ends.
-pub async fn exchange(core: Arc<Core>) {
+pub async fn run_datagrams(core: Arc<Core>) {
     let addr = core.settings().listen.loads;
     let socket = match UdpSocket::bind(addr).await {
         Ok(socket) => Arc::new(socket),
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -13,7 +13,7 @@
 mod server;
 
 pub use client::{run_probes, tell_all};
-pub use datagrams::{exchange, placing, push, quarantine, take, tell_of_store};
+pub use datagrams::{placing, push, quarantine, run_datagrams, take, tell_of_store};
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
 pub use outbox::{Outbox, take_repeated};
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -70,7 +70,7 @@
     }
     tokio::spawn(follow::vms(Arc::clone(&core)));
     tokio::spawn(peers::run_probes(Arc::clone(&core)));
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     tokio::spawn(roll::run(Arc::clone(&core)));
     tokio::spawn(intake::serve(Arc::clone(&core), callers));
     tokio::spawn(kept::watch(Arc::clone(&core)));
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -36,7 +36,7 @@
             .lock()
             .apply(&id, entry, offset(no as u64), clock::now());
     }
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     core
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -46,7 +46,7 @@
     settings.listen.peers = settings.listen.loads;
     let core = Arc::new(Core::new(settings, platform.ports(), Logging::none()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let callers = listener.local_addr().unwrap();
     tokio::spawn(intake::serve(Arc::clone(&core), listener));
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -19,7 +19,7 @@
     let platform = Arc::new(Platform::default());
     let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
     let core = Arc::new(core);
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     core
 }
 
