--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -12,7 +12,7 @@
 mod outbox;
 mod server;
 
-pub use client::{run_probes, tell_all};
+pub use client::{broadcast_state, run_probes};
 pub use datagrams::{placing, push, quarantine, run_datagrams, take, tell_of_store};
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -140,7 +140,7 @@
     );
     core.advance_phase(Phase::Leaving);
     core.peers.leave();
-    peers::tell_all(core).await;
+    peers::broadcast_state(core).await;
     sleep(times.lingers.saturating_sub(told.elapsed())).await;
     core.advance_phase(Phase::Closing);
     let mut busy = Instant::now();
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -60,7 +60,7 @@
     let two = vm("vm-2", vec![one.settings().listen.peers]).await;
     until(|| one.peers.known().alive.len() == 1).await;
     two.peers.leave();
-    peers::tell_all(&two).await;
+    peers::broadcast_state(&two).await;
     until(|| one.peers.known().alive.is_empty()).await;
 }
 
