--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::core::{Core, Phase};
 use crate::fleet::SharedFleet;
-use crate::peers::{UpstreamLoad, tell_of_store};
+use crate::peers::{UpstreamLoad, broadcast_store_unavailable};
 use crate::telemetry::events;
 use rustc_hash::FxHashMap;
 use sesamegap_policy::routing::engines::seed;
@@ -156,7 +156,7 @@
                     warn!(event = events::KEPT, store = %store, error, "the store of kept cache does not answer");
                 }
                 core.fleet.lock().kept.mark_unavailable(store, clock::now());
-                tell_of_store(&core, store);
+                broadcast_store_unavailable(&core, store);
                 sleep(RETRY).await;
             }
         }
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -286,7 +286,7 @@
 }
 
 /// Tells all VMs that a store of kept cache does not answer.
-pub fn tell_of_store(core: &Core, store: SocketAddr) {
+pub fn broadcast_store_unavailable(core: &Core, store: SocketAddr) {
     core.peers.outbox.put_store(store);
 }
 
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -13,7 +13,7 @@
 mod server;
 
 pub use client::{broadcast_state, run_probes};
-pub use datagrams::{placing, push, quarantine, run_datagrams, take, tell_of_store};
+pub use datagrams::{broadcast_store_unavailable, placing, push, quarantine, run_datagrams, take};
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
 pub use outbox::{Outbox, take_repeated};
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -168,7 +168,7 @@
     let hearer = vm("vm-2", "127.0.0.2", port);
     knows(&watcher, &hearer);
     let store = unused();
-    peers::tell_of_store(&watcher, store);
+    peers::broadcast_store_unavailable(&watcher, store);
     until(|| hearer.fleet.lock().is_store_out(store, clock::now())).await;
     let later = clock::now() + Duration::from_secs(2);
     assert!(
