--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -291,7 +291,7 @@
 }
 
 /// Tells all VMs news of an engine, this one at once.
-pub fn push(core: &Core, news: EngineUpdate) {
+pub fn broadcast_engine_update(core: &Core, news: EngineUpdate) {
     take(core, std::slice::from_ref(&news));
     core.peers.outbox.put(news);
 }
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -13,7 +13,9 @@
 mod server;
 
 pub use client::{broadcast_state, run_probes};
-pub use datagrams::{broadcast_store_unavailable, placing, push, quarantine, run_datagrams, take};
+pub use datagrams::{
+    broadcast_engine_update, broadcast_store_unavailable, placing, quarantine, run_datagrams, take,
+};
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
 pub use outbox::{Outbox, take_repeated};
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::peers::{EngineUpdate, push};
+use crate::peers::{EngineUpdate, broadcast_engine_update};
 use crate::ports::{AnswerHead, Dispatch};
 use crate::telemetry::events;
 use crate::upstream::{self, Exchange, SendError};
@@ -217,7 +217,7 @@
             .is_some_and(|id| *id != flight.id);
     if moved {
         // The one that was meant is gone for good; the list drops it only after it missed heartbeats.
-        push(core, EngineUpdate::gone(flight.id.clone(), flight.born));
+        broadcast_engine_update(core, EngineUpdate::gone(flight.id.clone(), flight.born));
         return NotRun::Refused;
     }
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Change, Upstream};
-use crate::peers::{EngineUpdate, push};
+use crate::peers::{EngineUpdate, broadcast_engine_update};
 use crate::ports::{LoadOrder, OrderAnswer, Report, Running, Weights};
 use crate::telemetry::events;
 use sesamegap_policy::routing::{Availability, rolls};
@@ -42,7 +42,7 @@
         return;
     };
     if !drain(core, &target).await {
-        push(core, news(&target, Duration::ZERO, false));
+        broadcast_engine_update(core, news(&target, Duration::ZERO, false));
         info!(event = events::ORDER, engine = %engine, "too few engines are open; it takes work again");
         return;
     }
@@ -58,7 +58,7 @@
     }
     let gone = |up: &Upstream| up.is_gone(clock::now());
     if !core.fleet.lock().get(&engine).is_some_and(gone) {
-        push(core, news(&target, Duration::ZERO, done));
+        broadcast_engine_update(core, news(&target, Duration::ZERO, done));
     }
 }
 
@@ -67,7 +67,7 @@
 /// False if it must take work again instead.
 async fn drain(core: &Core, target: &Behind) -> bool {
     let began = clock::now();
-    push(core, news(target, OUT, false));
+    broadcast_engine_update(core, news(target, OUT, false));
     if let Some(view) = look(core, target, began, began) {
         info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = view.running, longest_ms = clock::millis(view.longest), overtaken_ms = view.overtaken.map(clock::millis), "drains before its order");
     }
@@ -122,7 +122,7 @@
     if now.since(said) <= OUT / 2 {
         return said;
     }
-    push(core, news(target, OUT, false));
+    broadcast_engine_update(core, news(target, OUT, false));
     now
 }
 
@@ -233,7 +233,10 @@
                 return false;
             }
             Ok(OrderAnswer::Elsewhere) => {
-                push(core, EngineUpdate::gone(target.engine.clone(), target.born));
+                broadcast_engine_update(
+                    core,
+                    EngineUpdate::gone(target.engine.clone(), target.born),
+                );
                 return false;
             }
             Ok(OrderAnswer::Invalid) => return false,
