--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -225,7 +225,7 @@
             Ok(Datagram::Loads(vm, held)) => {
                 core.fleet.lock().loads.take(vm, held, clock::now());
             }
-            Ok(Datagram::Engines(news)) => take(&core, &news),
+            Ok(Datagram::Engines(news)) => apply_engine_updates(&core, &news),
             Ok(Datagram::Silent(vm, words)) => take_words(&core, &vm, &words),
             Ok(Datagram::Reading(reading)) => follow::hear(&core, reading),
             Ok(Datagram::StoreOut(store)) => {
@@ -248,7 +248,7 @@
 }
 
 /// Takes in news of engines.
-pub fn take(core: &Core, news: &[EngineUpdate]) {
+pub fn apply_engine_updates(core: &Core, news: &[EngineUpdate]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
     for piece in news {
@@ -292,6 +292,6 @@
 
 /// Tells all VMs news of an engine, this one at once.
 pub fn broadcast_engine_update(core: &Core, news: EngineUpdate) {
-    take(core, std::slice::from_ref(&news));
+    apply_engine_updates(core, std::slice::from_ref(&news));
     core.peers.outbox.put(news);
 }
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -14,7 +14,8 @@
 
 pub use client::{broadcast_state, run_probes};
 pub use datagrams::{
-    broadcast_engine_update, broadcast_store_unavailable, placing, quarantine, run_datagrams, take,
+    apply_engine_updates, broadcast_engine_update, broadcast_store_unavailable, placing,
+    quarantine, run_datagrams,
 };
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -153,7 +153,7 @@
         weights: None,
         gone: false,
     };
-    peers::take(&core, std::slice::from_ref(&out));
+    peers::apply_engine_updates(&core, std::slice::from_ref(&out));
     read(&core, 1, vec![engine(200, 1, 1)]);
     {
         let fleet = core.fleet.lock();
@@ -167,7 +167,7 @@
         assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
         assert_eq!(fleet.openness(upstream, now), Availability::Open);
     }
-    peers::take(&core, &[out]);
+    peers::apply_engine_updates(&core, &[out]);
     let fresh = choose(&core, &shape).unwrap();
     assert!(
         fresh.last_served().is_none(),
@@ -200,7 +200,7 @@
         }),
         gone: false,
     };
-    peers::take(&core, &[loaded]);
+    peers::apply_engine_updates(&core, &[loaded]);
     read(&core, 1, vec![engine(100, 41, 3)]);
     let fleet = core.fleet.lock();
     assert_eq!(
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -96,7 +96,7 @@
     }
     let sent = one.peers.outbox.take();
     assert_eq!(sent.len(), usize::try_from(count).unwrap());
-    peers::take(&two, &sent);
+    peers::apply_engine_updates(&two, &sent);
     let now = sesamegap_entry::clock::now();
     let fleet = two.fleet.lock();
     assert!(fleet.upstreams().all(|up| up.is_paused(now)));
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -1,6 +1,6 @@
 use crate::support::{Act, Caller, Process, Upstream, ask, request};
 use sesamegap_entry::clock;
-use sesamegap_entry::peers::{EngineUpdate, take};
+use sesamegap_entry::peers::{EngineUpdate, apply_engine_updates};
 use sesamegap_entry::ports::Weights;
 use sesamegap_wire::WeightsVersion;
 use std::time::Duration;
@@ -284,7 +284,7 @@
         }),
         gone: false,
     };
-    take(&process.core, &[late]);
+    apply_engine_updates(&process.core, &[late]);
     let fleet = process.core.fleet.lock();
     let engine = fleet.get(&"e1".parse().unwrap()).unwrap();
     assert_eq!(engine.version("m"), Some(WeightsVersion(3)));
