--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -58,7 +58,7 @@
     let mut restored: Option<Moment> = None;
     if table == Table::Settings {
         // The store may hold an older document than other VMs serve, which would be served until they tell.
-        core.peers.acquainted(ACQUAINTANCE).await;
+        core.peers.wait_for_first_peer(ACQUAINTANCE).await;
     }
     while core.phase() < Phase::Ended {
         if is_former(&core, table) {
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -97,7 +97,7 @@
     }
 
     /// Waits until another VM has told what it knows, which has been taken in then.
-    pub async fn acquainted(&self, longest: Duration) {
+    pub async fn wait_for_first_peer(&self, longest: Duration) {
         let mut met = self.met.subscribe();
         drop(timeout(longest, met.wait_for(|met| *met)).await);
     }
