--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Takes in what a peer says of itself.
-    pub fn hear(&self, news: &MemberUpdate, now: Moment) {
+    pub fn apply_update(&self, news: &MemberUpdate, now: Moment) {
         self.lock().apply_update(news, now);
     }
 
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -50,7 +50,7 @@
         version: 0,
         status: Status::Alive,
     };
-    core.peers.hear(&news, clock::now());
+    core.peers.apply_update(&news, clock::now());
 }
 
 /// Two VMs among strangers that answer nothing; all prompts of the first are placed by the second, or by itself.
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -78,7 +78,7 @@
         for other in &all {
             let news = news(&other.core.settings(), Status::Alive, 0);
             if !Arc::ptr_eq(&one.core, &other.core) {
-                one.core.peers.hear(&news, clock::now());
+                one.core.peers.apply_update(&news, clock::now());
             }
         }
     }
@@ -284,7 +284,7 @@
     for vm in &others {
         let settings = first[0].core.settings();
         let news = news(&settings, Status::Leaving, 1);
-        vm.core.peers.hear(&news, clock::now());
+        vm.core.peers.apply_update(&news, clock::now());
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for no in 0..SENDS / 2 {
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -24,7 +24,7 @@
 }
 
 fn knows(core: &Core, other: &Core) {
-    core.peers.hear(
+    core.peers.apply_update(
         &MemberUpdate {
             who: other.peers.me().clone(),
             addr: other.settings().listen.peers,
