--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -162,7 +162,7 @@
     }
 
     /// Where the first VMs in the order of a line take datagrams; none for this one.
-    pub fn first(&self, count: usize, line: u64) -> Vec<Option<SocketAddr>> {
+    pub fn first_ranked(&self, count: usize, line: u64) -> Vec<Option<SocketAddr>> {
         let roster = self.roster();
         let mut order: Vec<_> = roster.iter().collect();
         order.sort_unstable_by_key(|(vm, _)| std::cmp::Reverse(rank(line, *vm)));
--- a/crates/sesamegap-entry/src/quarantine/admission.rs
+++ b/crates/sesamegap-entry/src/quarantine/admission.rs
@@ -75,7 +75,12 @@
 /// Asks the coordinator; one that does not answer grants nothing.
 async fn ask(core: &Core, request: Fingerprint, left: Duration) -> Grant {
     let quarantine = &core.quarantine;
-    let Some(coordinator) = core.peers.first(1, COORDINATOR_RANKING_KEY).pop().flatten() else {
+    let Some(coordinator) = core
+        .peers
+        .first_ranked(1, COORDINATOR_RANKING_KEY)
+        .pop()
+        .flatten()
+    else {
         let mut registry = quarantine.registry();
         return registry.request_trial(request, left, clock::now(), clock::unix_ms());
     };
--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -55,7 +55,9 @@
     if reports.is_empty() {
         return;
     }
-    let replicas = core.peers.first(REPORT_REPLICAS, COORDINATOR_RANKING_KEY);
+    let replicas = core
+        .peers
+        .first_ranked(REPORT_REPLICAS, COORDINATOR_RANKING_KEY);
     for to in replicas.into_iter().flatten() {
         for reports in reports.chunks(REPORTS) {
             let reports = Message::Reports(reports.to_vec());
--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -81,7 +81,7 @@
 
 /// Whether this VM grants trials and judges them.
 fn is_coordinator(core: &Core) -> bool {
-    core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]
+    core.peers.first_ranked(1, COORDINATOR_RANKING_KEY) == [None]
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -277,7 +277,7 @@
     };
     let (first, others): (Vec<&Vm>, Vec<&Vm>) = vms
         .iter()
-        .partition(|vm| vm.core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]);
+        .partition(|vm| vm.core.peers.first_ranked(1, COORDINATOR_RANKING_KEY) == [None]);
     for no in 0..2 {
         request(first[0], no).await;
     }
