--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -257,6 +257,6 @@
         .collect();
     let me = (core.settings().vm.clone(), core.settings().listen.peers);
     let listed = vms.contains(&me);
-    core.peers.list(vms);
+    core.peers.seed_members(vms);
     listed
 }
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -181,7 +181,7 @@
     }
 
     /// Takes the store's list of entry VMs.
-    pub fn list(&self, vms: Vec<(VmId, SocketAddr)>) {
+    pub fn seed_members(&self, vms: Vec<(VmId, SocketAddr)>) {
         self.lock().seed(vms);
     }
 
