--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// This process.
-    pub fn me(&self) -> &ProcessId {
+    pub fn local_process(&self) -> &ProcessId {
         &self.me
     }
 
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -37,7 +37,7 @@
             term: TERM,
             handover_delay: core.settings().durations.lease,
         };
-        let lease = CasLease::new(core.peers.me().clone(), terms);
+        let lease = CasLease::new(core.peers.local_process().clone(), terms);
         Self {
             state: Arc::new(Mutex::new(lease)),
             timeline: core.store.subscribe_timeline(),
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -26,7 +26,7 @@
 fn knows(core: &Core, other: &Core) {
     core.peers.apply_update(
         &MemberUpdate {
-            who: other.peers.me().clone(),
+            who: other.peers.local_process().clone(),
             addr: other.settings().listen.peers,
             version: 0,
             status: Status::Alive,
