--- a/crates/sesamegap-entry/src/locator.rs
+++ b/crates/sesamegap-entry/src/locator.rs
@@ -20,9 +20,9 @@
     let port = core.settings().listen.callers.port();
     let known = core.peers.known();
     let mut alive = known.alive;
-    let all = alive.len() + known.doubted.len() + 1;
+    let all = alive.len() + known.suspected.len() + 1;
     if ((alive.len() + 1) as f64) < DOUBT * all as f64 {
-        alive.extend(known.doubted);
+        alive.extend(known.suspected);
     }
     let mut addrs: Vec<SocketAddr> = alive
         .iter()
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -52,7 +52,7 @@
     /// Those that answer.
     pub alive: Vec<SocketAddr>,
     /// Those that did not answer lately.
-    pub doubted: Vec<SocketAddr>,
+    pub suspected: Vec<SocketAddr>,
 }
 
 /// The table of peers, shared.
@@ -121,7 +121,7 @@
         for peer in members.peers() {
             match peer.latest.status {
                 Status::Alive => known.alive.push(peer.latest.addr),
-                Status::Suspect | Status::Dead => known.doubted.push(peer.latest.addr),
+                Status::Suspect | Status::Dead => known.suspected.push(peer.latest.addr),
                 Status::Leaving => {}
             }
         }
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -161,6 +161,6 @@
         upstreams: upstreams.collect(),
         quarantine: requests(core),
         peers: known.alive,
-        doubted: known.doubted,
+        doubted: known.suspected,
     })
 }
