--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -220,7 +220,7 @@
             sleep(RETRY * 3).await;
             continue;
         }
-        let alone = core.peers.known().alive.is_empty();
+        let alone = core.peers.addrs_by_status().alive.is_empty();
         let pace = if alone { ALONE_PACE } else { VMS_PACE };
         if timeout(pace, timelines.changed()).await.is_ok() {
             // All VMs notice within a moment that their entries may be gone.
--- a/crates/sesamegap-entry/src/locator.rs
+++ b/crates/sesamegap-entry/src/locator.rs
@@ -18,7 +18,7 @@
 /// Addresses for callers, and how long to keep them.
 pub fn answer(core: &Core) -> (Vec<SocketAddr>, Duration) {
     let port = core.settings().listen.callers.port();
-    let known = core.peers.known();
+    let known = core.peers.addrs_by_status();
     let mut alive = known.alive;
     let all = alive.len() + known.suspected.len() + 1;
     if ((alive.len() + 1) as f64) < DOUBT * all as f64 {
--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -107,7 +107,7 @@
 
 /// Tells all peers of this process's own state, as when it is about to stop.
 pub async fn broadcast_state(core: &Core) {
-    let peers = core.peers.known().alive;
+    let peers = core.peers.addrs_by_status().alive;
     let told = peers.into_iter().map(|peer| ask(core, peer, Vec::new()));
     for outcome in join_all(told).await {
         if let Err(error) = outcome {
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -114,13 +114,19 @@
         ticks = ticks.wrapping_add(1);
         quarantine::tick(&core, ticks).await;
         for datagram in news(&core) {
-            send(&core, &socket, &datagram, &core.peers.known().alive).await;
+            send(
+                &core,
+                &socket,
+                &datagram,
+                &core.peers.addrs_by_status().alive,
+            )
+            .await;
         }
         for (owner, words) in core.desk.words() {
             core.desk.send(words, owner).await;
         }
         let held = own(&core);
-        let peers = core.peers.known().alive;
+        let peers = core.peers.addrs_by_status().alive;
         let changed = held != last;
         let told = match telling.tick(sum(&held), changed, peers.len()) {
             Recipients::Nobody => Vec::new(),
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -48,7 +48,7 @@
 
 /// Peers by what is believed of them.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct PeerAddrs {
     /// Those that answer.
     pub alive: Vec<SocketAddr>,
     /// Those that did not answer lately.
@@ -115,9 +115,9 @@
     }
 
     /// Peers by what is believed of them.
-    pub fn known(&self) -> Known {
+    pub fn addrs_by_status(&self) -> PeerAddrs {
         let members = self.lock();
-        let mut known = Known::default();
+        let mut known = PeerAddrs::default();
         for peer in members.peers() {
             match peer.latest.status {
                 Status::Alive => known.alive.push(peer.latest.addr),
--- a/crates/sesamegap-entry/src/quarantine/sync.rs
+++ b/crates/sesamegap-entry/src/quarantine/sync.rs
@@ -59,7 +59,7 @@
 }
 
 fn pace(core: &Core) -> Duration {
-    let apart = !core.peers.known().suspected.is_empty();
+    let apart = !core.peers.addrs_by_status().suspected.is_empty();
     if apart && is_coordinator(core) {
         APART
     } else {
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -33,7 +33,7 @@
         revision: core.revision().0,
         timeline: core.store.timeline().0,
         upstreams: core.fleet.lock().upstreams().count(),
-        peers: core.peers.known().alive.len(),
+        peers: core.peers.addrs_by_status().alive.len(),
         dropped: core.logging.dropped(),
     };
     core.metrics.text(levels).map_err(|error| {
@@ -152,7 +152,7 @@
             .map(|w| (w.model.clone(), w.version.0))
             .collect(),
     });
-    let known = core.peers.known();
+    let known = core.peers.addrs_by_status();
     Json(Dump {
         vm: core.settings().vm.to_smolstr(),
         phase: smol_str::format_smolstr!("{:?}", core.phase()),
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -58,10 +58,10 @@
 async fn a_peer_that_leaves_is_no_longer_named() {
     let one = vm("vm-1", Vec::new()).await;
     let two = vm("vm-2", vec![one.settings().listen.peers]).await;
-    until(|| one.peers.known().alive.len() == 1).await;
+    until(|| one.peers.addrs_by_status().alive.len() == 1).await;
     two.peers.leave();
     peers::broadcast_state(&two).await;
-    until(|| one.peers.known().alive.is_empty()).await;
+    until(|| one.peers.addrs_by_status().alive.is_empty()).await;
 }
 
 /// One VM is about to load weights on many engines. Others that do not know would send requests
@@ -82,7 +82,7 @@
             .lock()
             .apply(&engine(no), entry, offset(0), sesamegap_entry::clock::now());
     }
-    until(|| one.peers.known().alive.len() == 1).await;
+    until(|| one.peers.addrs_by_status().alive.len() == 1).await;
     // Both listen on one machine here, so each has a port of its own and one answers the other's.
     let news = |no| peers::EngineUpdate {
         born: None,
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -150,7 +150,7 @@
         () = rounds => panic!("rounds go on"),
         () = served => {}
     }
-    assert!(core.peers.known().alive.is_empty());
+    assert!(core.peers.addrs_by_status().alive.is_empty());
     let asked = tokio::time::timeout(Duration::ZERO, dark.accept()).await;
     assert!(asked.is_ok(), "it was asked and has not answered");
 }
