--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -229,7 +229,7 @@
         };
         match rmp_serde::from_slice::<Datagram>(&buffer[..length]) {
             Ok(Datagram::Loads(vm, held)) => {
-                core.fleet.lock().loads.take(vm, held, clock::now());
+                core.fleet.lock().loads.record(vm, held, clock::now());
             }
             Ok(Datagram::Engines(news)) => apply_engine_updates(&core, &news),
             Ok(Datagram::Silent(vm, words)) => take_words(&core, &vm, &words),
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -82,7 +82,7 @@
 
 impl Loads {
     /// Takes a peer's word, in place of its former one.
-    pub fn take(&mut self, vm: VmId, held: Vec<UpstreamLoad>, now: Moment) {
+    pub fn record(&mut self, vm: VmId, held: Vec<UpstreamLoad>, now: Moment) {
         for held in &held {
             self.sums.entry(held.life).or_default().add(held, now);
         }
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -42,7 +42,7 @@
             unread: 2_000,
         };
         let vm = format!("vm-{vm}").parse().unwrap();
-        loads.take(vm, vec![held], told);
+        loads.record(vm, vec![held], told);
     }
     let on_way = |loads: &mut Loads, ms| {
         loads.tick(told + Duration::from_millis(ms));
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -259,7 +259,7 @@
             unread: 2_000,
         };
         let vm = format!("vm-{vm}").parse().unwrap();
-        loads.take(vm, vec![held], told);
+        loads.record(vm, vec![held], told);
     }
     loads.tick(told + Duration::from_millis(60));
     let unread = loads.at(7).map(|held| held.unread);
