--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -77,7 +77,10 @@
     ///
     /// Unlike what the upstream last said of itself, this falls to zero as soon as it is empty.
     pub fn running_here(&self, upstream: &Upstream) -> u32 {
-        let others = self.loads.at(upstream.life).map_or(0, |held| held.running);
+        let others = self
+            .loads
+            .total_at(upstream.life)
+            .map_or(0, |held| held.running);
         upstream.running + others + self.placed.at(upstream.life).running
     }
 
@@ -89,7 +92,10 @@
 
     /// Prompt tokens that all VMs have at an upstream and that are not read yet.
     pub fn unread(&self, upstream: &Upstream) -> u64 {
-        let others = self.loads.at(upstream.life).map_or(0, |held| held.unread);
+        let others = self
+            .loads
+            .total_at(upstream.life)
+            .map_or(0, |held| held.unread);
         upstream.unread + others + self.placed.at(upstream.life).unread
     }
 
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -94,7 +94,7 @@
     }
 
     /// What all peers together have at an upstream, as of the last word or tick.
-    pub fn at(&self, life: u64) -> Option<UpstreamLoad> {
+    pub fn total_at(&self, life: u64) -> Option<UpstreamLoad> {
         let sum = self.sums.get(&life)?;
         Some(UpstreamLoad {
             life,
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -262,7 +262,7 @@
         loads.record(vm, vec![held], told);
     }
     loads.tick(told + Duration::from_millis(60));
-    let unread = loads.at(7).map(|held| held.unread);
+    let unread = loads.total_at(7).map(|held| held.unread);
     assert!(unread >= Some(50_000), "{unread:?}");
 }
 
