--- a/crates/sesamegap-entry/src/fleet/view.rs
+++ b/crates/sesamegap-entry/src/fleet/view.rs
@@ -86,7 +86,7 @@
 
     /// Tokens that all VMs have asked of a store and that have not arrived, as far as is known.
     pub fn on_way(&self, store: SocketAddr, per_ms: u64) -> u64 {
-        let others = self.loads.on_way(kept::load_key(store), per_ms);
+        let others = self.loads.in_flight_tokens(kept::load_key(store), per_ms);
         self.kept.in_flight_tokens(store) + others
     }
 
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -107,7 +107,7 @@
     ///
     /// Words of eighty peers come seconds apart: what an old one told of has arrived since, and counted on it
     /// would keep prompts from a store whose link is idle.
-    pub fn on_way(&self, store: u64, per_ms: u64) -> u64 {
+    pub fn in_flight_tokens(&self, store: u64, per_ms: u64) -> u64 {
         let sum = self.sums.get(&store);
         sum.map_or(0, |sum| sum.left(self.now, per_ms, HOLDS))
     }
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -46,7 +46,7 @@
     }
     let on_way = |loads: &mut Loads, ms| {
         loads.tick(told + Duration::from_millis(ms));
-        loads.on_way(load_key(store()), PER_MS)
+        loads.in_flight_tokens(load_key(store()), PER_MS)
     };
     assert_eq!(on_way(&mut loads, 100), 170_000);
     assert_eq!(on_way(&mut loads, 700), 170_000 - 300 * PER_MS);
