--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -60,7 +60,7 @@
     /// Requests being worked on.
     pub active: Arc<ActiveRequests>,
     /// Room for request bodies, in KiB.
-    pub bodies: Arc<Semaphore>,
+    pub body_permits: Arc<Semaphore>,
     /// Requests under which upstreams ended.
     pub quarantine: Quarantine,
     tables: [Known; 4],
@@ -92,7 +92,7 @@
             desk: Desk::default(),
             weights_named: Notify::new(),
             active: Arc::default(),
-            bodies: Arc::new(Semaphore::new(settings.body_memory >> 10)),
+            body_permits: Arc::new(Semaphore::new(settings.body_memory >> 10)),
             quarantine: Quarantine::default(),
             tables: Default::default(),
             catalogue: ArcSwapOption::empty(),
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -163,7 +163,7 @@
             return Err(Refusal::BodySize);
         }
         let kib = u32::try_from(data.len().div_ceil(1024)).unwrap_or(u32::MAX);
-        let Ok(more) = Arc::clone(&core.bodies).try_acquire_many_owned(kib) else {
+        let Ok(more) = Arc::clone(&core.body_permits).try_acquire_many_owned(kib) else {
             drain(body).await;
             return Err(Refusal::Memory);
         };
