--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -1,10 +1,10 @@
-//! The store as the process uses it: positions that name their timeline, and one judgement of every answer.
+//! A store client that adds the timeline to every log position and validates every reply.
 //!
-//! The port speaks of offsets, which go back when the store is restored from a copy. Here each offset is joined with
-//! the timeline that the answer stated, so that whatever is built on it compares rightly with what was built before.
-//! An answer of a former timeline, or of none, is an error before anything sees it, and so is one on another
-//! timeline than the offsets that were asked with. All who read the store are told when the timeline rises, whichever
-//! call showed it.
+//! The port uses plain offsets, which go back when the store is restored from a backup. The client combines each
+//! offset with the timeline that the reply reports, so that positions from before and after a restore compare in the
+//! right order. A reply from an earlier timeline, or without one, becomes an error before any caller sees it, and so
+//! does a reply on a different timeline than the requested offsets. Subscribers are notified when the timeline
+//! advances, whichever call revealed it.
 
 use crate::clock;
 use crate::ports::{Batch, Records, Reply, Store, StoreError, Table};
@@ -19,162 +19,162 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// Pause between two lines about answers on which nothing is built: a store may give many in a second.
-const TOLD: Duration = Duration::from_secs(1);
+/// Minimum interval between log lines about discarded replies: a store may send many of them per second.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The store, shared by all tasks of a process.
 #[derive(Debug)]
 pub struct StoreClient {
     port: Arc<dyn Store>,
     state: Mutex<State>,
-    risen: watch::Sender<Timeline>,
+    timeline: watch::Sender<Timeline>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    timelines: TimelineTracker,
-    /// When an answer on which nothing is built was last logged.
-    told: Option<Moment>,
+    tracker: TimelineTracker,
+    /// When a discarded reply was last logged.
+    last_logged: Option<Moment>,
 }
 
 impl StoreClient {
-    /// A store that nothing was asked of yet.
+    /// Creates a client that has not contacted the store yet.
     pub fn new(port: Arc<dyn Store>) -> Self {
         Self {
             port,
             state: Mutex::default(),
-            risen: watch::channel(Timeline::default()).0,
+            timeline: watch::channel(Timeline::default()).0,
         }
     }
 
-    /// The present timeline.
+    /// Returns the current timeline.
     pub fn timeline(&self) -> Timeline {
-        *self.risen.borrow()
+        *self.timeline.borrow()
     }
 
-    /// Follows the timeline.
+    /// Subscribes to changes of the timeline.
     pub fn subscribe_timeline(&self) -> watch::Receiver<Timeline> {
-        self.risen.subscribe()
+        self.timeline.subscribe()
     }
 
-    /// The newest record of each key of a table.
+    /// Reads the newest record of each key of a table.
     ///
     /// # Errors
-    /// If nothing was read.
+    /// If the store could not be read.
     pub async fn snapshot(&self, table: Table) -> Result<Batch, StoreError> {
         let reply = self.port.snapshot(table).await;
-        let (timeline, records) = self.judge(None, reply)?;
+        let (timeline, records) = self.validate(None, reply)?;
         Ok(Batch::new(timeline, records))
     }
 
-    /// Changes from a position on; waits at most `wait` for the first.
+    /// Reads changes starting at a position; waits at most `wait` for the first one.
     ///
     /// # Errors
-    /// If nothing was read, or the position is of a former timeline.
+    /// If the store could not be read, or the position belongs to an earlier timeline.
     pub async fn changes(
         &self,
         table: Table,
         from: LogPosition,
         wait: Duration,
     ) -> Result<Batch, StoreError> {
-        self.check(from)?;
+        self.check_position(from)?;
         let reply = self.port.changes(table, from.offset, wait).await;
-        let (timeline, records) = self.judge(Some(from), reply)?;
+        let (timeline, records) = self.validate(Some(from), reply)?;
         Ok(Batch::new(timeline, records))
     }
 
     /// Writes this VM's entry.
     ///
     /// # Errors
-    /// If it was not written.
+    /// If the entry was not written.
     pub async fn write_vm_entry(&self, vm: &VmId, peers: SocketAddr) -> Result<(), StoreError> {
         let reply = self.port.write_vm_entry(vm, peers).await;
-        self.judge(None, reply).map(|_| ())
+        self.validate(None, reply).map(|_| ())
     }
 
-    /// Writes what is known of requests under which upstreams ended.
+    /// Writes quarantine records of requests during which upstreams crashed.
     ///
     /// # Errors
-    /// If it was not written.
+    /// If the records were not written.
     pub async fn quarantine(&self, records: &[quarantine::Record]) -> Result<(), StoreError> {
         let reply = self.port.quarantine(records).await;
-        self.judge(None, reply).map(|_| ())
+        self.validate(None, reply).map(|_| ())
     }
 
-    /// Records of the lease log from a position on, and where it ends.
+    /// Reads the lease log starting at a position; returns the records and the end of the log.
     ///
     /// # Errors
-    /// If nothing was read, or the position is of a former timeline.
+    /// If the store could not be read, or the position belongs to an earlier timeline.
     pub async fn lease_records(
         &self,
         from: LogPosition,
     ) -> Result<(Vec<Bytes>, LogPosition), StoreError> {
-        self.check(from)?;
+        self.check_position(from)?;
         let reply = self.port.lease_records(from.offset).await;
-        let (timeline, (records, end)) = self.judge(Some(from), reply)?;
+        let (timeline, (records, end)) = self.validate(Some(from), reply)?;
         Ok((records, LogPosition::new(timeline, end)))
     }
 
-    /// Appends to the lease log if it ends at this position; where the record lies.
+    /// Appends a record if the lease log ends at the given position; returns the record's position.
     ///
     /// # Errors
-    /// If it is not known to lie there.
+    /// If the append is not known to have succeeded.
     pub async fn lease_append(
         &self,
         record: Bytes,
         at: LogPosition,
     ) -> Result<LogPosition, StoreError> {
-        self.check(at)?;
+        self.check_position(at)?;
         let reply = self.port.lease_append(record, at.offset).await;
-        let (timeline, offset) = self.judge(Some(at), reply)?;
+        let (timeline, offset) = self.validate(Some(at), reply)?;
         Ok(LogPosition::new(timeline, offset))
     }
 
-    /// Spares a call whose offsets mean something else by now.
-    fn check(&self, asked: LogPosition) -> Result<(), StoreError> {
+    /// Rejects a position from an earlier timeline, whose offset now refers to different records.
+    fn check_position(&self, requested: LogPosition) -> Result<(), StoreError> {
         let present = self.timeline();
-        if asked.timeline < present {
+        if requested.timeline < present {
             return Err(StoreError::Restored(present));
         }
         Ok(())
     }
 
-    /// Judges an answer to a call that named this position, if any.
-    fn judge<T>(
+    /// Validates the reply to a call; `requested` is the position that the call named, if any.
+    fn validate<T>(
         &self,
-        asked: Option<LogPosition>,
+        requested: Option<LogPosition>,
         reply: Reply<T>,
     ) -> Result<(Timeline, T), StoreError> {
-        let Some(stated) = reply.timeline else {
+        let Some(reported) = reply.timeline else {
             return reply.outcome.map(|value| (self.timeline(), value));
         };
-        let (verdict, present) = {
+        let (status, present) = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-            let verdict = state.timelines.observe(stated);
-            (verdict, state.timelines.present())
+            let status = state.tracker.observe(reported);
+            (status, state.tracker.present())
         };
-        match verdict {
+        match status {
             TimelineStatus::Present => {}
             TimelineStatus::Risen(former) => {
                 info!(
                     event = events::RESTORED,
                     former = former.0,
                     present = present.0,
-                    "the store is on a newer timeline"
+                    "the store moved to a newer timeline"
                 );
-                self.risen.send_if_modified(|known| {
+                self.timeline.send_if_modified(|known| {
                     std::mem::replace(known, present.max(*known)) < present
                 });
             }
             TimelineStatus::Former(_) | TimelineStatus::Unknown => {
-                self.tell(verdict, present);
-                return Err(StoreError::OffTimeline(verdict));
+                self.log_discarded(status, present);
+                return Err(StoreError::OffTimeline(status));
             }
         }
         match reply.outcome {
-            // What was said of offsets of a former timeline means nothing; a refusal means the same on any.
+            // Results that refer to offsets of an earlier timeline are meaningless; other errors apply on any timeline.
             Ok(_) | Err(StoreError::Compacted(_) | StoreError::Conflict(_))
-                if asked.is_some_and(|asked| asked.timeline != present) =>
+                if requested.is_some_and(|requested| requested.timeline != present) =>
             {
                 Err(StoreError::Restored(present))
             }
@@ -182,25 +182,30 @@
         }
     }
 
-    fn tell(&self, verdict: TimelineStatus, present: Timeline) {
+    fn log_discarded(&self, status: TimelineStatus, present: Timeline) {
         let now = clock::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.told.is_some_and(|at| now.since(at) < TOLD) {
+        if state
+            .last_logged
+            .is_some_and(|at| now.since(at) < LOG_INTERVAL)
+        {
             return;
         }
-        state.told = Some(now);
+        state.last_logged = Some(now);
         drop(state);
-        warn!(event = events::OFF_TIMELINE, why = ?verdict, present = present.0, "an answer of the store is not of the present timeline; nothing is built on it");
+        warn!(event = events::OFF_TIMELINE, why = ?status, present = present.0, "discarded a store reply that is not from the current timeline");
     }
 }
 
 impl Batch {
-    /// Joins what was read with its timeline.
+    /// Adds the timeline to the offsets of the records that were read.
     fn new(timeline: Timeline, records: Records) -> Self {
         let at = |offset| LogPosition::new(timeline, offset);
-        let found = records.records.into_iter();
+        let entries = records.records.into_iter();
         Self {
-            records: found.map(|(offset, record)| (at(offset), record)).collect(),
+            records: entries
+                .map(|(offset, record)| (at(offset), record))
+                .collect(),
             next: at(records.next),
         }
     }
