--- a/crates/sesamegap-entry/src/core/active.rs
+++ b/crates/sesamegap-entry/src/core/active.rs
@@ -1,4 +1,4 @@
-//! Requests being worked on, by their ids.
+//! Registry of requests in progress.
 
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
@@ -6,44 +6,44 @@
 
 /// Requests of a process that have not ended.
 #[derive(Debug, Default)]
-pub struct ActiveRequests(Mutex<Numbered>);
+pub struct ActiveRequests(Mutex<Registry>);
 
 #[derive(Debug, Default)]
-struct Numbered {
+struct Registry {
     next: u64,
     ids: BTreeMap<u64, SmolStr>,
 }
 
 impl ActiveRequests {
-    /// Their ids, oldest first.
+    /// Returns the request ids, oldest first.
     pub fn ids(&self) -> Vec<SmolStr> {
         self.lock().ids.values().cloned().collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Numbered> {
+    fn lock(&self) -> MutexGuard<'_, Registry> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Counts a request in the process until it ends.
+/// Keeps a request registered as active until the guard is dropped.
 ///
-/// It counts from when it was read whole: a caller that stops in the middle of its body is owed
-/// nothing, and a process that stops must not wait for it.
+/// A request is registered only once its body was read completely. A caller that stops in the middle of the body is
+/// owed no answer, and a process that shuts down must not wait for it.
 #[derive(Debug)]
 pub struct ActiveRequestGuard {
-    all: Arc<ActiveRequests>,
+    requests: Arc<ActiveRequests>,
     number: u64,
 }
 
 impl ActiveRequestGuard {
-    /// Counts a request.
-    pub fn new(all: &Arc<ActiveRequests>, id: SmolStr) -> Self {
-        let mut requests = all.lock();
-        let number = requests.next;
-        requests.next += 1;
-        requests.ids.insert(number, id);
+    /// Registers a request.
+    pub fn new(requests: &Arc<ActiveRequests>, id: SmolStr) -> Self {
+        let mut registry = requests.lock();
+        let number = registry.next;
+        registry.next += 1;
+        registry.ids.insert(number, id);
         Self {
-            all: Arc::clone(all),
+            requests: Arc::clone(requests),
             number,
         }
     }
@@ -51,6 +51,6 @@
 
 impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        self.all.lock().ids.remove(&self.number);
+        self.requests.lock().ids.remove(&self.number);
     }
 }
--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a process share.
+//! State shared by all tasks of a process.
 
 mod active;
 
@@ -25,43 +25,43 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tracing::info;
 
-/// Where a process is in its life.
+/// Lifecycle phase of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// Requests are served.
     Serving,
-    /// It was told to stop: it names others and closes connections after their next answer.
+    /// Shutdown has begun: the locator names other VMs, and connections close after their next response.
     Leaving,
-    /// It closes idle connections.
+    /// Idle connections are closed.
     Closing,
-    /// It takes no more connections.
+    /// No more connections are accepted.
     Ended,
 }
 
-/// What all tasks of a process share.
+/// State shared by all tasks of a process.
 #[derive(Debug)]
 pub struct Core {
-    /// The platform.
+    /// The adapters of the platform.
     pub ports: Ports,
-    /// The store.
+    /// The store client.
     pub store: StoreClient,
     /// The upstreams.
     pub fleet: SharedFleet,
     /// The other entry VMs.
     pub peers: Peers,
-    /// What owners of shards place for this VM.
+    /// Placement requests to the owners of shards.
     pub desk: Desk,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The log.
+    /// Logging controls.
     pub logging: Logging,
-    /// Wakes the roll when weights were named.
+    /// Wakes the weight rollout when a weights version was named.
     pub weights_named: Notify,
-    /// Requests being worked on.
+    /// Requests in progress.
     pub active: Arc<ActiveRequests>,
-    /// Room for request bodies, in KiB.
+    /// Memory left for request bodies, one permit per KiB.
     pub body_permits: Arc<Semaphore>,
-    /// Requests under which upstreams ended.
+    /// Requests quarantined because upstreams crashed while running them.
     pub quarantine: Quarantine,
     tables: [Known; 4],
     settings: ArcSwap<Settings>,
@@ -71,7 +71,7 @@
 }
 
 impl Core {
-    /// Sets up a process that knows nothing yet.
+    /// Creates the state of a process that has read nothing from the store or its peers yet.
     ///
     /// # Errors
     /// If metrics cannot be set up.
@@ -104,30 +104,30 @@
         })
     }
 
-    /// Settings of the process.
+    /// Returns the settings of the process.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.load_full()
     }
 
-    /// How far this VM knows a table of the store.
+    /// Returns how far this VM has read a table of the store.
     pub fn known(&self, table: Table) -> &Known {
         &self.tables[table as usize]
     }
 
-    /// Takes settings that changed while the process runs.
+    /// Applies settings that changed while the process runs.
     ///
-    /// Who it is and where it listens stay: callers and peers know it by them.
+    /// The VM's identity, domain and listen addresses stay unchanged, because callers and peers know the process by them.
     pub fn reload(&self, mut settings: Settings) {
-        let now = self.settings();
-        settings.vm = now.vm.clone();
-        settings.domain = now.domain.clone();
-        settings.listen = now.listen;
+        let current = self.settings();
+        settings.vm = current.vm.clone();
+        settings.domain = current.domain.clone();
+        settings.listen = current.listen;
         info!(
             event = events::RELOADED,
             seeds = settings.seeds.len(),
             repeats = settings.retry_budget.ratio,
             slack = settings.retry_budget.slack,
-            "settings of the process read again"
+            "process settings reloaded"
         );
         self.budgets
             .lock()
@@ -137,12 +137,12 @@
         self.settings.store(Arc::new(settings));
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn catalogue(&self) -> Option<Arc<Catalogue>> {
         self.catalogue.load_full()
     }
 
-    /// The revision in force; zero if there is none.
+    /// Returns the revision in force; zero if no document is in force.
     pub fn revision(&self) -> Revision {
         let catalogue = self.catalogue.load();
         catalogue
@@ -150,10 +150,10 @@
             .map_or(Revision::default(), |catalogue| catalogue.revision())
     }
 
-    /// Puts a document in force unless one as new already is.
+    /// Puts a document in force unless its revision is not newer than the current one.
     ///
-    /// The store's history can be shown stale, and a peer may be behind: without this check a
-    /// revoked key would work again for a while.
+    /// The store may serve stale history, and a peer may be behind. Without this check, a revoked key would work again
+    /// for a while.
     pub fn adopt(&self, document: &Arc<Document>, source: &str) -> bool {
         if document.revision <= self.revision() {
             return false;
@@ -171,7 +171,7 @@
         true
     }
 
-    /// Counts a caller's request to a service.
+    /// Adds a caller's request to the retry budget of its service.
     pub fn count_request(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = budgets
@@ -180,7 +180,7 @@
         budget.record_request(clock::now());
     }
 
-    /// Whether one more repeat to a service fits into the fleet's bound; counts it if so.
+    /// Takes one retry from the budget of a service; returns whether the fleet's bound allowed it.
     pub fn try_retry(&self, service: &ServiceId) -> bool {
         let vms = self.peers.count();
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
@@ -189,35 +189,35 @@
             .is_some_and(|budget| budget.try_retry(clock::now(), vms))
     }
 
-    /// The phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Follows the phase.
+    /// Subscribes to changes of the phase.
     pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Goes on to a later phase.
+    /// Moves to a later phase; an earlier one is ignored.
     pub fn advance_phase(&self, phase: Phase) {
-        self.phase.send_if_modified(|now| {
-            let later = phase > *now;
+        self.phase.send_if_modified(|current| {
+            let later = phase > *current;
             if later {
-                *now = phase;
+                *current = phase;
             }
             later
         });
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether callers may be sent to this VM.
     pub fn is_ready(&self) -> bool {
-        let known = self.catalogue.load().is_some();
-        let fleet = self.fleet.lock().upstreams().next().is_some();
-        known && fleet && self.phase() == Phase::Serving
+        let has_document = self.catalogue.load().is_some();
+        let has_upstreams = self.fleet.lock().upstreams().next().is_some();
+        has_document && has_upstreams && self.phase() == Phase::Serving
     }
 
-    /// Requests being worked on.
+    /// Returns the number of requests in progress.
     pub fn active(&self) -> usize {
         self.active.ids().len()
     }
