--- a/crates/sesamegap-entry/src/lib.rs
+++ b/crates/sesamegap-entry/src/lib.rs
@@ -1,13 +1,13 @@
 //! The process of an entry VM.
 //!
-//! One process on each VM takes callers' requests ([`intake`]), sends each to an upstream and its
-//! answer back ([`relay`] over [`upstream`]), names live entry VMs ([`locator`]), follows the
-//! operator's settings and the fleet ([`follow`]), hears its [`peers`], holds back requests that
-//! crash upstreams ([`quarantine`]), and takes its turn at rolling weights ([`roll`]). It keeps
-//! nothing: what must last lies behind [`ports::Store`].
+//! One process on each VM accepts callers' requests ([`intake`]), relays each request to an upstream and the response
+//! back ([`relay`] over [`upstream`]), lists live entry VMs for callers ([`locator`]), follows the operator's settings
+//! and the fleet ([`follow`]), exchanges state with its [`peers`], blocks requests that crash upstreams
+//! ([`quarantine`]), and rolls out weights while it holds the lease ([`roll`]). The process itself stores nothing
+//! durably: durable state is behind [`ports::Store`].
 //!
-//! What the platform calls things, and how, is behind the traits in [`ports`]; an adapter
-//! implements them and decides nothing.
+//! The protocols and names of the platform are behind the traits in [`ports`]. An adapter implements them and makes no
+//! decisions.
 
 pub mod catalogue;
 pub mod clock;
--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -5,43 +5,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a process listens.
+/// Addresses that a process listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listen {
-    /// Callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
     /// Readiness checks.
     pub ready: SocketAddr,
-    /// Peers.
+    /// Messages of peers.
     pub peers: SocketAddr,
-    /// Datagrams about loads; the port is the same on all VMs.
+    /// Datagrams of peers; the port is the same on all VMs.
     pub loads: SocketAddr,
-    /// Operators that ask for metrics or a dump.
+    /// Operators' requests for metrics or a dump.
     pub operators: SocketAddr,
-    /// Callers that ask which address to use.
+    /// Locator requests of callers that ask which address to use.
     pub locator: SocketAddr,
 }
 
-/// Spans of time that the operators promise or ask for.
+/// Durations that the operators guarantee or require.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Durations {
     /// From SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// How long callers may keep a locator's answer.
+    /// Longest time for which callers may cache a locator's answer.
     pub answer_ttl: Duration,
-    /// Time between two heartbeats of an upstream.
+    /// Interval between two heartbeats of an upstream.
     pub heartbeat: Duration,
-    /// Time after which an upstream that said it leaves must get no more work.
+    /// Time after which an upstream that announced it is leaving must get no more work.
     pub drain: Duration,
-    /// Time after a naming of weights from which no request may begin on older ones.
+    /// Time after weights were named from which no request may start on older weights.
     pub weights: Duration,
-    /// Shortest time between orders of two lease holders.
+    /// Shortest time between the orders of two successive lease holders.
     pub lease: Duration,
-    /// How long a lapsed entry may take to come back after the store's return.
+    /// How long a lapsed entry may take to reappear after the store is available again.
     pub lapse: Duration,
 }
 
-/// Settings of one process, as its adapter read them.
+/// Settings of one process, as read by its adapter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The VM.
@@ -50,12 +50,12 @@
     pub domain: DomainId,
     /// Where it listens.
     pub listen: Listen,
-    /// Peers to ask first; may be stale.
+    /// Peers to contact at startup; the list may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// Spans promised or asked for.
+    /// Durations guaranteed or required by the operators.
     pub durations: Durations,
-    /// The fleet's bound on repeats.
+    /// The fleet-wide bound on retries.
     pub retry_budget: Bound,
-    /// Bytes of request bodies held at once.
+    /// Memory for request bodies held at once, in bytes.
     pub body_memory: usize,
 }
