--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -1,9 +1,8 @@
-//! Whether the stores of kept KV cache answer.
+//! Health checks of the kept-KV stores, and the tokens in flight from them.
 //!
-//! What a store holds is not followed: it answers a few followers only, however many VMs there are,
-//! and asking it for parts that it does not hold costs a millisecond. Asking a dead one holds a prompt
-//! up by a tenth of a second or more. So a few VMs keep a waiting call at each store, and tell all
-//! others when it fails.
+//! The contents of a store are not tracked: a store serves only a few followers, however many VMs there are, and a
+//! fetch of parts that it does not hold costs only a millisecond. A fetch from a dead store delays a prompt by a tenth
+//! of a second or more. Therefore a few VMs keep a long poll open at each store and notify all others when it fails.
 
 use crate::clock;
 use crate::core::{Core, Phase};
@@ -20,56 +19,59 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// How long a store may wait with an answer; it takes no more.
-const WAIT: Duration = Duration::from_secs(1);
+/// How long a store may hold a long poll open; it accepts no longer wait.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a call that failed, and between looks for a new store.
-const RETRY: Duration = Duration::from_millis(500);
+/// Interval between polls of a store, and between checks for new stores in the catalogue.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// VMs that watch one store: it answers eight to twelve such calls at once, and refuses others.
+/// Number of VMs that watch each store. A store serves eight to twelve long polls at once and refuses others.
 const WATCHERS: usize = 8;
 
-/// How long a store that did not answer is left alone: two looks, so that the next one renews it.
-const OUT: Duration = Duration::from_millis(1_500);
+/// How long a store that did not answer counts as unavailable. Covers two polls, so that the next failed poll renews
+/// it.
+const UNAVAILABLE_FOR: Duration = Duration::from_millis(1_500);
 
-/// Stores that did not answer lately, and what is on its way from each.
+/// Stores that did not answer recently, and the tokens in flight from each store.
 #[derive(Debug, Default)]
 pub struct KvStoreStates {
-    out: FxHashMap<SocketAddr, Moment>,
-    asked: FxHashMap<SocketAddr, u64>,
+    unavailable_until: FxHashMap<SocketAddr, Moment>,
+    in_flight: FxHashMap<SocketAddr, u64>,
 }
 
 impl KvStoreStates {
-    /// Whether prompts should not wait for this store.
+    /// Returns whether prompts should not be fetched from this store.
     pub fn is_unavailable(&self, store: SocketAddr, now: Moment) -> bool {
-        self.out.get(&store).is_some_and(|until| now < *until)
+        self.unavailable_until
+            .get(&store)
+            .is_some_and(|until| now < *until)
     }
 
-    /// Leaves a store alone for a while.
+    /// Marks a store as unavailable for a while.
     pub fn mark_unavailable(&mut self, store: SocketAddr, now: Moment) {
-        self.out.retain(|_, until| now < *until);
-        self.out.insert(store, now + OUT);
+        self.unavailable_until.retain(|_, until| now < *until);
+        self.unavailable_until.insert(store, now + UNAVAILABLE_FOR);
     }
 
-    /// Tokens that this VM has asked of a store and that have not arrived.
+    /// Returns the tokens that this VM has requested from a store and that have not arrived.
     pub fn in_flight_tokens(&self, store: SocketAddr) -> u64 {
-        self.asked.get(&store).copied().unwrap_or(0)
+        self.in_flight.get(&store).copied().unwrap_or(0)
     }
 
-    fn ask(&mut self, store: SocketAddr, tokens: u64) {
-        *self.asked.entry(store).or_default() += tokens;
+    fn add_in_flight(&mut self, store: SocketAddr, tokens: u64) {
+        *self.in_flight.entry(store).or_default() += tokens;
     }
 
-    fn arrived(&mut self, store: SocketAddr, tokens: u64) {
-        if let Some(asked) = self.asked.get_mut(&store) {
-            *asked = asked.saturating_sub(tokens);
+    fn remove_in_flight(&mut self, store: SocketAddr, tokens: u64) {
+        if let Some(in_flight) = self.in_flight.get_mut(&store) {
+            *in_flight = in_flight.saturating_sub(tokens);
         }
     }
 
-    /// What this VM has asked of all stores, for its peers.
+    /// Returns this VM's tokens in flight from each store, for its peers.
     pub fn loads(&self) -> impl Iterator<Item = UpstreamLoad> {
-        let asked = self.asked.iter().filter(|(_, tokens)| **tokens > 0);
-        asked.map(|(store, tokens)| UpstreamLoad {
+        let in_flight = self.in_flight.iter().filter(|(_, tokens)| **tokens > 0);
+        in_flight.map(|(store, tokens)| UpstreamLoad {
             life: load_key(*store),
             running: 0,
             unread: *tokens,
@@ -77,12 +79,12 @@
     }
 }
 
-/// A store's number among the lives that VMs tell of.
+/// Returns the key of a store in the load reports that VMs exchange.
 pub fn load_key(store: SocketAddr) -> u64 {
     seed(&store.to_smolstr())
 }
 
-/// Tokens on their way from a store, until it is dropped.
+/// Counts tokens as in flight from a store until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlightTokens {
     fleet: SharedFleet,
@@ -91,9 +93,9 @@
 }
 
 impl InFlightTokens {
-    /// Counts tokens as asked of a store.
+    /// Adds tokens to those in flight from a store.
     pub fn new(fleet: &SharedFleet, store: SocketAddr, tokens: u64) -> Self {
-        fleet.lock().kept.ask(store, tokens);
+        fleet.lock().kept.add_in_flight(store, tokens);
         Self {
             fleet: fleet.clone(),
             store,
@@ -104,11 +106,14 @@
 
 impl Drop for InFlightTokens {
     fn drop(&mut self) {
-        self.fleet.lock().kept.arrived(self.store, self.tokens);
+        self.fleet
+            .lock()
+            .kept
+            .remove_in_flight(self.store, self.tokens);
     }
 }
 
-/// Watches stores until the process ends.
+/// Watches all stores of the catalogue until the process ends.
 pub async fn watch(core: Arc<Core>) {
     let mut watched = Vec::new();
     while core.phase() < Phase::Ended {
@@ -116,48 +121,53 @@
             for store in catalogue.kv_stores() {
                 if !watched.contains(&store.addr) {
                     watched.push(store.addr);
-                    tokio::spawn(watch_one(Arc::clone(&core), store.addr));
+                    tokio::spawn(watch_store(Arc::clone(&core), store.addr));
                 }
             }
         }
-        sleep(RETRY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn watch_one(core: Arc<Core>, store: SocketAddr) {
-    let line = load_key(store);
+async fn watch_store(core: Arc<Core>, store: SocketAddr) {
+    let ranking_key = load_key(store);
     let mut since = 0;
     let mut born = None;
-    let mut answers = true;
+    let mut answering = true;
     while core.phase() < Phase::Ended {
-        if !core.peers.is_among_first(WATCHERS, line) {
-            sleep(RETRY * 4).await;
+        if !core.peers.is_among_first(WATCHERS, ranking_key) {
+            sleep(POLL_INTERVAL * 4).await;
             continue;
         }
-        match core.ports.engines.cache_update(store, since, WAIT).await {
-            Ok(news) => {
-                // The number of a former life points to other news, or to none.
-                let restarted = born.is_some() && news.born != born;
-                since = if restarted { 0 } else { news.next };
-                born = news.born;
+        match core
+            .ports
+            .engines
+            .cache_update(store, since, POLL_TIMEOUT)
+            .await
+        {
+            Ok(update) => {
+                // A sequence number of an earlier incarnation refers to other events, or to none.
+                let restarted = born.is_some() && update.born != born;
+                since = if restarted { 0 } else { update.next };
+                born = update.born;
                 if restarted {
-                    info!(event = events::KEPT, store = %store, born = born.map(|Incarnation(born)| born), "the store of kept cache started again");
+                    info!(event = events::KEPT, store = %store, born = born.map(|Incarnation(born)| born), "the kept-KV store restarted");
                 }
-                if !answers {
-                    answers = true;
-                    info!(event = events::KEPT, store = %store, "the store of kept cache answers again");
+                if !answering {
+                    answering = true;
+                    info!(event = events::KEPT, store = %store, "the kept-KV store responds again");
                 }
-                // News comes many times a second at full load, and says nothing but that it lives.
-                sleep(RETRY).await;
+                // At full load, updates arrive many times a second; all they show is that the store is alive.
+                sleep(POLL_INTERVAL).await;
             }
             Err(error) => {
-                if answers {
-                    answers = false;
-                    warn!(event = events::KEPT, store = %store, error, "the store of kept cache does not answer");
+                if answering {
+                    answering = false;
+                    warn!(event = events::KEPT, store = %store, error, "the kept-KV store does not respond");
                 }
                 core.fleet.lock().kept.mark_unavailable(store, clock::now());
                 broadcast_store_unavailable(&core, store);
-                sleep(RETRY).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
     }
