--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -1,13 +1,13 @@
-//! Datagrams among entry VMs: loads to some peers or all, news to all.
+//! UDP datagrams among entry VMs: loads to some or all peers, events to all peers.
 //!
-//! News is what one VM found or did and all others would otherwise find out for themselves, at the cost
-//! of a caller's wait or a call: engines that are out or gone, upstreams and stores that are silent, and
-//! what was read of the store. What a lost datagram would have told is made up for by the next one, by an
-//! upstream's own answer, or by reading the store.
+//! An event is something that one VM found or did and that the others would otherwise discover by themselves, at the
+//! cost of a caller's wait or of a call: engines that are paused or gone, upstreams and stores that do not respond, and
+//! readings of the store. The content of a lost datagram is recovered from the next one, from an upstream's own response,
+//! or by reading the store.
 //!
-//! Load: a roll takes half of the engines out within a moment, and all VMs must know. Harm
-//! prevented: with 84 VMs and 140 engines, a request over HTTP for each engine and peer kept the VM
-//! that rolls busy for seconds, and no engine was ever ordered.
+//! A weight rollout pauses half of the engines almost at once, and all VMs must know. With an HTTP request for each
+//! engine and peer, 84 VMs and 140 engines kept the VM that runs the rollout busy for seconds, and it never gave an
+//! order to any engine.
 
 use super::loads::UpstreamLoad;
 use super::message::EngineUpdate;
@@ -30,90 +30,90 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// Time between datagrams while something changes: a fifth of what an engine needs for a prompt.
+/// Time between datagrams while something changes: a fifth of the time that an engine needs for a prompt.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Words on silent upstreams in one datagram; at 15 bytes each they fit.
-const WORDS: usize = 64;
+/// Most reports on silent upstreams in one datagram; at 15 bytes each they fit.
+const MAX_SILENCE_REPORTS: usize = 64;
 
-/// Pieces of news in one datagram; with their names they stay under a link's packet.
-const PIECES: usize = 16;
+/// Most engine updates in one datagram; with the engines' names they stay below the MTU of a link.
+const MAX_ENGINE_UPDATES: usize = 16;
 
-/// Bytes of a datagram at most; loads at some fifty upstreams fit.
-const LONGEST: usize = 1_400;
+/// Longest datagram, in bytes; loads of about fifty upstreams fit.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Datagram {
-    /// What a VM has at upstreams.
+    /// The load that a VM has placed on upstreams.
     Loads(VmId, Vec<UpstreamLoad>),
-    /// News of engines.
+    /// Updates on engines.
     Engines(Vec<EngineUpdate>),
-    /// What a VM says of upstreams that do not answer.
+    /// A VM's reports on upstreams that do not respond.
     Silent(VmId, Vec<SilenceReport>),
-    /// What a VM has read of the store for all.
+    /// What a VM has read from the store for all VMs.
     Reading(Reading),
-    /// A store of kept cache does not answer.
+    /// A kept-KV store does not respond.
     StoreOut(SocketAddr),
-    /// To or from the owner of a shard.
+    /// A message to or from the owner of a shard.
     Placing(Say),
-    /// Of requests under which upstreams ended.
+    /// A message about requests during which upstreams crashed.
     Quarantine(quarantine::Message),
 }
 
 impl Datagram {
-    /// Its bytes, if it can be sent; else it is logged why not.
+    /// Encodes the datagram; logs the reason and returns `None` if it cannot be sent.
     fn encode(&self) -> Option<Vec<u8>> {
         match rmp_serde::to_vec(self) {
-            Ok(bytes) if bytes.len() <= LONGEST => Some(bytes),
+            Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => Some(bytes),
             Ok(bytes) => {
                 info!(
                     event = events::PEER,
                     bytes = bytes.len(),
-                    "too much for a datagram"
+                    "message exceeds the datagram size limit"
                 );
                 None
             }
             Err(error) => {
-                warn!(event = events::PEER, %error, "a datagram cannot be written");
+                warn!(event = events::PEER, %error, "failed to encode a datagram");
                 None
             }
         }
     }
 }
 
-/// A message to or from an owner as it is sent, unless it cannot be.
+/// Encodes a message to or from the owner of a shard, if it can be sent.
 pub fn placing(say: Say) -> Option<Vec<u8>> {
     Datagram::Placing(say).encode()
 }
 
-/// A message about requests under which upstreams ended as it is sent, unless it cannot be.
+/// Encodes a quarantine message, if it can be sent.
 pub fn quarantine(message: quarantine::Message) -> Option<Vec<u8>> {
     Datagram::Quarantine(message).encode()
 }
 
-/// Tells peers and hears them until the process ends.
+/// Sends and receives datagrams until the process ends.
 pub async fn run_datagrams(core: Arc<Core>) {
     let addr = core.settings().listen.loads;
     let socket = match UdpSocket::bind(addr).await {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
-            // Without it the process places by its own requests alone.
-            warn!(event = events::PEER, %addr, %error, "loads are not exchanged");
+            // Without the socket, the process places requests by its own load alone.
+            warn!(event = events::PEER, %addr, %error, "failed to bind the datagram socket; loads are not exchanged");
             return;
         }
     };
     core.desk.open(Arc::clone(&socket));
     core.quarantine.open(Arc::clone(&socket));
-    tokio::spawn(hear(Arc::clone(&core), Arc::clone(&socket)));
-    let mut last: Vec<UpstreamLoad> = Vec::new();
-    let mut telling = RecipientSelector::default();
-    let mut turn = 0;
+    tokio::spawn(receive(Arc::clone(&core), Arc::clone(&socket)));
+    let mut last_loads: Vec<UpstreamLoad> = Vec::new();
+    let mut recipients = RecipientSelector::default();
+    let mut next_peer = 0;
     let mut ticks: u32 = 0;
     while core.phase() < Phase::Ended {
         sleep(TICK).await;
         ticks = ticks.wrapping_add(1);
         quarantine::tick(&core, ticks).await;
-        for datagram in news(&core) {
+        for datagram in pending_events(&core) {
             send(
                 &core,
                 &socket,
@@ -125,83 +125,83 @@
         for (owner, words) in core.desk.words() {
             core.desk.send(words, owner).await;
         }
-        let held = own(&core);
+        let loads = own_loads(&core);
         let peers = core.peers.addrs_by_status().alive;
-        let changed = held != last;
-        let told = match telling.tick(sum(&held), changed, peers.len()) {
+        let changed = loads != last_loads;
+        let chosen = match recipients.tick(sum(&loads), changed, peers.len()) {
             Recipients::Nobody => Vec::new(),
-            Recipients::Rotation => some(&peers, &mut turn),
+            Recipients::Rotation => next_in_rotation(&peers, &mut next_peer),
             Recipients::All => peers,
         };
-        if !told.is_empty() {
-            let datagram = Datagram::Loads(core.settings().vm.clone(), held.clone());
-            send(&core, &socket, &datagram, &told).await;
+        if !chosen.is_empty() {
+            let datagram = Datagram::Loads(core.settings().vm.clone(), loads.clone());
+            send(&core, &socket, &datagram, &chosen).await;
         }
-        last = held;
+        last_loads = loads;
     }
 }
 
-/// What all peers are told at once.
-fn news(core: &Core) -> Vec<Datagram> {
+/// Takes the events to send to all peers.
+fn pending_events(core: &Core) -> Vec<Datagram> {
     let me = &core.settings().vm;
     let outbox = &core.peers.outbox;
-    let words = core.fleet.lock().silences.take_outgoing();
+    let reports = core.fleet.lock().silences.take_outgoing();
     let engines = outbox.take();
-    let mut all = Vec::new();
-    all.extend(
+    let mut datagrams = Vec::new();
+    datagrams.extend(
         engines
-            .chunks(PIECES)
-            .map(|news| Datagram::Engines(news.to_vec())),
+            .chunks(MAX_ENGINE_UPDATES)
+            .map(|updates| Datagram::Engines(updates.to_vec())),
     );
-    all.extend(
-        words
-            .chunks(WORDS)
-            .map(|words| Datagram::Silent(me.clone(), words.to_vec())),
+    datagrams.extend(
+        reports
+            .chunks(MAX_SILENCE_REPORTS)
+            .map(|reports| Datagram::Silent(me.clone(), reports.to_vec())),
     );
-    all.extend(outbox.readings().into_iter().map(Datagram::Reading));
-    all.extend(outbox.stores().into_iter().map(Datagram::StoreOut));
-    all
+    datagrams.extend(outbox.readings().into_iter().map(Datagram::Reading));
+    datagrams.extend(outbox.stores().into_iter().map(Datagram::StoreOut));
+    datagrams
 }
 
-/// Takes in what a VM says of upstreams that do not answer.
-fn take_words(core: &Core, vm: &VmId, words: &[SilenceReport]) {
+/// Applies a VM's reports on upstreams that do not respond.
+fn apply_silence_reports(core: &Core, vm: &VmId, reports: &[SilenceReport]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
-    for word in words {
-        let was = fleet.silences.is_silent(word.seed, now);
-        fleet.silences.apply(vm, *word, now);
-        let is = fleet.silences.is_silent(word.seed, now);
-        if was != is {
-            let found = fleet.upstreams().find(|up| up.life == word.seed);
+    for report in reports {
+        let was_silent = fleet.silences.is_silent(report.seed, now);
+        fleet.silences.apply(vm, *report, now);
+        let is_silent = fleet.silences.is_silent(report.seed, now);
+        if was_silent != is_silent {
+            let found = fleet.upstreams().find(|up| up.life == report.seed);
             let upstream = found.map(|up| up.id.clone());
-            info!(event = events::UPSTREAM, upstream = ?upstream, change = if is { "silent" } else { "answers" }, by = %vm, avoided_ms = word.avoided_ms, "others say so");
+            info!(event = events::UPSTREAM, upstream = ?upstream, change = if is_silent { "silent" } else { "answers" }, by = %vm, avoided_ms = report.avoided_ms, "others say so");
         }
     }
 }
 
-fn sum(held: &[UpstreamLoad]) -> Sum {
+fn sum(loads: &[UpstreamLoad]) -> Sum {
     Sum {
-        running: held.iter().map(|held| held.running).sum(),
-        unread: held.iter().map(|held| held.unread).sum(),
+        running: loads.iter().map(|load| load.running).sum(),
+        unread: loads.iter().map(|load| load.unread).sum(),
     }
 }
 
-/// What this VM has at upstreams and has asked of stores.
-fn own(core: &Core) -> Vec<UpstreamLoad> {
+/// Returns this VM's load on upstreams and its tokens in flight from stores.
+fn own_loads(core: &Core) -> Vec<UpstreamLoad> {
     let mut fleet = core.fleet.lock();
     fleet.loads.tick(clock::now());
     fleet.placed.expire(clock::now());
     let upstreams = fleet.upstreams().filter_map(Upstream::held);
-    // A store is told like an upstream that reads what was asked of it, which needs no message of its own.
+    // A store is reported like an upstream whose unread tokens are those in flight, so no separate message is needed.
     upstreams.chain(fleet.kept.loads()).collect()
 }
 
-/// Peers whose turn it is.
-fn some(peers: &[SocketAddr], turn: &mut usize) -> Vec<SocketAddr> {
+/// Returns the next peers in round-robin order.
+fn next_in_rotation(peers: &[SocketAddr], next: &mut usize) -> Vec<SocketAddr> {
     let count = peers.len().min(FANOUT);
-    let chosen = (0..count).map(|at| peers[(*turn + at) % peers.len()]);
+    let chosen = (0..count).map(|at| peers[(*next + at) % peers.len()]);
     let chosen = chosen.collect();
-    *turn = turn.wrapping_add(count);
+    *next = next.wrapping_add(count);
     chosen
 }
 
@@ -211,7 +211,7 @@
     };
     let port = core.settings().listen.loads.port();
     for peer in peers {
-        // A full link drops datagrams; what matters is told again.
+        // A saturated link drops datagrams; important content is sent again.
         drop(
             socket
                 .send_to(&bytes, SocketAddr::new(peer.ip(), port))
@@ -220,19 +220,19 @@
     }
 }
 
-async fn hear(core: Arc<Core>, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; LONGEST];
+async fn receive(core: Arc<Core>, socket: Arc<UdpSocket>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while core.phase() < Phase::Ended {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             sleep(TICK).await;
             continue;
         };
         match rmp_serde::from_slice::<Datagram>(&buffer[..length]) {
-            Ok(Datagram::Loads(vm, held)) => {
-                core.fleet.lock().loads.record(vm, held, clock::now());
+            Ok(Datagram::Loads(vm, loads)) => {
+                core.fleet.lock().loads.record(vm, loads, clock::now());
             }
-            Ok(Datagram::Engines(news)) => apply_engine_updates(&core, &news),
-            Ok(Datagram::Silent(vm, words)) => take_words(&core, &vm, &words),
+            Ok(Datagram::Engines(updates)) => apply_engine_updates(&core, &updates),
+            Ok(Datagram::Silent(vm, reports)) => apply_silence_reports(&core, &vm, &reports),
             Ok(Datagram::Reading(reading)) => follow::hear(&core, reading),
             Ok(Datagram::StoreOut(store)) => {
                 core.fleet.lock().kept.mark_unavailable(store, clock::now());
@@ -247,43 +247,44 @@
             Ok(Datagram::Placing(Say::Words(words))) => placing::hear(&core, from, &words),
             Ok(Datagram::Quarantine(message)) => quarantine::receive(&core, from, message).await,
             Err(error) => {
-                info!(event = events::PEER, %from, %error, "a datagram cannot be read");
+                info!(event = events::PEER, %from, %error, "failed to decode a datagram");
             }
         }
     }
 }
 
-/// Takes in news of engines.
-pub fn apply_engine_updates(core: &Core, news: &[EngineUpdate]) {
+/// Applies updates on engines.
+pub fn apply_engine_updates(core: &Core, updates: &[EngineUpdate]) {
     let now = clock::now();
     let mut fleet = core.fleet.lock();
-    for piece in news {
-        match fleet.met(&piece.engine, piece.born) {
-            // A take-out, or weights, of a former life say nothing about this one.
+    for update in updates {
+        match fleet.met(&update.engine, update.born) {
+            // A pause, or weights, of an earlier incarnation do not apply to the current one.
             Change::Former => {
-                info!(event = events::DISCARDED, upstream = %piece.engine, born = piece.born.map(|born| born.0), "a peer's word is of a former life");
+                info!(event = events::DISCARDED, upstream = %update.engine, born = update.born.map(|born| born.0), "discarded a peer's update on an earlier incarnation");
                 continue;
             }
             Change::Restarted => {
-                info!(event = events::UPSTREAM, upstream = %piece.engine, change = "Restarted", born = piece.born.map(|born| born.0), "a peer met a newer life");
+                info!(event = events::UPSTREAM, upstream = %update.engine, change = "Restarted", born = update.born.map(|born| born.0), "a peer found a newer incarnation");
             }
             _ => {}
         }
-        let Some(engine) = fleet.get_mut(&piece.engine) else {
+        let Some(engine) = fleet.get_mut(&update.engine) else {
             continue;
         };
-        let was_out = engine.is_paused(now);
-        let until = now + Duration::from_millis(u64::from(piece.out_ms));
-        if piece.gone {
+        let was_paused = engine.is_paused(now);
+        let until = now + Duration::from_millis(u64::from(update.out_ms));
+        if update.gone {
             engine.leave_alone(until);
         } else {
             engine.pause(until);
         }
-        if was_out != (piece.out_ms > 0) {
-            info!(event = events::UPSTREAM, upstream = %piece.engine, change = if was_out { "back" } else { "out" }, out_ms = piece.out_ms, "a VM takes an upstream out or gives it back");
+        if was_paused != (update.out_ms > 0) {
+            info!(event = events::UPSTREAM, upstream = %update.engine, change = if was_paused { "back" } else { "out" }, out_ms = update.out_ms, "a VM takes an upstream out or gives it back");
         }
-        // Within a life weights only rise, and the word of an earlier load may come after that of a later one.
-        if let Some(weights) = &piece.weights
+        // Within an incarnation the weights version only increases, and the update on an earlier load may arrive after that
+        // on a later one.
+        if let Some(weights) = &update.weights
             && engine.version(&weights.model) < Some(weights.version)
         {
             engine.holds(&weights.model, weights.version);
@@ -291,13 +292,13 @@
     }
 }
 
-/// Tells all VMs that a store of kept cache does not answer.
+/// Tells all peers that a kept-KV store does not respond.
 pub fn broadcast_store_unavailable(core: &Core, store: SocketAddr) {
     core.peers.outbox.put_store(store);
 }
 
-/// Tells all VMs news of an engine, this one at once.
-pub fn broadcast_engine_update(core: &Core, news: EngineUpdate) {
-    apply_engine_updates(core, std::slice::from_ref(&news));
-    core.peers.outbox.put(news);
+/// Applies an engine update on this VM at once and broadcasts it to all peers.
+pub fn broadcast_engine_update(core: &Core, update: EngineUpdate) {
+    apply_engine_updates(core, std::slice::from_ref(&update));
+    core.peers.outbox.put(update);
 }
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -1,9 +1,9 @@
-//! What each entry VM has at each upstream.
+//! The load that each entry VM has placed on each upstream.
 //!
-//! Load: weights change or a prefix is hot, and all VMs turn to the same few engines at once. Each
-//! sees only its own requests, a seventh of what makes the queue, and an answer's own word on load
-//! comes when the wait is over. Harm prevented: queues of seconds at one engine beside idle ones.
-//! A lost datagram is made up for by the next; what was not heard again in time no longer counts.
+//! When weights change or a prefix is hot, all VMs send to the same few engines at once. Each VM sees only its own
+//! requests, a seventh of the queue, and the load that a response reports arrives only after the wait. Sharing loads
+//! prevents queues of seconds at one engine while others are idle. The next datagram makes up for a lost one, and a
+//! report that is not renewed in time expires.
 
 use crate::clock;
 use rustc_hash::FxHashMap;
@@ -13,125 +13,127 @@
 use sesamegap_wire::{Moment, VmId};
 use std::time::Duration;
 
-/// How long a peer's word counts while all peers are told in each tick.
-const COUNTS: Duration = Duration::from_secs(1);
+/// How long a peer's report is valid while every tick reaches all peers.
+const REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// How long a word on fetches holds: a small fleet tells each again within it.
-const HOLDS: Duration = Duration::from_millis(400);
+/// How long a report on fetches counts in full: a small fleet renews each report within this time.
+const FETCH_REPORT_HOLD: Duration = Duration::from_millis(400);
 
-/// What a VM has at one upstream.
+/// Load that a VM has placed on one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
-    /// Number of the upstream's life, the same in all VMs.
+    /// Key of the upstream's incarnation, the same on all VMs.
     pub life: u64,
-    /// Requests there.
+    /// Requests in progress at the upstream.
     pub running: u32,
-    /// Prompt tokens there that are not read yet.
+    /// Prompt tokens that the upstream has not prefilled yet.
     pub unread: u64,
 }
 
 #[derive(Debug)]
-struct Word {
+struct LoadReport {
     at: Moment,
-    held: Vec<UpstreamLoad>,
+    loads: Vec<UpstreamLoad>,
 }
 
-/// What all peers together have at one upstream, by their words as they were said.
+/// Load of all peers at one upstream, as reported and before any time has passed.
 #[derive(Debug, Default, Clone, Copy)]
-struct Sum {
+struct LoadSum {
     running: u32,
     unread: u64,
-    /// Sum of unread tokens times the moment of their word.
-    moments: u128,
+    /// Sum of unread tokens times the time of their report.
+    weighted_times: u128,
 }
 
-impl Sum {
-    fn add(&mut self, held: &UpstreamLoad, at: Moment) {
-        self.running += held.running;
-        self.unread += held.unread;
-        self.moments += u128::from(held.unread) * u128::from(at.0);
+impl LoadSum {
+    fn add(&mut self, load: &UpstreamLoad, at: Moment) {
+        self.running += load.running;
+        self.unread += load.unread;
+        self.weighted_times += u128::from(load.unread) * u128::from(at.0);
     }
 
-    fn take_off(&mut self, held: &UpstreamLoad, at: Moment) {
-        self.running -= held.running;
-        self.unread -= held.unread;
-        self.moments -= u128::from(held.unread) * u128::from(at.0);
+    fn subtract(&mut self, load: &UpstreamLoad, at: Moment) {
+        self.running -= load.running;
+        self.unread -= load.unread;
+        self.weighted_times -= u128::from(load.unread) * u128::from(at.0);
     }
 
-    /// Unread tokens that are left: an upstream reads on whether its VMs say so or not, and no faster because
-    /// more of them tell of it. Thirty VMs with 2,000 tokens each would else seem to have 6,000 left of 58,000 after
-    /// 60 ms.
-    fn left(&self, now: Moment, per_ms: u64, holds: Duration) -> u64 {
+    /// Returns the unread tokens that are left.
+    ///
+    /// The progress since the reports is subtracted once from the sum, not once for each report: an upstream prefills
+    /// at the same rate however many VMs report on it. Otherwise thirty VMs with 2,000 tokens each would appear to
+    /// have 6,000 tokens left instead of 58,000 after 60 ms.
+    fn remaining(&self, now: Moment, per_ms: u64, hold: Duration) -> u64 {
         if self.unread == 0 {
             return 0;
         }
-        let mean = self.moments / u128::from(self.unread);
+        let mean = self.weighted_times / u128::from(self.unread);
         let mean = Moment(u64::try_from(mean).unwrap_or(u64::MAX));
-        let read = clock::millis(now.since(mean).saturating_sub(holds)) * per_ms;
+        let read = clock::millis(now.since(mean).saturating_sub(hold)) * per_ms;
         self.unread.saturating_sub(read)
     }
 }
 
-/// What peers have at upstreams, as far as they said so lately.
+/// Recently reported loads of all peers.
 #[derive(Debug, Default)]
 pub struct Loads {
-    words: FxHashMap<VmId, Word>,
-    sums: FxHashMap<u64, Sum>,
+    reports: FxHashMap<VmId, LoadReport>,
+    sums: FxHashMap<u64, LoadSum>,
     now: Moment,
 }
 
 impl Loads {
-    /// Takes a peer's word, in place of its former one.
-    pub fn record(&mut self, vm: VmId, held: Vec<UpstreamLoad>, now: Moment) {
-        for held in &held {
-            self.sums.entry(held.life).or_default().add(held, now);
+    /// Records a peer's report, which replaces its previous one.
+    pub fn record(&mut self, vm: VmId, loads: Vec<UpstreamLoad>, now: Moment) {
+        for load in &loads {
+            self.sums.entry(load.life).or_default().add(load, now);
         }
-        let former = self.words.insert(vm, Word { at: now, held });
-        if let Some(former) = former {
-            self.take_off(&former);
+        let previous = self.reports.insert(vm, LoadReport { at: now, loads });
+        if let Some(previous) = previous {
+            self.subtract(&previous);
         }
         self.now = now;
     }
 
-    /// What all peers together have at an upstream, as of the last word or tick.
+    /// Returns the load of all peers at an upstream, as of the last report or tick.
     pub fn total_at(&self, life: u64) -> Option<UpstreamLoad> {
         let sum = self.sums.get(&life)?;
         Some(UpstreamLoad {
             life,
             running: sum.running,
-            unread: sum.left(self.now, PREFILL_TOKENS_PER_MS, Duration::ZERO),
+            unread: sum.remaining(self.now, PREFILL_TOKENS_PER_MS, Duration::ZERO),
         })
     }
 
-    /// Tokens that all peers together have on their way from a store that delivers so many in a millisecond.
+    /// Returns the tokens that all peers have in flight from a store that delivers `per_ms` tokens per millisecond.
     ///
-    /// Words of eighty peers come seconds apart: what an old one told of has arrived since, and counted on it
-    /// would keep prompts from a store whose link is idle.
+    /// With eighty peers, reports of one peer are seconds apart. The tokens of an old report have arrived since, and
+    /// counting them would keep prompts from using a store whose link is idle.
     pub fn in_flight_tokens(&self, store: u64, per_ms: u64) -> u64 {
         let sum = self.sums.get(&store);
-        sum.map_or(0, |sum| sum.left(self.now, per_ms, HOLDS))
+        sum.map_or(0, |sum| sum.remaining(self.now, per_ms, FETCH_REPORT_HOLD))
     }
 
-    /// Lets time pass: what was read since is taken off, and words that are too old are forgotten.
+    /// Advances the time, which reduces the remaining tokens, and drops expired reports.
     pub fn tick(&mut self, now: Moment) {
         self.now = now;
-        let turns = self.words.len().div_ceil(FANOUT).max(1);
-        let counts = COUNTS * u32::try_from(turns).unwrap_or(u32::MAX);
-        let old = self
-            .words
-            .extract_if(|_, word| now.since(word.at) >= counts);
-        let old: Vec<Word> = old.map(|(_, word)| word).collect();
-        for word in &old {
-            self.take_off(word);
+        let ticks_per_round = self.reports.len().div_ceil(FANOUT).max(1);
+        let ttl = REPORT_TTL * u32::try_from(ticks_per_round).unwrap_or(u32::MAX);
+        let expired = self
+            .reports
+            .extract_if(|_, report| now.since(report.at) >= ttl);
+        let expired: Vec<LoadReport> = expired.map(|(_, report)| report).collect();
+        for report in &expired {
+            self.subtract(report);
         }
     }
 
-    fn take_off(&mut self, word: &Word) {
-        for held in &word.held {
-            if let Some(sum) = self.sums.get_mut(&held.life) {
-                sum.take_off(held, word.at);
+    fn subtract(&mut self, report: &LoadReport) {
+        for load in &report.loads {
+            if let Some(sum) = self.sums.get_mut(&load.life) {
+                sum.subtract(load, report.at);
                 if sum.running == 0 && sum.unread == 0 {
-                    self.sums.remove(&held.life);
+                    self.sums.remove(&load.life);
                 }
             }
         }
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -14,66 +14,66 @@
 use std::time::Duration;
 use tracing::info;
 
-/// A probe: who asks, what it heard, and what it knows.
+/// A probe: the sender's membership update, its updates on others, and its state.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender.
     pub me: MemberUpdate,
-    /// What it heard of others.
-    pub news: Vec<MemberUpdate>,
+    /// Its updates on other VMs.
+    pub updates: Vec<MemberUpdate>,
     /// Revision of its document.
     pub revision: Revision,
-    /// Weights named to it, those too that newer ones have overtaken: engines may be behind them.
-    pub weights: Vec<Told>,
+    /// Named weights that it knows, including superseded versions that some engines may not have reached yet.
+    pub weights: Vec<NamedWeights>,
 }
 
-/// The answer to a probe.
+/// The reply to a probe.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Welcome {
+pub struct HelloReply {
     /// The sender.
     pub me: MemberUpdate,
-    /// What it heard of others.
-    pub news: Vec<MemberUpdate>,
+    /// Its updates on other VMs.
+    pub updates: Vec<MemberUpdate>,
     /// Revision of its document.
     pub revision: Revision,
-    /// Its document, if newer than the asker's.
+    /// Its document, if newer than the requester's.
     pub document: Option<Document>,
-    /// Weights named to it, those too that newer ones have overtaken: engines may be behind them.
-    pub weights: Vec<Told>,
+    /// Named weights that it knows, including superseded versions that some engines may not have reached yet.
+    pub weights: Vec<NamedWeights>,
 }
 
 /// Weights, and how long ago they were named.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Told {
+pub struct NamedWeights {
     /// The weights.
     pub weights: Weights,
     /// Time since they were named.
     pub age: Age,
 }
 
-/// How long ago something was, in milliseconds.
+/// Age of an event, in milliseconds.
 ///
-/// A guess is told in the same number as a known age, by its highest bit: a VM of another release could
-/// not read a message of another shape, and half of the fleet would take the other half for dead while
-/// releases are replaced.
+/// An estimate is encoded in the same integer as a known age and marked by its highest bit. A VM of another release could
+/// not decode a message of a different shape, and during a rolling upgrade each half of the fleet would consider the
+/// other half dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "u64", into = "u64")]
 pub enum Age {
-    /// It was seen.
+    /// The event was observed.
     Known(u64),
-    /// It was found afterwards.
+    /// The event was discovered later; the age is an estimate.
     Guessed(u64),
 }
 
-/// Marks a guess.
-const GUESS: u64 = 1 << 63;
+/// Bit that marks an estimate.
+const GUESSED_BIT: u64 = 1 << 63;
 
 impl From<u64> for Age {
     fn from(number: u64) -> Self {
-        if number & GUESS == 0 {
+        if number & GUESSED_BIT == 0 {
             Self::Known(number)
         } else {
-            Self::Guessed(number & !GUESS)
+            Self::Guessed(number & !GUESSED_BIT)
         }
     }
 }
@@ -82,13 +82,13 @@
     fn from(age: Age) -> Self {
         match age {
             Age::Known(ms) => ms,
-            Age::Guessed(ms) => ms | GUESS,
+            Age::Guessed(ms) => ms | GUESSED_BIT,
         }
     }
 }
 
 impl Age {
-    fn of(naming: Naming, now: Moment) -> Self {
+    fn from_naming(naming: Naming, now: Moment) -> Self {
         let ms = clock::millis(now.since(naming.at));
         if naming.guessed {
             Self::Guessed(ms)
@@ -97,7 +97,7 @@
         }
     }
 
-    fn named(self) -> Named {
+    fn to_named(self) -> Named {
         match self {
             Self::Known(ms) => Named::At(clock::ago(Duration::from_millis(ms))),
             Self::Guessed(ms) => Named::Guessed(clock::ago(Duration::from_millis(ms))),
@@ -105,54 +105,55 @@
     }
 }
 
-/// What a VM says of an upstream: the one that rolls weights, or one that found it gone.
+/// Update on an engine, sent by the VM that rolls out weights or by a VM that found the engine gone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineUpdate {
     /// The engine.
     pub engine: UpstreamId,
-    /// Its life of which this is said; unset if it is not known.
+    /// The incarnation that the update refers to; unset if unknown.
     pub born: Option<Incarnation>,
-    /// Milliseconds for which nothing should go there; zero if it takes work.
+    /// Milliseconds for which the engine should get no requests; zero if it accepts work.
     pub out_ms: u32,
-    /// Weights that it holds, once they are loaded.
+    /// The weights that it holds, once they are loaded.
     pub weights: Option<Weights>,
     /// Whether another instance was found at its address.
     pub gone: bool,
 }
 
-/// How long nothing goes to an upstream whose address another instance has: the list drops its entry
+/// How long an upstream gets no requests after another instance was found at its address. The fleet list drops its entry
 /// within that time.
-const GONE: Duration = Duration::from_secs(6);
+const GONE_PAUSE: Duration = Duration::from_secs(6);
 
 impl EngineUpdate {
-    /// An upstream whose address another instance has.
+    /// Creates an update for an engine whose address another instance has.
     pub fn gone(engine: UpstreamId, born: Option<Incarnation>) -> Self {
         Self {
             engine,
             born,
-            out_ms: clock::wire_millis(GONE),
+            out_ms: clock::wire_millis(GONE_PAUSE),
             weights: None,
             gone: true,
         }
     }
 }
 
-/// Weights that were named, for a peer.
-pub fn named(core: &Core) -> Vec<Told> {
+/// Returns the named weights, for a peer.
+pub fn named_weights(core: &Core) -> Vec<NamedWeights> {
     let now = clock::now();
     let fleet = core.fleet.lock();
-    let all = fleet.namings().all();
-    all.map(|(model, naming)| Told {
-        weights: Weights {
-            model: model.clone(),
-            version: naming.version,
-        },
-        age: Age::of(naming, now),
-    })
-    .collect()
+    let namings = fleet.namings().all();
+    namings
+        .map(|(model, naming)| NamedWeights {
+            weights: Weights {
+                model: model.clone(),
+                version: naming.version,
+            },
+            age: Age::from_naming(naming, now),
+        })
+        .collect()
 }
 
-/// Takes in named weights, from the store or a peer; whether they are newer.
+/// Applies named weights from the store or a peer; returns whether they are newer than the known ones.
 pub fn learn_weights(core: &Core, weights: &Weights, named: Named, source: &str) -> bool {
     let newer = core.fleet.lock().learn_weights(weights, named);
     if newer {
@@ -162,12 +163,17 @@
     newer
 }
 
-/// Takes in what a peer knows.
-pub fn learn(core: &Core, document: Option<Document>, weights: &[Told], from: &SmolStr) {
+/// Applies a peer's document and named weights.
+pub fn apply_state(
+    core: &Core,
+    document: Option<Document>,
+    weights: &[NamedWeights],
+    from: &SmolStr,
+) {
     if let Some(document) = document {
         core.adopt(&Arc::new(document), from);
     }
-    for told in weights {
-        learn_weights(core, &told.weights, told.age.named(), from);
+    for named in weights {
+        learn_weights(core, &named.weights, named.age.to_named(), from);
     }
 }
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -1,9 +1,9 @@
 //! The other entry VMs.
 //!
-//! Rounds of probes keep a table of who is alive ([`Members`]). Each probe and its answer carry
-//! what one side knows and the other does not: a newer document, newer weights. So a VM that the
-//! store turns away goes on with what its peers know, at the cost of one small exchange a round.
-//! News of engines that are about to load weights is pushed to all.
+//! Periodic probes maintain a membership table ([`Members`]). Each probe and its reply carry state that the other side
+//! may lack: a newer document and newer weights. A VM whose calls the store rejects thus continues with the state of
+//! its peers, at the cost of one small message exchange per round. Updates on engines that are about to load weights
+//! are broadcast to all VMs.
 
 mod client;
 mod datagrams;
@@ -37,109 +37,109 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// How long a suspected peer has to refute it; callers are not sent to it meanwhile.
-const SUSPICION: Duration = Duration::from_millis(1_500);
+/// How long a suspected peer has to refute the suspicion; callers are not sent to it in the meantime.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a roster of VMs is used: looking them up for each request costs more than placing it.
-const ROSTER: Duration = Duration::from_millis(200);
+/// How long the roster of VMs is cached: building it for each request costs more than placing the request.
+const ROSTER_TTL: Duration = Duration::from_millis(200);
 
-/// How long a dead peer is remembered.
-const MEMORY: Duration = Duration::from_secs(20);
+/// How long a dead peer stays in the membership table.
+const DEAD_PEER_RETENTION: Duration = Duration::from_secs(20);
 
-/// Peers by what is believed of them.
+/// Addresses of peers by membership status.
 #[derive(Debug, Default)]
 pub struct PeerAddrs {
-    /// Those that answer.
+    /// Peers that are alive.
     pub alive: Vec<SocketAddr>,
-    /// Those that did not answer lately.
+    /// Peers that did not answer recently.
     pub suspected: Vec<SocketAddr>,
 }
 
-/// The table of peers, shared.
+/// The membership table, shared by all tasks.
 #[derive(Debug)]
 pub struct Peers {
     me: ProcessId,
     members: Mutex<Members>,
-    /// News of engines that is still to be sent.
+    /// Updates that are still to be broadcast.
     pub outbox: Outbox,
     client: reqwest::Client,
-    /// Whether another VM has told what it knows since this process started.
-    met: watch::Sender<bool>,
+    /// Whether another VM's state has been applied since this process started.
+    peer_state_applied: watch::Sender<bool>,
     loads_port: u16,
     roster: Mutex<Roster>,
 }
 
-/// When VMs were last looked up, and which there were.
+/// When the roster was built, and its VMs.
 type Roster = (Option<Moment>, Arc<Vec<(u64, Option<SocketAddr>)>>);
 
 impl Peers {
-    /// Starts with nobody known.
+    /// Creates a table without peers.
     pub fn new(settings: &Settings) -> Self {
         let me = ProcessId {
             vm: settings.vm.clone(),
             incarnation: Incarnation(clock::unix_ms()),
         };
-        let rules = MembershipConfig {
-            suspicion: SUSPICION,
-            memory: MEMORY,
+        let config = MembershipConfig {
+            suspicion: SUSPICION_TIMEOUT,
+            memory: DEAD_PEER_RETENTION,
             indirect: 0,
         };
-        let members = Members::new(me.clone(), settings.listen.peers, rules);
+        let members = Members::new(me.clone(), settings.listen.peers, config);
         Self {
             me,
             members: Mutex::new(members),
             outbox: Outbox::default(),
             client: client::build(),
-            met: watch::channel(false).0,
+            peer_state_applied: watch::channel(false).0,
             loads_port: settings.listen.loads.port(),
             roster: Mutex::default(),
         }
     }
 
-    /// Waits until another VM has told what it knows, which has been taken in then.
+    /// Waits until another VM's state has been applied, at most for `longest`.
     pub async fn wait_for_first_peer(&self, longest: Duration) {
-        let mut met = self.met.subscribe();
-        drop(timeout(longest, met.wait_for(|met| *met)).await);
+        let mut applied = self.peer_state_applied.subscribe();
+        drop(timeout(longest, applied.wait_for(|applied| *applied)).await);
     }
 
-    /// This process.
+    /// Returns the id of this process.
     pub fn local_process(&self) -> &ProcessId {
         &self.me
     }
 
-    /// Entry VMs that there are, this one and those in doubt included.
+    /// Returns the number of entry VMs, including this one and suspected ones.
     ///
-    /// Shares of fleet-wide bounds are divided by it; one in doubt may still spend its share.
+    /// Fleet-wide bounds are divided by it; a suspected VM may still use its share.
     pub fn count(&self) -> usize {
         self.lock().peers().count() + 1
     }
 
-    /// Peers by what is believed of them.
+    /// Returns the addresses of peers by membership status.
     pub fn addrs_by_status(&self) -> PeerAddrs {
         let members = self.lock();
-        let mut known = PeerAddrs::default();
+        let mut addrs = PeerAddrs::default();
         for peer in members.peers() {
             match peer.latest.status {
-                Status::Alive => known.alive.push(peer.latest.addr),
-                Status::Suspect | Status::Dead => known.suspected.push(peer.latest.addr),
+                Status::Alive => addrs.alive.push(peer.latest.addr),
+                Status::Suspect | Status::Dead => addrs.suspected.push(peer.latest.addr),
                 Status::Leaving => {}
             }
         }
-        known
+        addrs
     }
 
-    /// VMs that answer, this one included.
+    /// Returns the VMs that are alive, including this one.
     pub fn alive(&self) -> Vec<VmId> {
         let members = self.lock();
         let others = members.alive().map(|peer| peer.latest.who.vm.clone());
         others.chain([self.me.vm.clone()]).collect()
     }
 
-    /// Numbers of the VMs that answer, with where each takes datagrams; this one has no address.
+    /// Returns the hash of each VM that is alive, with its datagram address; this VM has no address.
     pub fn roster(&self) -> Arc<Vec<(u64, Option<SocketAddr>)>> {
         let now = clock::now();
         let mut roster = self.roster.lock().unwrap_or_else(PoisonError::into_inner);
-        if roster.0.is_none_or(|at| now.since(at) >= ROSTER) {
+        if roster.0.is_none_or(|at| now.since(at) >= ROSTER_TTL) {
             let members = self.lock();
             let others = members.alive().map(|peer| {
                 let addr = SocketAddr::new(peer.latest.addr.ip(), self.loads_port);
@@ -151,41 +151,41 @@
         Arc::clone(&roster.1)
     }
 
-    /// Whether this VM is among the first `count` of those that answer, in the order of a line.
+    /// Returns whether this VM is among the first `count` alive VMs in the ranking of a key.
     ///
-    /// Duties that a few VMs have for all are given so, without a message.
-    pub fn is_among_first(&self, count: usize, line: u64) -> bool {
-        let place = |vm: &VmId| rank(line, seed(vm.as_str()));
-        let mine = place(&self.me.vm);
+    /// Assigns tasks that a few VMs perform for all, without any message.
+    pub fn is_among_first(&self, count: usize, ranking_key: u64) -> bool {
+        let rank_of = |vm: &VmId| rank(ranking_key, seed(vm.as_str()));
+        let own_rank = rank_of(&self.me.vm);
         let alive = self.alive();
-        alive.iter().filter(|vm| place(vm) > mine).count() < count
+        alive.iter().filter(|vm| rank_of(vm) > own_rank).count() < count
     }
 
-    /// Where the first VMs in the order of a line take datagrams; none for this one.
-    pub fn first_ranked(&self, count: usize, line: u64) -> Vec<Option<SocketAddr>> {
+    /// Returns the datagram addresses of the first `count` VMs in the ranking of a key; `None` stands for this VM.
+    pub fn first_ranked(&self, count: usize, ranking_key: u64) -> Vec<Option<SocketAddr>> {
         let roster = self.roster();
-        let mut order: Vec<_> = roster.iter().collect();
-        order.sort_unstable_by_key(|(vm, _)| std::cmp::Reverse(rank(line, *vm)));
-        let first = order.into_iter().take(count);
+        let mut ranked: Vec<_> = roster.iter().collect();
+        ranked.sort_unstable_by_key(|(vm, _)| std::cmp::Reverse(rank(ranking_key, *vm)));
+        let first = ranked.into_iter().take(count);
         first.map(|(_, addr)| *addr).collect()
     }
 
-    /// Where all VMs that answer take datagrams.
+    /// Returns the datagram addresses of all other VMs that are alive.
     pub fn datagram_addrs(&self) -> Vec<SocketAddr> {
         self.roster().iter().filter_map(|(_, addr)| *addr).collect()
     }
 
-    /// Takes in what a peer says of itself.
-    pub fn apply_update(&self, news: &MemberUpdate, now: Moment) {
-        self.lock().apply_update(news, now);
+    /// Applies a peer's update on itself.
+    pub fn apply_update(&self, update: &MemberUpdate, now: Moment) {
+        self.lock().apply_update(update, now);
     }
 
-    /// Takes the store's list of entry VMs.
+    /// Seeds the table with the store's list of entry VMs.
     pub fn seed_members(&self, vms: Vec<(VmId, SocketAddr)>) {
         self.lock().seed(vms);
     }
 
-    /// Says from now on that this process is about to stop.
+    /// Marks this process as leaving in all further updates.
     pub fn leave(&self) {
         self.lock().leave();
     }
@@ -198,7 +198,7 @@
         self.lock().tick(clock::now(), rng)
     }
 
-    fn me_now(&self) -> MemberUpdate {
+    fn local_update(&self) -> MemberUpdate {
         self.lock().me().clone()
     }
 }
--- a/crates/sesamegap-entry/src/peers/outbox.rs
+++ b/crates/sesamegap-entry/src/peers/outbox.rs
@@ -1,14 +1,14 @@
-//! News of engines on its way to all peers.
+//! Queue of updates to broadcast to all peers.
 
 use super::message::EngineUpdate;
 use crate::follow::Reading;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// How often each piece is sent: a lost datagram costs requests that an engine refuses.
-const REPEATS: u8 = 2;
+/// How often each engine update is sent: a lost datagram costs requests that the engine then refuses.
+const SEND_COUNT: u8 = 2;
 
-/// News that is still to be sent, and how often.
+/// Updates that are still to be sent, and how often.
 #[derive(Debug, Default)]
 pub struct Outbox {
     engines: Mutex<Vec<(EngineUpdate, u8)>>,
@@ -17,7 +17,7 @@
 }
 
 impl Outbox {
-    /// Sends with the next datagrams that a store of kept cache does not answer.
+    /// Queues a report that a kept-KV store does not respond.
     pub fn put_store(&self, store: SocketAddr) {
         let mut stores = self.stores.lock().unwrap_or_else(PoisonError::into_inner);
         if !stores.contains(&store) {
@@ -25,44 +25,44 @@
         }
     }
 
-    /// Stores that go out now.
+    /// Takes the stores to report as unavailable.
     pub fn stores(&self) -> Vec<SocketAddr> {
         let mut stores = self.stores.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut stores)
     }
 
-    /// Sends with the next datagrams what this VM has read of the store for all.
+    /// Queues a reading of the store that this VM made for all VMs.
     pub fn put_reading(&self, reading: Reading) {
         let mut readings = self.readings.lock().unwrap_or_else(PoisonError::into_inner);
         readings.push(reading);
     }
 
-    /// What was read and goes out now.
+    /// Takes the readings to broadcast.
     pub fn readings(&self) -> Vec<Reading> {
         let mut readings = self.readings.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut readings)
     }
 
-    /// Sends a piece with the next datagrams, in place of an older one of the same engine.
-    pub fn put(&self, news: EngineUpdate) {
-        let mut pieces = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
-        pieces.retain(|(old, _)| old.engine != news.engine);
-        pieces.push((news, REPEATS));
+    /// Queues an engine update; it replaces an older one of the same engine.
+    pub fn put(&self, update: EngineUpdate) {
+        let mut engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
+        engines.retain(|(old, _)| old.engine != update.engine);
+        engines.push((update, SEND_COUNT));
     }
 
-    /// What goes out now.
+    /// Takes the engine updates to broadcast.
     pub fn take(&self) -> Vec<EngineUpdate> {
-        let mut pieces = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
-        take_repeated(&mut pieces)
+        let mut engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
+        take_repeated(&mut engines)
     }
 }
 
-/// Pieces that go out now, each as often as its number says.
-pub fn take_repeated<T: Clone>(pieces: &mut Vec<(T, u8)>) -> Vec<T> {
-    let now = pieces.iter().map(|(piece, _)| piece.clone()).collect();
-    for (_, left) in pieces.iter_mut() {
+/// Returns the items to send now and decrements the number of sends left of each; drops items with none left.
+pub fn take_repeated<T: Clone>(items: &mut Vec<(T, u8)>) -> Vec<T> {
+    let due = items.iter().map(|(item, _)| item.clone()).collect();
+    for (_, left) in items.iter_mut() {
         *left -= 1;
     }
-    pieces.retain(|(_, left)| *left > 0);
-    now
+    items.retain(|(_, left)| *left > 0);
+    due
 }
--- a/crates/sesamegap-entry/src/peers/server.rs
+++ b/crates/sesamegap-entry/src/peers/server.rs
@@ -1,6 +1,6 @@
-//! What peers may ask of this process.
+//! HTTP endpoints for peers.
 
-use super::message::{Hello, Welcome, learn, named};
+use super::message::{Hello, HelloReply, apply_state, named_weights};
 use crate::clock;
 use crate::core::Core;
 use poem::http::StatusCode;
@@ -11,45 +11,45 @@
 use smol_str::ToSmolStr;
 use std::sync::Arc;
 
-/// Bytes of a message taken; a document with thousands of routes is under a megabyte.
-const LONGEST: usize = 4 << 20;
+/// Largest accepted message, in bytes; a document with thousands of routes is under a megabyte.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// The endpoints for peers.
+/// Returns the endpoints for peers.
 pub fn endpoints(core: Arc<Core>) -> impl IntoEndpoint {
     Route::new().at("/peers/hello", post(hello)).data(core)
 }
 
 #[handler]
 async fn hello(core: Data<&Arc<Core>>, body: Body) -> poem::Result<Vec<u8>> {
-    let hello: Hello = read(body).await?;
+    let hello: Hello = decode(body).await?;
     let now = clock::now();
     let source = hello.me.who.vm.to_smolstr();
-    let (me, news) = {
+    let (me, updates) = {
         let mut members = core.peers.lock();
         members.apply_update(&hello.me, now);
-        members.apply_updates(&hello.news, now);
+        members.apply_updates(&hello.updates, now);
         (members.me().clone(), members.select_updates())
     };
-    learn(&core, None, &hello.weights, &source);
+    apply_state(&core, None, &hello.weights, &source);
     let catalogue = core.catalogue();
     let newer = catalogue.filter(|catalogue| catalogue.revision() > hello.revision);
-    let welcome = Welcome {
+    let reply = HelloReply {
         me,
-        news,
+        updates,
         revision: core.revision(),
         document: newer.map(|catalogue| catalogue.document().as_ref().clone()),
-        weights: named(&core),
+        weights: named_weights(&core),
     };
-    write(&welcome)
+    encode(&reply)
 }
 
-async fn read<T: DeserializeOwned>(body: Body) -> poem::Result<T> {
-    let bytes = body.into_bytes_limit(LONGEST).await?;
+async fn decode<T: DeserializeOwned>(body: Body) -> poem::Result<T> {
+    let bytes = body.into_bytes_limit(MAX_MESSAGE_BYTES).await?;
     rmp_serde::from_slice(&bytes)
         .map_err(|error| poem::Error::from_string(error.to_string(), StatusCode::BAD_REQUEST))
 }
 
-fn write<T: Serialize>(message: &T) -> poem::Result<Vec<u8>> {
+fn encode<T: Serialize>(message: &T) -> poem::Result<Vec<u8>> {
     rmp_serde::to_vec(message).map_err(|error| {
         poem::Error::from_string(error.to_string(), StatusCode::INTERNAL_SERVER_ERROR)
     })
