--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -82,7 +82,7 @@
 }
 
 /// Encodes a message to or from the owner of a shard, if it can be sent.
-pub fn placing(say: Say) -> Option<Vec<u8>> {
+pub fn encode_placing(say: Say) -> Option<Vec<u8>> {
     Datagram::Placing(say).encode()
 }
 
--- a/crates/sesamegap-entry/src/placing/desk.rs
+++ b/crates/sesamegap-entry/src/placing/desk.rs
@@ -161,7 +161,7 @@
     /// Sends a message, if there is a socket and the link takes it.
     pub async fn send(&self, say: Say, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
-            && let Some(bytes) = peers::placing(say)
+            && let Some(bytes) = peers::encode_placing(say)
         {
             // Whoever asks waits for an answer and no longer; other words are made up for by time.
             drop(socket.send_to(&bytes, to).await);
