--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -87,7 +87,7 @@
 }
 
 /// Encodes a quarantine message, if it can be sent.
-pub fn quarantine(message: quarantine::Message) -> Option<Vec<u8>> {
+pub fn encode_quarantine(message: quarantine::Message) -> Option<Vec<u8>> {
     Datagram::Quarantine(message).encode()
 }
 
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -14,8 +14,8 @@
 
 pub use client::{broadcast_state, run_probes};
 pub use datagrams::{
-    apply_engine_updates, broadcast_engine_update, broadcast_store_unavailable, placing,
-    quarantine, run_datagrams,
+    apply_engine_updates, broadcast_engine_update, broadcast_store_unavailable, encode_placing,
+    encode_quarantine, run_datagrams,
 };
 pub use loads::{Loads, UpstreamLoad};
 pub use message::{EngineUpdate, learn_weights};
--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -183,7 +183,7 @@
     /// Sends a message, if there is a socket and the link takes it.
     pub(super) async fn send(&self, message: Message, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
-            && let Some(bytes) = peers::quarantine(message)
+            && let Some(bytes) = peers::encode_quarantine(message)
         {
             // What is lost is sent again.
             drop(socket.send_to(&bytes, to).await);
