--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -205,7 +205,7 @@
 
 /// A named part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Its name, the same for all who share it.
     pub name: SmolStr,
     /// Its length.
@@ -224,7 +224,7 @@
     /// The model it asks for.
     pub model: Option<SmolStr>,
     /// The parts of its prompt, in order; the last one is its own.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// What the process tells an upstream with a request.
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -6,7 +6,7 @@
 use http::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use sesamegap_entry::ports::{
     AnswerHead, CacheUpdate, Dispatch, EngineCall, Engines, Headers, InvalidHeader, LoadOrder,
-    OrderAnswer, Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreCall,
+    OrderAnswer, Ports, PromptPart, Record, Records, Reply, Report, RequestHead, Store, StoreCall,
     StoreError, Table, Weights,
 };
 use sesamegap_policy::agreement::timelines::ReportedTimeline;
@@ -50,7 +50,7 @@
             key: text(headers, &AUTHORIZATION),
             model: text(headers, &MODEL),
             parts: parts
-                .map(|name| Part {
+                .map(|name| PromptPart {
                     name: name.into(),
                     tokens: Tokens(500),
                 })
