--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -85,7 +85,7 @@
             return Err(refused(refusal));
         }
     };
-    let patience = asked.patience.unwrap_or(route.timeout);
+    let patience = asked.timeout.unwrap_or(route.timeout);
     let ends = arrived + patience.min(route.timeout);
     let body = read(core, body, ends).await.map_err(refused)?;
     Ok(Job {
--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -218,7 +218,7 @@
     /// The attempt's id.
     pub id: SmolStr,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key that it shows.
     pub key: Option<SmolStr>,
     /// The model it asks for.
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -44,7 +44,7 @@
         let parts = parts.split(',').filter(|name| !name.is_empty());
         Ok(RequestHead {
             id: text(headers, &ID).ok_or(InvalidHeader("no id"))?,
-            patience: text(headers, &HeaderName::from_static("x-patience"))
+            timeout: text(headers, &HeaderName::from_static("x-patience"))
                 .and_then(|ms| ms.parse().ok())
                 .map(Duration::from_millis),
             key: text(headers, &AUTHORIZATION),
