--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -232,7 +232,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Dispatch {
     /// Time left until the caller's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The intended upstream instance.
     pub upstream: Option<UpstreamId>,
     /// The team of the caller.
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -115,7 +115,7 @@
         overtaken_ms = flight.overtaken().map(|at| clock::millis(clock::now().since(at))),
         fetch = dispatch.fetch.map(tracing::field::display),
         save = dispatch.save.map(tracing::field::display),
-        left_ms = clock::millis(dispatch.left),
+        left_ms = clock::millis(dispatch.time_left),
         "sent"
     );
     let request = match build(core, job, &dispatch) {
@@ -242,7 +242,7 @@
         Transfer::default()
     };
     Dispatch {
-        left: job.left(),
+        time_left: job.left(),
         upstream: Some(flight.id.clone()),
         team: job.team.as_ref().map(|team| team.name.clone()),
         namespace: is_prompt.then_some(namespace),
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -72,7 +72,7 @@
                 headers.insert(name, HeaderValue::from_str(&value).unwrap());
             }
         };
-        set(&LEFT, Some(told.left.as_millis().to_string()));
+        set(&LEFT, Some(told.time_left.as_millis().to_string()));
         set(&MEANT, told.upstream.as_ref().map(ToString::to_string));
         set(&TEAM, told.team.as_ref().map(ToString::to_string));
         set(&SPACE, told.namespace.as_ref().map(ToString::to_string));
