--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -1,4 +1,4 @@
-//! What VMs know of fetches that are on their way from a store of kept cache.
+//! Accounting of tokens in flight from a kept-KV store.
 
 use crate::support::Process;
 use sesamegap_entry::clock;
@@ -7,17 +7,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Tokens that the store's link carries in a millisecond.
+/// Tokens that the store's link carries per millisecond.
 const PER_MS: u64 = 277;
 
 fn store() -> SocketAddr {
     "127.0.0.1:8207".parse().unwrap()
 }
 
-/// A caller leaves, or its prompt was read. What it had asked of the store must not count for ever, or all prompts would
-/// soon be kept from a store that is idle.
+/// Guards against tokens that stay counted after the caller disconnected or the prompt was read. Soon no prompt would be
+/// fetched from a store that is idle.
 #[tokio::test]
-async fn a_fetch_that_is_over_counts_no_longer() {
+async fn a_finished_fetch_is_not_counted_any_more() {
     let process = Process::new().await;
     let fleet = &process.core.fleet;
     let first = InFlightTokens::new(fleet, store(), 6_300);
@@ -29,26 +29,27 @@
     assert_eq!(fleet.lock().on_way(store(), PER_MS), 0);
 }
 
-/// Eighty VMs tell each other by turns, and the word that a fetch has arrived comes seconds after it. Taken at their word,
-/// a store whose link is idle would seem to have half a second of work before it.
+/// Guards against outdated load reports counted in full. With about eighty VMs, each VM reports to the others in turn, and
+/// the report that a fetch has finished arrives seconds later: an idle link would appear to have half a second of
+/// work queued.
 #[test]
-fn an_old_word_of_a_fetch_fades_as_the_link_delivers() {
+fn an_old_fetch_report_decays_at_the_rate_of_the_link() {
     let mut loads = Loads::default();
-    let told = clock::now();
+    let reported_at = clock::now();
     for vm in 0..85 {
-        let held = UpstreamLoad {
+        let load = UpstreamLoad {
             life: load_key(store()),
             running: 0,
             unread: 2_000,
         };
         let vm = format!("vm-{vm}").parse().unwrap();
-        loads.record(vm, vec![held], told);
+        loads.record(vm, vec![load], reported_at);
     }
-    let on_way = |loads: &mut Loads, ms| {
-        loads.tick(told + Duration::from_millis(ms));
+    let in_flight = |loads: &mut Loads, ms| {
+        loads.tick(reported_at + Duration::from_millis(ms));
         loads.in_flight_tokens(load_key(store()), PER_MS)
     };
-    assert_eq!(on_way(&mut loads, 100), 170_000);
-    assert_eq!(on_way(&mut loads, 700), 170_000 - 300 * PER_MS);
-    assert_eq!(on_way(&mut loads, 1_200), 0);
+    assert_eq!(in_flight(&mut loads, 100), 170_000);
+    assert_eq!(in_flight(&mut loads, 700), 170_000 - 300 * PER_MS);
+    assert_eq!(in_flight(&mut loads, 1_200), 0);
 }
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An entry VM of which only the peers' side runs.
+/// Starts an entry VM that runs only the exchange with peers.
 async fn vm(name: &str, seeds: Vec<SocketAddr>) -> Arc<Core> {
     let platform = Arc::new(Platform::default());
-    // Bound before it is named: a port that is free for a moment may be taken by any connection of the machine.
+    // Bind before advertising the address: any connection on the machine may take a port that is merely free.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut settings = settings(name, seeds);
     settings.listen.peers = listener.local_addr().unwrap();
@@ -32,10 +32,10 @@
     fleet.namings().newest_of("m").map(|naming| naming.version)
 }
 
-/// The store turns some VMs away while the operator takes a key back. They would go on serving it
-/// unless those that the store answers pass the news on.
+/// Guards against VMs that keep accepting a revoked key while the store rejects their calls. The other VMs must pass on the
+/// new document and weights.
 #[tokio::test]
-async fn a_document_and_weights_reach_a_vm_that_the_store_turns_away() {
+async fn a_document_and_weights_reach_a_vm_that_the_store_rejects() {
     let one = vm("vm-1", Vec::new()).await;
     let seed = one.settings().listen.peers;
     let two = vm("vm-2", vec![seed]).await;
@@ -53,9 +53,9 @@
     until(|| newest(&three) == Some(WeightsVersion(2))).await;
 }
 
-/// A VM says that it stops. Callers must not be sent to it any more.
+/// Guards against callers being sent to a VM that announced its shutdown.
 #[tokio::test]
-async fn a_peer_that_leaves_is_no_longer_named() {
+async fn a_leaving_peer_is_not_offered_to_callers() {
     let one = vm("vm-1", Vec::new()).await;
     let two = vm("vm-2", vec![one.settings().listen.peers]).await;
     until(|| one.peers.addrs_by_status().alive.len() == 1).await;
@@ -64,10 +64,9 @@
     until(|| one.peers.addrs_by_status().alive.is_empty()).await;
 }
 
-/// One VM is about to load weights on many engines. Others that do not know would send requests
-/// there, and each would be refused.
+/// Guards against requests to engines on which another VM is about to load weights: each would be refused.
 #[tokio::test]
-async fn engines_that_are_out_are_known_to_all_vms_within_a_moment() {
+async fn engine_updates_pause_engines_on_other_vms() {
     let count = 40;
     let one = vm("vm-1", Vec::new()).await;
     let two = vm("vm-2", vec![one.settings().listen.peers]).await;
@@ -83,8 +82,8 @@
             .apply(&engine(no), entry, offset(0), sesamegap_entry::clock::now());
     }
     until(|| one.peers.addrs_by_status().alive.len() == 1).await;
-    // Both listen on one machine here, so each has a port of its own and one answers the other's.
-    let news = |no| peers::EngineUpdate {
+    // Both VMs run on one machine with different datagram ports, so the updates are applied directly.
+    let update = |no| peers::EngineUpdate {
         born: None,
         engine: engine(no),
         out_ms: 60_000,
@@ -92,7 +91,7 @@
         gone: false,
     };
     for no in 0..count {
-        one.peers.outbox.put(news(no));
+        one.peers.outbox.put(update(no));
     }
     let sent = one.peers.outbox.take();
     assert_eq!(sent.len(), usize::try_from(count).unwrap());
@@ -100,15 +99,19 @@
     let now = sesamegap_entry::clock::now();
     let fleet = two.fleet.lock();
     assert!(fleet.upstreams().all(|up| up.is_paused(now)));
-    assert_eq!(one.peers.outbox.take().len(), sent.len(), "said twice");
+    assert_eq!(
+        one.peers.outbox.take().len(),
+        sent.len(),
+        "each update is sent twice"
+    );
     assert!(one.peers.outbox.take().is_empty());
 }
 
-/// VMs are brought to a new release one after another. Those of the one before tell of weights with two values each, and
-/// their probes are turned away as unreadable: each half of the fleet takes the other for dead once weights
-/// were named, and neither tells the other of documents and weights.
+/// Guards against probes of the previous release that cannot be decoded, because it encodes named weights as two values
+/// each. During a rolling upgrade, each half of the fleet would consider the other dead once weights were named, and
+/// documents and weights would not pass between the halves.
 #[tokio::test]
-async fn a_vm_of_the_release_before_is_still_heard() {
+async fn a_probe_of_the_previous_release_is_accepted() {
     use sesamegap_policy::agreement::ProcessId;
     use sesamegap_policy::agreement::membership::{MemberUpdate, Status};
     let newer = vm("new-1", Vec::new()).await;
@@ -125,8 +128,8 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let none: Vec<MemberUpdate> = Vec::new();
-    let hello = (me, none, Revision(1), vec![(weights, 500_u64)]);
+    let no_updates: Vec<MemberUpdate> = Vec::new();
+    let hello = (me, no_updates, Revision(1), vec![(weights, 500_u64)]);
     let addr = newer.settings().listen.peers;
     let answer = reqwest::Client::new()
         .post(format!("http://{addr}/peers/hello"))
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -1,4 +1,4 @@
-//! A store that was restored from an older copy, and VMs that go on.
+//! VMs that keep running while the store is restored from an older backup.
 
 use crate::support::{Platform, StandinEngine, document, entry, settings, until, unused};
 use sesamegap_entry::catalogue::{Document, Revision};
@@ -20,7 +20,7 @@
     Arc::new(core.unwrap())
 }
 
-/// A platform whose store states its timeline and holds these records.
+/// Creates a platform whose store reports its timeline and holds these records.
 fn platform(records: Vec<Record>) -> Arc<Platform> {
     let platform = Arc::new(Platform::default());
     platform.restore(records, 0);
@@ -48,21 +48,21 @@
     fleet.upstreams().map(|up| up.id.clone()).collect()
 }
 
-/// Guards against a VM that reads on past the new end and never learns of the records that took the place of its own.
+/// Guards against a VM that continues to read at its old offset and misses the records that replaced the lost ones.
 #[tokio::test]
-async fn records_that_took_the_place_of_lost_ones_are_read() {
+async fn records_that_replaced_lost_ones_are_read() {
     let platform = platform(vec![worker(1, 1), worker(2, 1)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Fleet));
     until(|| known(&core) == [id(1), id(2)]).await;
-    let held = [worker(1, 1), worker(3, 1), worker(2, 2), worker(4, 1)];
-    platform.restore(held.to_vec(), 0);
+    let restored = [worker(1, 1), worker(3, 1), worker(2, 2), worker(4, 1)];
+    platform.restore(restored.to_vec(), 0);
     until(|| known(&core) == [id(1), id(2), id(3), id(4)]).await;
 }
 
-/// Guards against workers that get no requests because the copy is older than their entry.
+/// Guards against workers that get no requests because the backup is older than their entry.
 #[tokio::test]
-async fn a_worker_that_the_copy_lacks_goes_on_serving() {
+async fn a_worker_missing_from_the_backup_stays_in_use() {
     let platform = platform(vec![worker(1, 1), worker(2, 5)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Fleet));
@@ -77,16 +77,16 @@
     .await;
     platform.records.lock().unwrap().push(worker(2, 5));
     let bound = core.settings().durations.lapse + Duration::from_millis(1_500);
-    let ends = clock::now() + bound;
-    while clock::now() < ends {
+    let deadline = clock::now() + bound;
+    while clock::now() < deadline {
         assert_eq!(known(&core).len(), 2);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Guards against a document that reverts to the copy's.
+/// Guards against a document that is reverted to the older one of the backup.
 #[tokio::test]
-async fn a_document_stays_in_force_over_an_older_copy() {
+async fn a_document_is_not_reverted_by_an_older_backup() {
     let platform = platform(vec![published(5)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
@@ -103,9 +103,9 @@
     until(|| core.revision() == Revision(6)).await;
 }
 
-/// Guards against a VM that starts after the restoration and serves a document with keys that were taken away since.
+/// Guards against a VM that starts after the restore and serves a document with keys that have been revoked since.
 #[tokio::test]
-async fn a_vm_that_starts_serves_no_older_document_than_its_peers() {
+async fn a_starting_vm_serves_no_older_document_than_its_peers() {
     let platform = platform(vec![published(3)]);
     let one = vm(&platform, "vm-1", Vec::new());
     one.adopt(&Arc::new(document(5)), "test");
@@ -126,9 +126,9 @@
     assert_eq!(seen, [Revision(5)]);
 }
 
-/// Guards against a VM that never starts to serve because nobody answers it.
+/// Guards against a VM that never starts to serve because no peer responds.
 #[tokio::test]
-async fn a_vm_that_starts_alone_takes_the_stores_document() {
+async fn a_starting_vm_without_peers_uses_the_stores_document() {
     let platform = platform(vec![published(3)]);
     let core = vm(&platform, "vm-1", vec![unused()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
@@ -136,23 +136,26 @@
     until(|| core.revision() == Revision(3)).await;
 }
 
-/// Guards against callers that wait or are refused while a VM that lost power with all others waits for their word.
+/// Guards against callers that wait or are refused while a VM waits for its peers after all VMs lost power together.
 #[tokio::test]
-async fn a_vm_does_not_wait_for_vms_that_are_dark() {
+async fn a_vm_does_not_wait_for_unresponsive_vms() {
     let platform = platform(vec![published(3)]);
-    // Takes connections and never answers.
-    let dark = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let core = vm(&platform, "vm-1", vec![dark.local_addr().unwrap()]);
+    // Accepts connections and never responds.
+    let unresponsive = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let core = vm(&platform, "vm-1", vec![unresponsive.local_addr().unwrap()]);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    let rounds = peers::run_probes(Arc::clone(&core));
+    let probes = peers::run_probes(Arc::clone(&core));
     let served = until(|| core.revision() == Revision(3));
     tokio::select! {
-        () = rounds => panic!("rounds go on"),
+        () = probes => panic!("the probes must not end"),
         () = served => {}
     }
     assert!(core.peers.addrs_by_status().alive.is_empty());
-    let asked = tokio::time::timeout(Duration::ZERO, dark.accept()).await;
-    assert!(asked.is_ok(), "it was asked and has not answered");
+    let contacted = tokio::time::timeout(Duration::ZERO, unresponsive.accept()).await;
+    assert!(
+        contacted.is_ok(),
+        "the VM must have contacted the unresponsive one"
+    );
 }
 
 async fn serve_peers(core: &Arc<Core>) {
@@ -164,9 +167,9 @@
     tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(endpoints));
 }
 
-/// Guards against VMs that new ones cannot find any more.
+/// Guards against VMs that new VMs cannot find after a restore.
 #[tokio::test]
-async fn a_vm_writes_its_own_entry_again() {
+async fn a_vm_rewrites_its_own_entry() {
     let platform = platform(Vec::new());
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow::vms(Arc::clone(&core)));
@@ -176,14 +179,14 @@
     };
     until(written(1)).await;
     platform.restore(Vec::new(), 0);
-    // Any call shows it; the table of VMs itself is read seldom.
+    // Any call reveals the new timeline; the table of VMs itself is read rarely.
     drop(core.store.snapshot(Table::Fleet).await);
     until(written(2)).await;
 }
 
-/// Guards against orders that engines refuse, or take for older ones, since offsets begin again.
+/// Guards against orders that engines refuse or consider outdated because offsets start again.
 #[tokio::test]
-async fn fencing_numbers_rise_although_offsets_go_back() {
+async fn fencing_tokens_increase_although_offsets_go_back() {
     let platform = platform(Vec::new());
     let core = vm(&platform, "vm-1", Vec::new());
     {
@@ -211,7 +214,7 @@
         })
         .await;
         platform.restore(Vec::new(), 0);
-        // Any call shows it.
+        // Any call reveals the new timeline.
         drop(core.store.snapshot(Table::Fleet).await);
     }
     let engines = platform.engines.lock().unwrap();
@@ -221,9 +224,9 @@
     }
 }
 
-/// Guards against a claim made on offsets of before the restoration that passes for one on those of after it.
+/// Guards against a lease claim at an offset from before the restore that is taken for one at an offset from after it.
 #[tokio::test]
-async fn an_append_across_a_restoration_is_not_taken_for_done() {
+async fn an_append_across_a_restore_is_not_reported_as_done() {
     let platform = platform(Vec::new());
     let core = vm(&platform, "vm-1", Vec::new());
     let (_, end) = core
@@ -234,37 +237,37 @@
     assert_eq!(
         end,
         LogPosition::default(),
-        "its first answer showed the timeline"
+        "the first reply reveals the timeline"
     );
     let start = LogPosition::new(Timeline(1), Offset(0));
     let (_, end) = core.store.lease_records(start).await.unwrap();
     platform.restore(Vec::new(), 0);
-    let done = core
+    let appended = core
         .store
         .lease_append(bytes::Bytes::from_static(b"x"), end)
         .await;
-    assert_eq!(done, Err(StoreError::Restored(Timeline(2))));
+    assert_eq!(appended, Err(StoreError::Restored(Timeline(2))));
     assert_eq!(core.store.timeline(), Timeline(2));
 }
 
-/// Guards against views that go back to a former timeline by an answer that was held up.
+/// Guards against a delayed reply that moves the client back to an earlier timeline.
 #[tokio::test]
-async fn an_answer_of_a_former_timeline_changes_nothing() {
+async fn a_reply_from_an_earlier_timeline_is_discarded() {
     let platform = platform(vec![worker(1, 1)]);
     platform.restore(vec![worker(1, 1)], 0);
     let core = vm(&platform, "vm-1", Vec::new());
     core.store.snapshot(Table::Fleet).await.unwrap();
-    for stated in [Some(Timeline(1)), None] {
-        *platform.timeline.lock().unwrap() = stated;
+    for reported in [Some(Timeline(1)), None] {
+        *platform.timeline.lock().unwrap() = reported;
         let read = core.store.snapshot(Table::Fleet).await;
         assert!(matches!(read, Err(StoreError::OffTimeline(_))), "{read:?}");
         assert_eq!(core.store.timeline(), Timeline(2));
     }
 }
 
-/// Guards against a document that is compared by where it lies and not by its revision.
+/// Guards against comparing documents by their log position instead of their revision.
 #[tokio::test]
-async fn the_same_document_written_again_changes_nothing() {
+async fn a_rewritten_document_of_the_same_revision_changes_nothing() {
     let platform = platform(vec![published(5)]);
     let core = vm(&platform, "vm-1", Vec::new());
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
@@ -272,12 +275,12 @@
     let catalogue = core.catalogue().unwrap();
     platform.restore(Vec::new(), 0);
     until(|| core.store.timeline() == Timeline(2)).await;
-    let again: Arc<Document> = Arc::new(document(5));
+    let rewritten: Arc<Document> = Arc::new(document(5));
     platform
         .records
         .lock()
         .unwrap()
-        .push(Record::Document(again));
+        .push(Record::Document(rewritten));
     until(|| {
         let next = core.known(Table::Settings).position().next();
         next == Some(LogPosition::new(Timeline(2), Offset(1)))
