--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns how far this VM has read a table of the store.
-    pub fn known(&self, table: Table) -> &Known {
+    pub fn table_progress(&self, table: Table) -> &Known {
         &self.tables[table as usize]
     }
 
--- a/crates/sesamegap-entry/src/follow/apply.rs
+++ b/crates/sesamegap-entry/src/follow/apply.rs
@@ -101,7 +101,7 @@
 /// Logs a record that cannot be read, unless the same was logged before.
 pub fn report(core: &Core, record: &Unreadable) {
     if !core
-        .known(record.table)
+        .table_progress(record.table)
         .reports()
         .is_due(record, clock::now())
     {
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -84,7 +84,7 @@
             Err(StoreError::Restored(_)) => {}
             Err(StoreError::Compacted(first)) => {
                 info!(event = events::COMPACTED, table = ?table, first = first.0, "records are gone; reading the newest of each key");
-                core.known(table).position().require_full_read();
+                core.table_progress(table).position().require_full_read();
             }
             Err(error) => {
                 if !lost {
@@ -122,7 +122,7 @@
 
 /// Waits while other VMs' words on a table may come; false if this VM must read for itself.
 async fn wait_for_word(core: &Core, table: Table) -> bool {
-    let known = core.known(table);
+    let known = core.table_progress(table);
     let left = {
         let mut position = known.position();
         position.renew(clock::now());
@@ -141,7 +141,7 @@
 
 /// Sleeps, but no longer than a table's positions are of the store's present timeline.
 async fn sleep_on(core: &Core, table: Table, time: Duration) {
-    let Some(next) = core.known(table).position().next() else {
+    let Some(next) = core.table_progress(table).position().next() else {
         return;
     };
     let mut timelines = core.store.subscribe_timeline();
@@ -150,18 +150,18 @@
 
 /// Whether what is known of a table was read before the store was restored.
 fn is_former(core: &Core, table: Table) -> bool {
-    let next = core.known(table).position().next();
+    let next = core.table_progress(table).position().next();
     next.is_some_and(|next| next.timeline < core.store.timeline())
 }
 
 /// Has a table read anew from a store that was restored; what is known of it stays in use meanwhile.
 fn begin_again(core: &Core, table: Table) {
     core.fleet.lock().store_restored(clock::now());
-    core.known(table).position().require_full_read();
+    core.table_progress(table).position().require_full_read();
 }
 
 async fn step(core: &Core, table: Table, restored: &mut Option<Moment>) -> Result<(), StoreError> {
-    let known = core.known(table);
+    let known = core.table_progress(table);
     let asked = clock::now();
     let (next, complete) = {
         let position = known.position();
--- a/crates/sesamegap-entry/src/follow/readings.rs
+++ b/crates/sesamegap-entry/src/follow/readings.rs
@@ -102,7 +102,7 @@
 /// Takes in what another VM has read.
 pub fn hear(core: &Core, reading: Reading) {
     let now = clock::now();
-    let known = core.known(reading.table);
+    let known = core.table_progress(reading.table);
     let span = Span {
         from: reading.from,
         next: reading.next,
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -22,7 +22,7 @@
         Logging::none(),
     );
     let core = Arc::new(core.unwrap());
-    let position = core.known(Table::Fleet);
+    let position = core.table_progress(Table::Fleet);
     position.position().read(offset(0), clock::now());
     core
 }
@@ -48,7 +48,9 @@
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
     let reading = take(core, Table::Fleet, offset(from), Batch { records, next });
-    core.known(Table::Fleet).position().read(next, clock::now());
+    core.table_progress(Table::Fleet)
+        .position()
+        .read(next, clock::now());
     reading
 }
 
@@ -85,7 +87,7 @@
     hear(&second, word);
     let word = read(&second, 0, vec![listed(1)]);
     hear(&hearer, word);
-    let read_up_to = hearer.known(Table::Fleet).position().next();
+    let read_up_to = hearer.table_progress(Table::Fleet).position().next();
     assert!(
         knows(&hearer) || read_up_to == Some(offset(0)),
         "it must know the worker or read for itself"
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -56,7 +56,7 @@
 fn a_malformed_entry_over_a_sound_one_takes_the_upstream_out_until_its_next_heartbeat() {
     let (reader, hearer) = (vm(), vm());
     hearer
-        .known(Table::Fleet)
+        .table_progress(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
     let words = [
@@ -88,7 +88,7 @@
     let (one, two, hearer) = (vm(), vm(), vm());
     let mut words = Vec::new();
     for core in [&one, &two, &hearer] {
-        core.known(Table::Fleet)
+        core.table_progress(Table::Fleet)
             .position()
             .read(offset(1), clock::now());
         read(core, 0, vec![sound(1, 5)]);
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -62,7 +62,13 @@
     let core = Core::new(settings, platform.ports(), Logging::none()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    until(|| core.known(Table::Settings).position().next().is_some()).await;
+    until(|| {
+        core.table_progress(Table::Settings)
+            .position()
+            .next()
+            .is_some()
+    })
+    .await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let weights = Weights {
         model: "m".into(),
@@ -92,7 +98,7 @@
         }
     };
     hearer
-        .known(Table::Fleet)
+        .table_progress(Table::Fleet)
         .position()
         .read(offset(4), clock::now());
     let new = take(
@@ -109,7 +115,7 @@
     reader.peers.outbox.put_reading(leaving);
     until(|| leaves(&hearer)).await;
     assert_eq!(
-        hearer.known(Table::Fleet).position().next(),
+        hearer.table_progress(Table::Fleet).position().next(),
         Some(offset(7))
     );
 }
@@ -120,7 +126,7 @@
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _guard = runtime.enter();
     let core = vm("vm-1", "127.0.0.1", unused().port());
-    core.known(Table::Fleet)
+    core.table_progress(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
     let word = |from: u64, next: u64, record: Record| {
@@ -156,7 +162,10 @@
     hear(&core, first);
     hear(&core, gone);
     assert!(core.fleet.lock().get(&worker()).is_none());
-    assert_eq!(core.known(Table::Fleet).position().next(), Some(offset(9)));
+    assert_eq!(
+        core.table_progress(Table::Fleet).position().next(),
+        Some(offset(9))
+    );
 }
 
 /// The store of kept cache is down. Every prompt that asks it would wait for a tenth of a second or
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -94,7 +94,7 @@
     platform.restore(vec![published(3)], 0);
     until(|| core.store.timeline() == Timeline(2)).await;
     until(|| {
-        let next = core.known(Table::Settings).position().next();
+        let next = core.table_progress(Table::Settings).position().next();
         next.is_some_and(|next| next.timeline == Timeline(2))
     })
     .await;
@@ -120,7 +120,10 @@
         if revision != Revision::default() && !seen.contains(&revision) {
             seen.push(revision);
         }
-        two.known(Table::Settings).position().next().is_some()
+        two.table_progress(Table::Settings)
+            .position()
+            .next()
+            .is_some()
     })
     .await;
     assert_eq!(seen, [Revision(5)]);
@@ -282,7 +285,7 @@
         .unwrap()
         .push(Record::Document(rewritten));
     until(|| {
-        let next = core.known(Table::Settings).position().next();
+        let next = core.table_progress(Table::Settings).position().next();
         next == Some(LogPosition::new(Timeline(2), Offset(1)))
     })
     .await;
