--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::kept::KvStoreStates;
 use crate::peers::Loads;
-use crate::ports::{Report, Weights};
+use crate::ports::{EngineReport, Weights};
 use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::belief::{
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
@@ -235,7 +235,7 @@
     }
 
     /// Takes in an engine's report of itself.
-    pub fn reported(&mut self, id: &UpstreamId, report: &Report) -> Change {
+    pub fn reported(&mut self, id: &UpstreamId, report: &EngineReport) -> Change {
         let change = self.met(id, report.born);
         if change == Change::Restarted
             && let Some(engine) = self.upstreams.get_mut(id)
--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -306,7 +306,7 @@
 
 /// State that an engine reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Report {
+pub struct EngineReport {
     /// Weights that it holds.
     pub weights: Vec<Weights>,
     /// Whether the engine is carrying out an order.
@@ -373,7 +373,7 @@
 /// Queries engines and gives them orders.
 pub trait Engines: fmt::Debug + Send + Sync {
     /// Queries the state of an engine.
-    fn report(&self, addr: SocketAddr) -> EngineCall<'_, Report>;
+    fn report(&self, addr: SocketAddr) -> EngineCall<'_, EngineReport>;
 
     /// Polls a cache for changes of its contents; waits at most `wait`.
     fn cache_update(
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -7,7 +7,7 @@
 use crate::core::Core;
 use crate::fleet::{Change, Upstream};
 use crate::peers::{EngineUpdate, broadcast_engine_update};
-use crate::ports::{LoadOrder, OrderAnswer, Report, Running, Weights};
+use crate::ports::{EngineReport, LoadOrder, OrderAnswer, Running, Weights};
 use crate::telemetry::events;
 use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Fence, Moment};
@@ -312,7 +312,7 @@
     Loading::Failed
 }
 
-fn holds(report: &Report, target: &Behind) -> bool {
+fn holds(report: &EngineReport, target: &Behind) -> bool {
     let held = report.weights.iter().find(|w| w.model == target.model);
     !report.busy && held.is_some_and(|held| held.version >= target.version)
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -5,9 +5,9 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use sesamegap_entry::ports::{
-    AnswerHead, CacheUpdate, Dispatch, EngineCall, Engines, Headers, InvalidHeader, LoadOrder,
-    OrderAnswer, Ports, PromptPart, Record, Records, Reply, Report, RequestHead, Store, StoreCall,
-    StoreError, Table, Weights,
+    AnswerHead, CacheUpdate, Dispatch, EngineCall, EngineReport, Engines, Headers, InvalidHeader,
+    LoadOrder, OrderAnswer, Ports, PromptPart, Record, Records, Reply, RequestHead, Store,
+    StoreCall, StoreError, Table, Weights,
 };
 use sesamegap_policy::agreement::timelines::ReportedTimeline;
 use sesamegap_policy::quarantine;
@@ -344,10 +344,10 @@
 }
 
 impl Engines for Platform {
-    fn report(&self, addr: SocketAddr) -> EngineCall<'_, Report> {
+    fn report(&self, addr: SocketAddr) -> EngineCall<'_, EngineReport> {
         let report = self.with(addr, |engine| {
             engine.reports += 1;
-            Ok(Report {
+            Ok(EngineReport {
                 weights: vec![Weights {
                     model: "m".into(),
                     version: WeightsVersion(engine.version),
