--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -328,7 +328,7 @@
 
 /// How requests in progress are handled when weights are loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Running {
+pub enum RunningRequests {
     /// The engine finishes them before it loads the weights.
     Finish,
     /// They continue with the new weights.
@@ -341,7 +341,7 @@
     /// The weights to load.
     pub weights: Weights,
     /// How running requests are handled.
-    pub running: Running,
+    pub running: RunningRequests,
     /// The lease holder that gives the order.
     pub holder: VmId,
     /// Fencing token of the lease.
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -7,7 +7,7 @@
 use crate::core::Core;
 use crate::fleet::{Change, Upstream};
 use crate::peers::{EngineUpdate, broadcast_engine_update};
-use crate::ports::{EngineReport, LoadOrder, OrderAnswer, Running, Weights};
+use crate::ports::{EngineReport, LoadOrder, OrderAnswer, RunningRequests, Weights};
 use crate::telemetry::events;
 use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Fence, Moment};
@@ -259,7 +259,7 @@
 ) -> Result<OrderAnswer, String> {
     let order = LoadOrder {
         weights: wanted(target),
-        running: Running::Continue,
+        running: RunningRequests::Continue,
         holder: core.settings().vm.clone(),
         fence,
         expected,
