--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -195,7 +195,7 @@
     fn write_vm_entry(&self, vm: &VmId, peers: SocketAddr) -> StoreCall<'_, ()>;
 
     /// Writes quarantine records of requests during which upstreams crashed; each replaces its previous record.
-    fn quarantine(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()>;
+    fn write_quarantine_records(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()>;
 
     /// Reads the lease log starting at an offset; returns the records and the end of the log.
     fn lease_records(&self, from: Offset) -> StoreCall<'_, (Vec<Bytes>, Offset)>;
--- a/crates/sesamegap-entry/src/quarantine/sync.rs
+++ b/crates/sesamegap-entry/src/quarantine/sync.rs
@@ -85,7 +85,7 @@
         return Ok(());
     }
     for records in core.quarantine.lacking(&stored).chunks(MOST_WRITTEN) {
-        core.store.quarantine(records).await?;
+        core.store.write_quarantine_records(records).await?;
     }
     Ok(())
 }
--- a/crates/sesamegap-entry/src/store/mod.rs
+++ b/crates/sesamegap-entry/src/store/mod.rs
@@ -96,8 +96,11 @@
     ///
     /// # Errors
     /// If the records were not written.
-    pub async fn quarantine(&self, records: &[quarantine::Record]) -> Result<(), StoreError> {
-        let reply = self.port.quarantine(records).await;
+    pub async fn write_quarantine_records(
+        &self,
+        records: &[quarantine::Record],
+    ) -> Result<(), StoreError> {
+        let reply = self.port.write_quarantine_records(records).await;
         self.validate(None, reply).map(|_| ())
     }
 
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -305,7 +305,7 @@
         async move { self.reply(self.there()) }.boxed()
     }
 
-    fn quarantine(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()> {
+    fn write_quarantine_records(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()> {
         let written = self.there().map(|()| {
             let mut kept = self.quarantine.lock().unwrap();
             kept.retain(|old| records.iter().all(|new| new.fingerprint != old.fingerprint));
