--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -15,7 +15,7 @@
     /// Messages of peers.
     pub peers: SocketAddr,
     /// Datagrams of peers; the port is the same on all VMs.
-    pub loads: SocketAddr,
+    pub datagrams: SocketAddr,
     /// Operators' requests for metrics or a dump.
     pub operators: SocketAddr,
     /// Locator requests of callers that ask which address to use.
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -23,8 +23,8 @@
 /// An entry VM at an address of its own, with engines; only its datagrams run.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
-    settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
-    settings.listen.peers = settings.listen.loads;
+    settings.listen.datagrams = SocketAddr::new(ip.parse().unwrap(), port);
+    settings.listen.peers = settings.listen.datagrams;
     let platform = Arc::new(Platform::default());
     let core = Arc::new(Core::new(settings, platform.ports(), Logging::none()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
@@ -110,7 +110,7 @@
 
 /// A prompt that the owner placed: strangers that are asked first are left alone for a while.
 async fn placed_by(asker: &Core, owner: &Core) -> Flight {
-    let addr = owner.settings().listen.loads;
+    let addr = owner.settings().listen.datagrams;
     for part in 0..200 {
         let flight = place(asker, part).await.unwrap();
         if flight.owner() == Some(addr) {
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -55,7 +55,7 @@
             callers: unused(),
             ready: unused(),
             peers: unused(),
-            loads: unused(),
+            datagrams: unused(),
             operators: unused(),
             locator: unused(),
         },
