--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -82,7 +82,7 @@
                 settings.durations.heartbeat,
                 settings.durations.drain,
             ),
-            weights: settings.durations.weights,
+            weights: settings.durations.weights_deadline,
         };
         Ok(Self {
             metrics: Metrics::new()?,
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -138,7 +138,7 @@
 
 /// How an engine stands that drains since `began`.
 fn look(core: &Core, target: &Behind, began: Moment, now: Moment) -> Option<View> {
-    let bound = core.settings().durations.weights;
+    let bound = core.settings().durations.weights_deadline;
     let catalogue = core.catalogue();
     let fleet = core.fleet.lock();
     let engine = fleet.get(&target.engine)?;
--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -34,7 +34,7 @@
     /// Time after which an upstream that announced it is leaving must get no more work.
     pub drain: Duration,
     /// Time after weights were named from which no request may start on older weights.
-    pub weights: Duration,
+    pub weights_deadline: Duration,
     /// Shortest time between the orders of two successive lease holders.
     pub lease: Duration,
     /// How long a lapsed entry may take to reappear after the store is available again.
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -65,7 +65,7 @@
             answer_ttl: Duration::from_secs(5),
             heartbeat: Duration::from_millis(1_200),
             drain: Duration::from_secs(2),
-            weights: Duration::from_secs(8),
+            weights_deadline: Duration::from_secs(8),
             lease: Duration::from_secs(3),
             lapse: Duration::from_secs(2),
         },
