--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -35,7 +35,7 @@
     pub fn new(core: &Core) -> Self {
         let terms = LeaseTiming {
             term: TERM,
-            handover_delay: core.settings().durations.lease,
+            handover_delay: core.settings().durations.lease_handover,
         };
         let lease = CasLease::new(core.peers.local_process().clone(), terms);
         Self {
--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -36,7 +36,7 @@
     /// Time after weights were named from which no request may start on older weights.
     pub weights_deadline: Duration,
     /// Shortest time between the orders of two successive lease holders.
-    pub lease: Duration,
+    pub lease_handover: Duration,
     /// How long a lapsed entry may take to reappear after the store is available again.
     pub lapse: Duration,
 }
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -66,7 +66,7 @@
             heartbeat: Duration::from_millis(1_200),
             drain: Duration::from_secs(2),
             weights_deadline: Duration::from_secs(8),
-            lease: Duration::from_secs(3),
+            lease_handover: Duration::from_secs(3),
             lapse: Duration::from_secs(2),
         },
         retry_budget: Bound {
