--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -65,7 +65,7 @@
     client: reqwest::Client,
     /// Whether another VM's state has been applied since this process started.
     peer_state_applied: watch::Sender<bool>,
-    loads_port: u16,
+    datagram_port: u16,
     roster: Mutex<Roster>,
 }
 
@@ -91,7 +91,7 @@
             outbox: Outbox::default(),
             client: client::build(),
             peer_state_applied: watch::channel(false).0,
-            loads_port: settings.listen.datagrams.port(),
+            datagram_port: settings.listen.datagrams.port(),
             roster: Mutex::default(),
         }
     }
@@ -142,7 +142,7 @@
         if roster.0.is_none_or(|at| now.since(at) >= ROSTER_TTL) {
             let members = self.lock();
             let others = members.alive().map(|peer| {
-                let addr = SocketAddr::new(peer.latest.addr.ip(), self.loads_port);
+                let addr = SocketAddr::new(peer.latest.addr.ip(), self.datagram_port);
                 (seed(peer.latest.who.vm.as_str()), Some(addr))
             });
             let me = (seed(self.me.vm.as_str()), None);
