--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -147,14 +147,14 @@
 async fn post<Q: Serialize, A: DeserializeOwned>(
     core: &Core,
     addr: SocketAddr,
-    endpoint: &str,
+    name: &str,
     message: &Q,
 ) -> Result<A, String> {
     let body = rmp_serde::to_vec(message).map_err(|error| error.to_string())?;
     let sent = core
         .peers
         .client
-        .post(format!("http://{addr}/peers/{endpoint}"))
+        .post(format!("http://{addr}/peers/{name}"))
         .body(body)
         .send();
     let answer = sent.await.map_err(|error| error.to_string())?;
