--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -247,7 +247,7 @@
     pub fn held(&self) -> Option<UpstreamLoad> {
         let running = self.running.saturating_sub(self.shared.running);
         (running > 0).then_some(UpstreamLoad {
-            life: self.life,
+            key: self.life,
             running,
             unread: self.unread.saturating_sub(self.shared.unread),
         })
--- a/crates/sesamegap-entry/src/kept/mod.rs
+++ b/crates/sesamegap-entry/src/kept/mod.rs
@@ -72,7 +72,7 @@
     pub fn loads(&self) -> impl Iterator<Item = UpstreamLoad> {
         let in_flight = self.in_flight.iter().filter(|(_, tokens)| **tokens > 0);
         in_flight.map(|(store, tokens)| UpstreamLoad {
-            life: load_key(*store),
+            key: load_key(*store),
             running: 0,
             unread: *tokens,
         })
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
     /// Key of the upstream's incarnation, the same on all VMs.
-    pub life: u64,
+    pub key: u64,
     /// Requests in progress at the upstream.
     pub running: u32,
     /// Prompt tokens that the upstream has not prefilled yet.
@@ -86,7 +86,7 @@
     /// Records a peer's report, which replaces its previous one.
     pub fn record(&mut self, vm: VmId, loads: Vec<UpstreamLoad>, now: Moment) {
         for load in &loads {
-            self.sums.entry(load.life).or_default().add(load, now);
+            self.sums.entry(load.key).or_default().add(load, now);
         }
         let previous = self.reports.insert(vm, LoadReport { at: now, loads });
         if let Some(previous) = previous {
@@ -96,10 +96,10 @@
     }
 
     /// Returns the load of all peers at an upstream, as of the last report or tick.
-    pub fn total_at(&self, life: u64) -> Option<UpstreamLoad> {
-        let sum = self.sums.get(&life)?;
+    pub fn total_at(&self, key: u64) -> Option<UpstreamLoad> {
+        let sum = self.sums.get(&key)?;
         Some(UpstreamLoad {
-            life,
+            key,
             running: sum.running,
             unread: sum.remaining(self.now, PREFILL_TOKENS_PER_MS, Duration::ZERO),
         })
@@ -130,10 +130,10 @@
 
     fn subtract(&mut self, report: &LoadReport) {
         for load in &report.loads {
-            if let Some(sum) = self.sums.get_mut(&load.life) {
+            if let Some(sum) = self.sums.get_mut(&load.key) {
                 sum.subtract(load, report.at);
                 if sum.running == 0 && sum.unread == 0 {
-                    self.sums.remove(&load.life);
+                    self.sums.remove(&load.key);
                 }
             }
         }
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -38,7 +38,7 @@
     let reported_at = clock::now();
     for vm in 0..85 {
         let load = UpstreamLoad {
-            life: load_key(store()),
+            key: load_key(store()),
             running: 0,
             unread: 2_000,
         };
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -254,7 +254,7 @@
     let told = clock::now();
     for vm in 0..30 {
         let held = sesamegap_entry::peers::UpstreamLoad {
-            life: 7,
+            key: 7,
             running: 2,
             unread: 2_000,
         };
