--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -87,7 +87,7 @@
 
     /// Sets the field that is missing or invalid.
     #[must_use]
-    pub fn at(mut self, field: &str) -> Self {
+    pub fn with_field(mut self, field: &str) -> Self {
         self.field = Some(escape_and_truncate(field, MAX_NAME_BYTES));
         self
     }
--- a/crates/sesamegap-entry/tests/testsuite/foreign.rs
+++ b/crates/sesamegap-entry/tests/testsuite/foreign.rs
@@ -34,7 +34,7 @@
 
 fn broken(no: usize, offset: u64, why: &str) -> Record {
     let record = Unreadable::new(Table::Fleet, Offset(offset), id(no).as_str(), &why);
-    Record::Unreadable(record.at("state"))
+    Record::Unreadable(record.with_field("state"))
 }
 
 /// Takes records in that begin at an offset.
