--- a/crates/sesamegap-entry/src/clock.rs
+++ b/crates/sesamegap-entry/src/clock.rs
@@ -10,8 +10,8 @@
 
 /// Returns the current time.
 ///
-/// `CLOCK_MONOTONIC` stops while a VM is suspended, so a lease timed with it would appear valid after another holder has
-/// taken over. `CLOCK_BOOTTIME` keeps running.
+/// `CLOCK_MONOTONIC` stops while a VM is suspended, so a lease timed with it would appear valid after another holder
+/// has taken over. `CLOCK_BOOTTIME` keeps running.
 pub fn now() -> Moment {
     let time = clock_gettime(ClockId::Boottime);
     let secs = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -116,7 +116,8 @@
 
     /// Applies settings that changed while the process runs.
     ///
-    /// The VM's identity, domain and listen addresses stay unchanged, because callers and peers know the process by them.
+    /// The VM's identity, domain and listen addresses stay unchanged, because callers and peers know the process by
+    /// them.
     pub fn reload(&self, mut settings: Settings) {
         let current = self.settings();
         settings.vm = current.vm.clone();
--- a/crates/sesamegap-entry/src/locator.rs
+++ b/crates/sesamegap-entry/src/locator.rs
@@ -7,12 +7,12 @@
 /// Most addresses in one answer; callers read no more.
 const MAX_ADDRS: usize = 64;
 
-/// How long callers cache an answer. Short, so that callers soon stop using a VM that died or is leaving; the cost is one
-/// small locator request for about forty requests of a caller.
+/// How long callers cache an answer. Short, so that callers soon stop using a VM that died or is leaving; the cost is
+/// one small locator request for about forty requests of a caller.
 const TTL: Duration = Duration::from_secs(2);
 
-/// Fraction of alive VMs below which suspected VMs are named too: it is then more likely that this VM is partitioned from
-/// the others.
+/// Fraction of alive VMs below which suspected VMs are named too: it is then more likely that this VM is partitioned
+/// from the others.
 const MIN_ALIVE_FRACTION: f64 = 0.5;
 
 /// Returns the addresses for callers, and how long to cache them.
--- a/crates/sesamegap-entry/src/peers/client.rs
+++ b/crates/sesamegap-entry/src/peers/client.rs
@@ -16,8 +16,8 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// Time between probes. A peer detects a dead VM within about this time, and each VM sends one probe per interval however
-/// many VMs there are.
+/// Time between probes. A peer detects a dead VM within about this time, and each VM sends one probe per interval
+/// however many VMs there are.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Timeout for a peer's reply, about a hundred times the latency within a region.
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -1,9 +1,9 @@
 //! UDP datagrams among entry VMs: loads to some or all peers, events to all peers.
 //!
 //! An event is something that one VM found or did and that the others would otherwise discover by themselves, at the
-//! cost of a caller's wait or of a call: engines that are paused or gone, upstreams and stores that do not respond, and
-//! readings of the store. The content of a lost datagram is recovered from the next one, from an upstream's own response,
-//! or by reading the store.
+//! cost of a caller's wait or of a call: engines that are paused or gone, upstreams and stores that do not respond,
+//! and readings of the store. The content of a lost datagram is recovered from the next one, from an upstream's own
+//! response, or by reading the store.
 //!
 //! A weight rollout pauses half of the engines almost at once, and all VMs must know. With an HTTP request for each
 //! engine and peer, 84 VMs and 140 engines kept the VM that runs the rollout busy for seconds, and it never gave an
@@ -282,8 +282,8 @@
         if was_paused != (update.out_ms > 0) {
             info!(event = events::UPSTREAM, upstream = %update.engine, change = if was_paused { "back" } else { "out" }, out_ms = update.out_ms, "a VM takes an upstream out or gives it back");
         }
-        // Within an incarnation the weights version only increases, and the update on an earlier load may arrive after that
-        // on a later one.
+        // Within an incarnation the weights version only increases, and the update on an earlier load may arrive
+        // after that on a later one.
         if let Some(weights) = &update.weights
             && engine.version(&weights.model) < Some(weights.version)
         {
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -53,9 +53,9 @@
 
 /// Age of an event, in milliseconds.
 ///
-/// An estimate is encoded in the same integer as a known age and marked by its highest bit. A VM of another release could
-/// not decode a message of a different shape, and during a rolling upgrade each half of the fleet would consider the
-/// other half dead.
+/// An estimate is encoded in the same integer as a known age and marked by its highest bit. A VM of another release
+/// could not decode a message of a different shape, and during a rolling upgrade each half of the fleet would
+/// consider the other half dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "u64", into = "u64")]
 pub enum Age {
@@ -120,8 +120,8 @@
     pub gone: bool,
 }
 
-/// How long an upstream gets no requests after another instance was found at its address. The fleet list drops its entry
-/// within that time.
+/// How long an upstream gets no requests after another instance was found at its address. The fleet list drops its
+/// entry within that time.
 const GONE_PAUSE: Duration = Duration::from_secs(6);
 
 impl EngineUpdate {
--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -51,8 +51,8 @@
     Unreadable(Unreadable),
 }
 
-/// Longest key or field name in a report on an undecodable record, in bytes. No valid key is longer, but another writer's
-/// key may be as long as the store accepts.
+/// Longest key or field name in a report on an undecodable record, in bytes. No valid key is longer, but another
+/// writer's key may be as long as the store accepts.
 const MAX_NAME_BYTES: usize = 64;
 
 /// Longest reason in such a report, in bytes. A few of them fit into one datagram and into a log line.
--- a/crates/sesamegap-entry/tests/testsuite/fetches.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fetches.rs
@@ -14,8 +14,8 @@
     "127.0.0.1:8207".parse().unwrap()
 }
 
-/// Guards against tokens that stay counted after the caller disconnected or the prompt was read. Soon no prompt would be
-/// fetched from a store that is idle.
+/// Guards against tokens that stay counted after the caller disconnected or the prompt was read. Soon no prompt would
+/// be fetched from a store that is idle.
 #[tokio::test]
 async fn a_finished_fetch_is_not_counted_any_more() {
     let process = Process::new().await;
@@ -29,9 +29,9 @@
     assert_eq!(fleet.lock().on_way(store(), PER_MS), 0);
 }
 
-/// Guards against outdated load reports counted in full. With about eighty VMs, each VM reports to the others in turn, and
-/// the report that a fetch has finished arrives seconds later: an idle link would appear to have half a second of
-/// work queued.
+/// Guards against outdated load reports counted in full. With about eighty VMs, each VM reports to the others in
+/// turn, and the report that a fetch has finished arrives seconds later: an idle link would appear to have half a
+/// second of work queued.
 #[test]
 fn an_old_fetch_report_decays_at_the_rate_of_the_link() {
     let mut loads = Loads::default();
--- a/crates/sesamegap-entry/tests/testsuite/peers.rs
+++ b/crates/sesamegap-entry/tests/testsuite/peers.rs
@@ -32,8 +32,8 @@
     fleet.namings().newest_of("m").map(|naming| naming.version)
 }
 
-/// Guards against VMs that keep accepting a revoked key while the store rejects their calls. The other VMs must pass on the
-/// new document and weights.
+/// Guards against VMs that keep accepting a revoked key while the store rejects their calls. The other VMs must pass
+/// on the new document and weights.
 #[tokio::test]
 async fn a_document_and_weights_reach_a_vm_that_the_store_rejects() {
     let one = vm("vm-1", Vec::new()).await;
