--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -1,7 +1,7 @@
 //! A request in flight at an upstream, which counts towards the upstream's load until it is dropped.
 
 use super::SharedFleet;
-use crate::kept::OnWay;
+use crate::kept::InFlightTokens;
 use crate::placing::TrackedPrompt;
 use crate::ports::Load;
 use crate::quarantine::TrialPermit;
@@ -30,7 +30,7 @@
     /// Whether the upstream uses the same kept-KV store as the prompt's home engine.
     pub at_store: bool,
     /// The transfer from a kept-KV store, until the prompt has been prefilled.
-    pub on_way: Option<OnWay>,
+    pub on_way: Option<InFlightTokens>,
     /// Number of engines of the service when it was chosen.
     pub engines: usize,
     /// Requests running at the upstream when it was chosen.
--- a/crates/sesamegap-entry/src/fleet/mod.rs
+++ b/crates/sesamegap-entry/src/fleet/mod.rs
@@ -15,9 +15,9 @@
 pub use sesamegap_policy::routing::belief::Change;
 pub use upstream::{Entry, Upstream};
 
-use crate::kept::Kept;
+use crate::kept::KvStoreStates;
 use crate::peers::Loads;
-use crate::ports::{Report, Weights};
+use crate::ports::{EngineReport, Weights};
 use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::belief::{
     self, Belief, ListRecord, ListUpdate, Listing, StoreReachability,
@@ -54,7 +54,7 @@
     pub(crate) loads: Loads,
     /// Requests that this VM has placed for others, by the address of the asking VM and its request number.
     pub(crate) placements: Placements<(SocketAddr, u64)>,
-    pub(crate) kept: Kept,
+    pub(crate) kept: KvStoreStates,
     pub(crate) silence_reports: SilenceReports,
     pub(crate) namings: Namings,
 }
@@ -70,7 +70,7 @@
             cache_locations: CacheLocations::default(),
             loads: Loads::default(),
             placements: Placements::default(),
-            kept: Kept::default(),
+            kept: KvStoreStates::default(),
             silence_reports: SilenceReports::default(),
             namings: Namings::new(rules.weights),
         }
@@ -236,7 +236,7 @@
     }
 
     /// Applies an engine's report about itself.
-    pub fn apply_report(&mut self, id: &UpstreamId, report: &Report) -> Change {
+    pub fn apply_report(&mut self, id: &UpstreamId, report: &EngineReport) -> Change {
         let change = self.observe_incarnation(id, report.born);
         if change == Change::Restarted
             && let Some(engine) = self.upstreams.get_mut(id)
@@ -295,7 +295,7 @@
 
     /// Whether prompts should not wait for this kept-KV store.
     pub fn is_store_unavailable(&self, store: SocketAddr, now: Moment) -> bool {
-        self.kept.is_out(store, now)
+        self.kept.is_unavailable(store, now)
     }
 }
 
--- a/crates/sesamegap-entry/src/fleet/selection.rs
+++ b/crates/sesamegap-entry/src/fleet/selection.rs
@@ -79,19 +79,25 @@
     ///
     /// Unlike the upstream's reported load, this falls to zero as soon as it is idle.
     pub fn counted_running(&self, upstream: &Upstream) -> u32 {
-        let others = self.loads.at(upstream.life).map_or(0, |held| held.running);
+        let others = self
+            .loads
+            .total_at(upstream.life)
+            .map_or(0, |held| held.running);
         upstream.running + others + self.placements.at(upstream.life).running
     }
 
     /// Tokens that all known VMs have requested from a kept-KV store and that have not arrived.
     pub fn pending_store_tokens(&self, store: SocketAddr, per_ms: u64) -> u64 {
-        let others = self.loads.on_way(kept::number(store), per_ms);
-        self.kept.asked(store) + others
+        let others = self.loads.in_flight_tokens(kept::load_key(store), per_ms);
+        self.kept.in_flight_tokens(store) + others
     }
 
     /// Prompt tokens of all VMs at an upstream that are not prefilled yet.
     pub fn unread(&self, upstream: &Upstream) -> u64 {
-        let others = self.loads.at(upstream.life).map_or(0, |held| held.unread);
+        let others = self
+            .loads
+            .total_at(upstream.life)
+            .map_or(0, |held| held.unread);
         upstream.unread + others + self.placements.at(upstream.life).unread
     }
 
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -1,6 +1,6 @@
 //! State of one upstream: its entry in the fleet list and what this VM has observed of it.
 
-use crate::peers::Held;
+use crate::peers::UpstreamLoad;
 use crate::ports::{Load, Weights};
 use serde::{Deserialize, Serialize};
 use sesamegap_policy::routing::belief::{Belief, Change};
@@ -251,10 +251,10 @@
     }
 
     /// The load that this VM causes there and must report to its peers, or `None` if there is none.
-    pub fn held(&self) -> Option<Held> {
+    pub fn held(&self) -> Option<UpstreamLoad> {
         let running = self.running.saturating_sub(self.shared.running);
-        (running > 0).then_some(Held {
-            life: self.life,
+        (running > 0).then_some(UpstreamLoad {
+            key: self.life,
             running,
             unread: self.unread.saturating_sub(self.shared.unread),
         })
--- a/crates/sesamegap-entry/src/follow/apply.rs
+++ b/crates/sesamegap-entry/src/follow/apply.rs
@@ -103,7 +103,7 @@
 /// Logs an unreadable record, unless the same was logged before.
 pub fn log_unreadable(core: &Core, record: &Unreadable) {
     if !core
-        .known(record.table)
+        .table_progress(record.table)
         .reports()
         .is_due(record, clock::now())
     {
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -60,7 +60,7 @@
     let mut restored: Option<Moment> = None;
     if table == Table::Settings {
         // The store may hold an older document than other VMs use, which would be in force until they report theirs.
-        core.peers.acquainted(PEER_WAIT).await;
+        core.peers.wait_for_first_peer(PEER_WAIT).await;
     }
     while core.phase() < Phase::Ended {
         if predates_restore(&core, table) {
@@ -88,7 +88,7 @@
             Err(StoreError::Restored(_)) => {}
             Err(StoreError::Compacted(first)) => {
                 info!(event = events::COMPACTED, table = ?table, first = first.0, "log was compacted; reading the newest record of each key");
-                core.known(table).position().require_full_read();
+                core.table_progress(table).position().require_full_read();
             }
             Err(error) => {
                 if !unreachable {
@@ -119,14 +119,14 @@
     match table {
         Table::Settings => SETTINGS_WAIT,
         Table::Fleet | Table::Vms | Table::Quarantine => {
-            core.settings().spans.drain * FLEET_INTERVAL_PERCENT / 100
+            core.settings().durations.drain * FLEET_INTERVAL_PERCENT / 100
         }
     }
 }
 
 /// Waits for an update of a table; returns false if this VM must read the table itself.
 async fn wait_for_update(core: &Core, table: Table) -> bool {
-    let known = core.known(table);
+    let known = core.table_progress(table);
     let left = {
         let mut position = known.position();
         position.renew(clock::now());
@@ -146,23 +146,23 @@
 /// Sleeps until the time is over or the table's position is on an older timeline than the store. Returns at once if the
 /// whole table must be read.
 async fn sleep_unless_restored(core: &Core, table: Table, time: Duration) {
-    let Some(next) = core.known(table).position().next() else {
+    let Some(next) = core.table_progress(table).position().next() else {
         return;
     };
-    let mut timelines = core.store.timelines();
+    let mut timelines = core.store.subscribe_timeline();
     drop(timeout(time, timelines.wait_for(|present| next.timeline < *present)).await);
 }
 
 /// Whether a table was last read before the store was restored.
 fn predates_restore(core: &Core, table: Table) -> bool {
-    let next = core.known(table).position().next();
+    let next = core.table_progress(table).position().next();
     next.is_some_and(|next| next.timeline < core.store.timeline())
 }
 
 /// Requires a full read of a table from a restored store; what is known of it stays in use meanwhile.
 fn restart_table(core: &Core, table: Table) {
     core.fleet.lock().record_store_restore(clock::now());
-    core.known(table).position().require_full_read();
+    core.table_progress(table).position().require_full_read();
 }
 
 async fn read_table(
@@ -170,7 +170,7 @@
     table: Table,
     restored: &mut Option<Moment>,
 ) -> Result<(), StoreError> {
-    let known = core.known(table);
+    let known = core.table_progress(table);
     let started = clock::now();
     let (next, complete) = {
         let position = known.position();
@@ -182,7 +182,7 @@
         let records = batch.records.len();
         let missing = replace_table(core, table, batch, complete);
         if let Some(since) = restored.take() {
-            info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::ms(clock::now().since(since)), "table was read again from the restored store");
+            info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::millis(clock::now().since(since)), "table was read again from the restored store");
         }
         known.position().read(at, clock::now());
         known.position().asked(started);
@@ -213,7 +213,7 @@
 
 /// Keeps this VM's entry in the store and reads those of the others, until the process ends.
 pub async fn follow_vms(core: Arc<Core>) {
-    let mut timelines = core.store.timelines();
+    let mut timelines = core.store.subscribe_timeline();
     while core.phase() < Phase::Ended {
         timelines.mark_unchanged();
         let listed = match core.store.snapshot(Table::Vms).await {
@@ -224,12 +224,12 @@
                 continue;
             }
         };
-        if !listed && let Err(error) = announce(&core).await {
+        if !listed && let Err(error) = write_vm_entry(&core).await {
             warn!(event = events::STORE_LOST, table = ?Table::Vms, %error, "cannot write this VM's entry");
             sleep(RETRY_DELAY * 3).await;
             continue;
         }
-        let alone = core.peers.known().alive.is_empty();
+        let alone = core.peers.addrs_by_status().alive.is_empty();
         let interval = if alone { ALONE_INTERVAL } else { VMS_INTERVAL };
         if timeout(interval, timelines.changed()).await.is_ok() {
             // All VMs find out at almost the same time that the restored store may lack their entries.
@@ -244,10 +244,10 @@
     RESTORE_SPREAD * (own_rank >> 56) as u32 / (1 << 8)
 }
 
-async fn announce(core: &Core) -> Result<(), StoreError> {
+async fn write_vm_entry(core: &Core) -> Result<(), StoreError> {
     let settings = core.settings();
     core.store
-        .announce(&settings.vm, settings.listen.peers)
+        .write_vm_entry(&settings.vm, settings.listen.peers)
         .await
 }
 
@@ -266,6 +266,6 @@
         .collect();
     let me = (core.settings().vm.clone(), core.settings().listen.peers);
     let listed = vms.contains(&me);
-    core.peers.list(vms);
+    core.peers.seed_members(vms);
     listed
 }
--- a/crates/sesamegap-entry/src/follow/updates.rs
+++ b/crates/sesamegap-entry/src/follow/updates.rs
@@ -103,7 +103,7 @@
 /// Applies what another VM has read.
 pub fn apply_update(core: &Core, update: TableUpdate) {
     let now = clock::now();
-    let known = core.known(update.table);
+    let known = core.table_progress(update.table);
     let span = Span {
         from: update.from,
         next: update.next,
--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -44,7 +44,7 @@
         debug!(event = events::CALLER_CONNECTION, %error, "cannot set TCP_NODELAY; connection closed");
         return;
     }
-    let mut phases = core.phases();
+    let mut phases = core.subscribe_phase();
     let closing = super::wait_for_phase(&mut phases, Phase::Closing);
     let handle = |request, busy| request::handle(Arc::clone(&core), request, busy);
     match serving::serve(stream, core.as_ref(), handle, closing).await {
--- a/crates/sesamegap-entry/src/intake/mod.rs
+++ b/crates/sesamegap-entry/src/intake/mod.rs
@@ -37,7 +37,7 @@
 
 /// Accepts connections until the process ends.
 pub async fn serve(core: Arc<Core>, listener: TcpListener) {
-    let mut phases = core.phases();
+    let mut phases = core.subscribe_phase();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -3,7 +3,7 @@
 use super::connection::limits;
 use super::reply::{Body, Refusal, refusal_response};
 use crate::catalogue::{Catalogue, Route, Team};
-use crate::core::{Active, Core, Phase};
+use crate::core::{ActiveRequestGuard, Core, Phase};
 use crate::ports::RequestHead;
 use crate::relay::{self, Job};
 use crate::telemetry::events;
@@ -31,7 +31,7 @@
         Ok(job) => job.head.id.clone(),
         Err(refused) => refused.id.clone(),
     };
-    let active = Active::new(&core.active, id);
+    let active = ActiveRequestGuard::new(&core.active, id);
     let mut response = match received {
         Ok(job) => relay::run(&core, job).await,
         Err(refused) => {
@@ -87,7 +87,7 @@
             return Err(refused(refusal));
         }
     };
-    let caller_timeout = head.patience.unwrap_or(route.timeout);
+    let caller_timeout = head.timeout.unwrap_or(route.timeout);
     let deadline = arrived + caller_timeout.min(route.timeout);
     let body = read_body(core, body, deadline).await.map_err(refused)?;
     Ok(Job {
@@ -131,7 +131,6 @@
 }
 
 /// A complete body, with the permit for its memory.
-
 struct ReceivedBody {
     bytes: Bytes,
     permit: Option<tokio::sync::OwnedSemaphorePermit>,
@@ -171,7 +170,7 @@
             return Err(Refusal::BodyTooLarge);
         }
         let kib = u32::try_from(data.len().div_ceil(1024)).unwrap_or(u32::MAX);
-        let Ok(more) = Arc::clone(&core.bodies).try_acquire_many_owned(kib) else {
+        let Ok(more) = Arc::clone(&core.body_permits).try_acquire_many_owned(kib) else {
             drain(body).await;
             return Err(Refusal::OutOfMemory);
         };
--- a/crates/sesamegap-entry/src/placing/client.rs
+++ b/crates/sesamegap-entry/src/placing/client.rs
@@ -117,7 +117,7 @@
             number,
             life: flight.life(),
             tokens: flight.tokens(),
-            left_ms: clock::ms_told(left),
+            left_ms: clock::wire_millis(left),
         });
         tracked
     }
@@ -175,7 +175,7 @@
     /// Sends a message if the socket is set; the network may drop it.
     pub async fn send(&self, message: PlacementMessage, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
-            && let Some(bytes) = peers::placing(message)
+            && let Some(bytes) = peers::encode_placing(message)
         {
             // A lost query or answer ends in a timeout; the effect of a lost report expires at the
             // owner.
--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -110,7 +110,7 @@
             tried: selection.tried.to_vec(),
             domain: selection.domain.clone(),
             shard: (shard.division.bits(), shard.number),
-            left_ms: clock::ms_told(left),
+            left_ms: clock::wire_millis(left),
         })
     }
 
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -73,8 +73,8 @@
         tokio::spawn(follow::follow(Arc::clone(&core), table));
     }
     tokio::spawn(follow::follow_vms(Arc::clone(&core)));
-    tokio::spawn(peers::rounds(Arc::clone(&core)));
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_probes(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     tokio::spawn(roll::run(Arc::clone(&core)));
     tokio::spawn(intake::serve(Arc::clone(&core), callers));
     tokio::spawn(kept::watch(Arc::clone(&core)));
@@ -134,7 +134,7 @@
 /// Lets requests complete for as long as the grace period lasts.
 async fn stop(core: &Core) {
     let stop_requested = Instant::now();
-    let grace = core.settings().spans.grace;
+    let grace = core.settings().durations.grace;
     let deadlines = StopDeadlines::new(grace);
     info!(
         event = events::STOPPING,
@@ -142,16 +142,16 @@
         grace_s = grace.as_secs_f64(),
         "asked to stop"
     );
-    core.enter(Phase::Leaving);
+    core.advance_phase(Phase::Leaving);
     core.peers.leave();
-    peers::tell_all(core).await;
+    peers::broadcast_state(core).await;
     sleep(
         deadlines
             .close_idle
             .saturating_sub(stop_requested.elapsed()),
     )
     .await;
-    core.enter(Phase::Closing);
+    core.advance_phase(Phase::Closing);
     let mut last_active = Instant::now();
     while stop_requested.elapsed() < deadlines.stop_accepting && last_active.elapsed() < QUIET_TIME
     {
@@ -160,7 +160,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    core.enter(Phase::Ended);
+    core.advance_phase(Phase::Ended);
     // Requests on the last accepted connections are read and counted as active only now.
     sleep(POLL_INTERVAL).await;
     while core.active() > 0 && stop_requested.elapsed() < deadlines.exit {
@@ -173,7 +173,7 @@
     }
     info!(
         event = events::STOPPED,
-        took_ms = crate::clock::ms(stop_requested.elapsed()),
+        took_ms = crate::clock::millis(stop_requested.elapsed()),
         "stopped"
     );
 }
--- a/crates/sesamegap-entry/src/quarantine/admission.rs
+++ b/crates/sesamegap-entry/src/quarantine/admission.rs
@@ -77,7 +77,12 @@
 /// Asks the coordinator for permission to run a suspect; without a response in time, the request is deferred.
 async fn request_trial(core: &Core, request: Fingerprint, left: Duration) -> Grant {
     let quarantine = &core.quarantine;
-    let Some(coordinator) = core.peers.first(1, COORDINATOR_RANKING_KEY).pop().flatten() else {
+    let Some(coordinator) = core
+        .peers
+        .first_ranked(1, COORDINATOR_RANKING_KEY)
+        .pop()
+        .flatten()
+    else {
         let mut registry = quarantine.registry();
         return registry.request_trial(request, left, clock::now(), clock::unix_ms());
     };
@@ -107,7 +112,7 @@
             pending.senders.insert(number, sender);
             number
         };
-        let left_ms = clock::ms_told(left);
+        let left_ms = clock::wire_millis(left);
         let ask = TrialRequest {
             number,
             record,
--- a/crates/sesamegap-entry/src/quarantine/exchange.rs
+++ b/crates/sesamegap-entry/src/quarantine/exchange.rs
@@ -55,7 +55,9 @@
     if reports.is_empty() {
         return;
     }
-    let replicas = core.peers.first(REPORT_REPLICAS, COORDINATOR_RANKING_KEY);
+    let replicas = core
+        .peers
+        .first_ranked(REPORT_REPLICAS, COORDINATOR_RANKING_KEY);
     for to in replicas.into_iter().flatten() {
         for reports in reports.chunks(REPORTS_PER_DATAGRAM) {
             let reports = Message::Reports(reports.to_vec());
@@ -186,7 +188,7 @@
     /// Sends a message if the socket is set; ignores errors.
     pub(super) async fn send(&self, message: Message, to: SocketAddr) {
         if let Some(socket) = self.socket.get()
-            && let Some(bytes) = peers::quarantine(message)
+            && let Some(bytes) = peers::encode_quarantine(message)
         {
             // Lost messages are sent again.
             drop(socket.send_to(&bytes, to).await);
--- a/crates/sesamegap-entry/src/quarantine/mod.rs
+++ b/crates/sesamegap-entry/src/quarantine/mod.rs
@@ -82,7 +82,7 @@
 
 /// Whether this VM is the coordinator, which grants and judges trials.
 fn is_coordinator(core: &Core) -> bool {
-    core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]
+    core.peers.first_ranked(1, COORDINATOR_RANKING_KEY) == [None]
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/sesamegap-entry/src/quarantine/sync.rs
+++ b/crates/sesamegap-entry/src/quarantine/sync.rs
@@ -60,7 +60,7 @@
 }
 
 fn poll_interval(core: &Core) -> Duration {
-    let has_unreachable_peers = !core.peers.known().doubted.is_empty();
+    let has_unreachable_peers = !core.peers.addrs_by_status().suspected.is_empty();
     if has_unreachable_peers && is_coordinator(core) {
         PARTITION_POLL_INTERVAL
     } else {
@@ -90,7 +90,7 @@
         .missing_from_store(&stored)
         .chunks(MAX_BATCH)
     {
-        core.store.quarantine(records).await?;
+        core.store.write_quarantine_records(records).await?;
     }
     Ok(())
 }
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::peers::{EngineNews, push};
+use crate::peers::{EngineUpdate, broadcast_engine_update};
 use crate::ports::{AnswerHead, Dispatch};
 use crate::telemetry::events;
 use crate::upstream::{self, Exchange, SendError};
@@ -112,10 +112,10 @@
         unread = flight.ahead,
         tokens = flight.tokens(),
         weights = flight.weights.map(|version| version.0),
-        overtaken_ms = flight.superseded_at().map(|at| clock::ms(clock::now().since(at))),
+        overtaken_ms = flight.superseded_at().map(|at| clock::millis(clock::now().since(at))),
         fetch = dispatch.fetch.map(tracing::field::display),
         save = dispatch.save.map(tracing::field::display),
-        left_ms = clock::ms(dispatch.left),
+        left_ms = clock::millis(dispatch.time_left),
         "sent"
     );
     let request = match build_request(core, job, &dispatch) {
@@ -145,7 +145,7 @@
         }
         Err(_) => {
             BrokenAnswer::new(job, &mut flight, sent, false).report_silence(core);
-            if flight.last_received() < clock::now_less(head_timeout) {
+            if flight.last_received() < clock::ago(head_timeout) {
                 flight.record_failure(clock::now());
             }
             return Outcome::Lost("no response head before the timeout".to_owned());
@@ -228,7 +228,7 @@
     if replaced {
         // Another instance has the address, so the intended one is gone for good. The fleet table drops it only
         // after missed heartbeats.
-        push(core, EngineNews::gone(flight.id.clone(), flight.born));
+        broadcast_engine_update(core, EngineUpdate::gone(flight.id.clone(), flight.born));
         return NotRun::Refused;
     }
     if let (Some(version), Some(model)) = (answer_head.weights, &job.head.model) {
@@ -258,7 +258,7 @@
         Transfer::default()
     };
     Dispatch {
-        left: job.time_left(),
+        time_left: job.time_left(),
         upstream: Some(flight.id.clone()),
         team: job.team.as_ref().map(|team| team.name.clone()),
         namespace: is_prompt.then_some(namespace),
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -99,7 +99,7 @@
             life,
             trial = loss.crash.trial,
             beside = self.concurrent,
-            ran_ms = clock::ms(self.elapsed),
+            ran_ms = clock::millis(self.elapsed),
             begun = self.begun,
             process = ?process,
             "connection broke"
--- a/crates/sesamegap-entry/src/relay/request_log.rs
+++ b/crates/sesamegap-entry/src/relay/request_log.rs
@@ -73,7 +73,7 @@
         self.core
             .metrics
             .record_request(self.kind, self.status, span, self.first_event_after);
-        let took = clock::ms(span);
+        let took = clock::millis(span);
         let Some(status) = self.status else {
             info!(
                 event = events::CALLER_LEFT,
@@ -90,8 +90,8 @@
             route = %self.route,
             status,
             runs = self.runs,
-            first_ms = self.first_event_after.map(clock::ms),
-            pause_ms = self.last_event_at.map(|_| clock::ms(self.longest_gap)),
+            first_ms = self.first_event_after.map(clock::millis),
+            pause_ms = self.last_event_at.map(|_| clock::millis(self.longest_gap)),
             took_ms = took,
             why = %self.reason,
             "ended"
--- a/crates/sesamegap-entry/src/relay/retry.rs
+++ b/crates/sesamegap-entry/src/relay/retry.rs
@@ -80,7 +80,7 @@
             }
             NotRun::Refused | NotRun::OtherWeights => {
                 self.refusals += 1;
-                self.refusals < MAX_REFUSALS && core.may_repeat(&self.service)
+                self.refusals < MAX_REFUSALS && core.try_retry(&self.service)
             }
         }
     }
@@ -88,7 +88,7 @@
     /// Records that the request may have run at `at`; returns whether it may be sent again.
     pub fn should_retry_possible_run(&mut self, core: &Core, job: &Job, at: UpstreamId) -> bool {
         self.record_run(at);
-        self.can_run_again(job) && core.may_repeat(&self.service)
+        self.can_run_again(job) && core.try_retry(&self.service)
     }
 
     /// Records that the request may have run at an upstream.
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -382,7 +382,7 @@
         while self.retry.can_run_again(&self.job) {
             // Counts against the retry budget only if an upstream is available.
             let other = self.retry.has_other_upstream(&self.core, None);
-            if other && self.core.may_repeat(&self.retry.service) {
+            if other && self.core.try_retry(&self.retry.service) {
                 match self.open().await {
                     Ok(Opened::Stream(stream)) => return Some(*stream),
                     Ok(Opened::Complete(_)) => return None,
--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::Flight;
-use crate::kept::OnWay;
+use crate::kept::InFlightTokens;
 use sesamegap_policy::routing::transfers::{self, Fetch, PlacedPrompt};
 use sesamegap_wire::WeightsVersion;
 use smol_str::{SmolStr, format_smolstr};
@@ -58,7 +58,7 @@
     flight: &Flight,
     store: &KvStore,
     tokens: u64,
-) -> Option<OnWay> {
+) -> Option<InFlightTokens> {
     let service = job.catalogue.service(job.service());
     let engine = service.and_then(|service| service.engine.as_ref());
     let token_bytes = engine.map_or(0, |engine| engine.token_bytes);
@@ -74,7 +74,7 @@
         };
         fetch.arrives(job.route.objective)
     });
-    arrives.then(|| OnWay::new(&core.fleet, store.addr, tokens))
+    arrives.then(|| InFlightTokens::new(&core.fleet, store.addr, tokens))
 }
 
 /// Cache namespace of the weights that computed the entries and, for isolated teams, of the team.
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -6,8 +6,8 @@
 use crate::clock;
 use crate::core::Core;
 use crate::fleet::{Change, Upstream};
-use crate::peers::{EngineNews, push};
-use crate::ports::{LoadOrder, OrderAnswer, Report, Running, Weights};
+use crate::peers::{EngineUpdate, broadcast_engine_update};
+use crate::ports::{EngineReport, LoadOrder, OrderAnswer, RunningRequests, Weights};
 use crate::telemetry::events;
 use sesamegap_policy::routing::{Availability, rolls};
 use sesamegap_wire::{Fence, Moment};
@@ -48,7 +48,7 @@
         return;
     };
     if !drain(core, &target).await {
-        push(core, engine_news(&target, Duration::ZERO, false));
+        broadcast_engine_update(core, engine_news(&target, Duration::ZERO, false));
         info!(event = events::ORDER, engine = %engine, "too few engines accept work; engine returns to service without an update");
         return;
     }
@@ -64,7 +64,7 @@
     }
     let gone = |up: &Upstream| up.is_gone(clock::now());
     if !core.fleet.lock().get(&engine).is_some_and(gone) {
-        push(core, engine_news(&target, Duration::ZERO, done));
+        broadcast_engine_update(core, engine_news(&target, Duration::ZERO, done));
     }
 }
 
@@ -73,9 +73,9 @@
 /// Returns false if the engine must return to service instead.
 async fn drain(core: &Core, target: &OutdatedEngine) -> bool {
     let began = clock::now();
-    push(core, engine_news(target, OUT_TTL, false));
+    broadcast_engine_update(core, engine_news(target, OUT_TTL, false));
     if let Some(status) = drain_status(core, target, began, began) {
-        info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = status.running, longest_ms = clock::ms(status.max_drain), overtaken_ms = status.superseded_for.map(clock::ms), "draining before the load order");
+        info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = status.running, longest_ms = clock::millis(status.max_drain), overtaken_ms = status.superseded_for.map(clock::millis), "draining before the load order");
     }
     sleep(PROPAGATION_DELAY).await;
     let mut announced_at = clock::now();
@@ -133,7 +133,7 @@
     if now.since(announced_at) <= OUT_TTL / 2 {
         return announced_at;
     }
-    push(core, engine_news(target, OUT_TTL, false));
+    broadcast_engine_update(core, engine_news(target, OUT_TTL, false));
     now
 }
 
@@ -154,7 +154,7 @@
     began: Moment,
     now: Moment,
 ) -> Option<DrainStatus> {
-    let bound = core.settings().spans.weights;
+    let bound = core.settings().durations.weights_deadline;
     let catalogue = core.catalogue();
     let fleet = core.fleet.lock();
     let engine = fleet.get(&target.engine)?;
@@ -180,11 +180,11 @@
     })
 }
 
-fn engine_news(target: &OutdatedEngine, out: Duration, done: bool) -> EngineNews {
-    EngineNews {
+fn engine_news(target: &OutdatedEngine, out: Duration, done: bool) -> EngineUpdate {
+    EngineUpdate {
         engine: target.engine.clone(),
         born: target.born,
-        out_ms: clock::ms_told(out),
+        out_ms: clock::wire_millis(out),
         weights: done.then(|| target_weights(target)),
         gone: false,
     }
@@ -252,7 +252,10 @@
                 return false;
             }
             Ok(OrderAnswer::Elsewhere) => {
-                push(core, EngineNews::gone(target.engine.clone(), target.born));
+                broadcast_engine_update(
+                    core,
+                    EngineUpdate::gone(target.engine.clone(), target.born),
+                );
                 return false;
             }
             Ok(OrderAnswer::Invalid) => return false,
@@ -275,7 +278,7 @@
 ) -> Result<OrderAnswer, String> {
     let order = LoadOrder {
         weights: target_weights(target),
-        running: Running::GoOn,
+        running: RunningRequests::Continue,
         holder: core.settings().vm.clone(),
         fence,
         expected,
@@ -333,7 +336,7 @@
     LoadOutcome::Failed
 }
 
-fn has_target_weights(report: &Report, target: &OutdatedEngine) -> bool {
+fn has_target_weights(report: &EngineReport, target: &OutdatedEngine) -> bool {
     let held = report.weights.iter().find(|w| w.model == target.model);
     !report.busy && held.is_some_and(|held| held.version >= target.version)
 }
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -37,12 +37,12 @@
     pub fn new(core: &Core) -> Self {
         let timing = LeaseTiming {
             term: LEASE_TERM,
-            handover_delay: core.settings().spans.lease,
+            handover_delay: core.settings().durations.lease_handover,
         };
-        let lease = CasLease::new(core.peers.me().clone(), timing);
+        let lease = CasLease::new(core.peers.local_process().clone(), timing);
         Self {
             state: Arc::new(Mutex::new(lease)),
-            timeline: core.store.timelines(),
+            timeline: core.store.subscribe_timeline(),
             free_at: None,
             logged_wait: Moment::default(),
         }
@@ -134,7 +134,7 @@
             return;
         }
         let holder = self.last_holder().map(|holder| holder.vm);
-        let wait_ms = clock::ms(until.since(clock::now()));
+        let wait_ms = clock::millis(until.since(clock::now()));
         info!(event = events::LEASE, holder = ?holder, wait_ms, "lease may still be held by another VM");
     }
 
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -54,7 +54,7 @@
         let outdated = outdated_engines(&core);
         if outdated.is_empty() {
             since = None;
-            drop(timeout(IDLE_INTERVAL, core.named.notified()).await);
+            drop(timeout(IDLE_INTERVAL, core.weights_named.notified()).await);
             continue;
         }
         let began = *since.get_or_insert_with(clock::now);
--- a/crates/sesamegap-entry/src/telemetry/endpoints.rs
+++ b/crates/sesamegap-entry/src/telemetry/endpoints.rs
@@ -33,7 +33,7 @@
         revision: core.revision().0,
         timeline: core.store.timeline().0,
         upstreams: core.fleet.lock().upstreams().count(),
-        peers: core.peers.known().alive.len(),
+        peers: core.peers.addrs_by_status().alive.len(),
         dropped: core.logging.dropped(),
     };
     core.metrics.text(values).map_err(|error| {
@@ -145,7 +145,7 @@
         state: smol_str::format_smolstr!("{:?}", fleet.availability(up, now)),
         running: fleet.running(up, now),
         unread: fleet.unread(up),
-        heard_ms_ago: clock::ms(now.since(up.last_received)),
+        heard_ms_ago: clock::millis(now.since(up.last_received)),
         weights: up
             .entry
             .weights
@@ -153,7 +153,7 @@
             .map(|w| (w.model.clone(), w.version.0))
             .collect(),
     });
-    let known = core.peers.known();
+    let known = core.peers.addrs_by_status();
     Json(Dump {
         vm: core.settings().vm.to_smolstr(),
         phase: smol_str::format_smolstr!("{:?}", core.phase()),
@@ -162,6 +162,6 @@
         upstreams: upstreams.collect(),
         quarantine: request_dumps(core),
         peers: known.alive,
-        doubted: known.doubted,
+        doubted: known.suspected,
     })
 }
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -7,8 +7,8 @@
 use sesamegap_entry::fleet::{Change, Entry, Flight, PromptShape, Selection};
 use sesamegap_entry::follow::{TableUpdate, apply_batch, apply_update};
 use sesamegap_entry::kept;
-use sesamegap_entry::peers::{self, EngineNews};
-use sesamegap_entry::ports::{Batch, CacheNews, Record, Table, Weights};
+use sesamegap_entry::peers::{self, EngineUpdate};
+use sesamegap_entry::ports::{Batch, CacheUpdate, Record, Table, Weights};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::routing::Availability;
 use sesamegap_policy::routing::engines::{Prefix, Prompt};
@@ -24,7 +24,7 @@
         Logging::disabled(),
     );
     let core = Arc::new(core.unwrap());
-    let position = core.known(Table::Fleet);
+    let position = core.table_progress(Table::Fleet);
     position.position().read(offset(0), clock::now());
     core
 }
@@ -50,7 +50,9 @@
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
     let update = apply_batch(core, Table::Fleet, offset(from), Batch { records, next });
-    core.known(Table::Fleet).position().read(next, clock::now());
+    core.table_progress(Table::Fleet)
+        .position()
+        .read(next, clock::now());
     update
 }
 
@@ -86,7 +88,7 @@
     apply_update(&second, update);
     let update = read(&second, 0, vec![listed(1)]);
     apply_update(&receiver, update);
-    let read_up_to = receiver.known(Table::Fleet).position().next();
+    let read_up_to = receiver.table_progress(Table::Fleet).position().next();
     assert!(
         knows(&receiver) || read_up_to == Some(offset(0)),
         "it must know the worker or read the list itself"
@@ -147,14 +149,14 @@
         fleet.record_failure(&worker(), now);
         fleet.get(&worker()).unwrap().life
     };
-    let pause = EngineNews {
+    let pause = EngineUpdate {
         engine: worker(),
         born: Some(Incarnation(100)),
         out_ms: 3_000,
         weights: None,
         gone: false,
     };
-    peers::take(&core, std::slice::from_ref(&pause));
+    peers::apply_engine_updates(&core, std::slice::from_ref(&pause));
     read(&core, 1, vec![engine(200, 1, 1)]);
     {
         let fleet = core.fleet.lock();
@@ -168,7 +170,7 @@
         assert_eq!(upstream.version("m"), Some(WeightsVersion(1)));
         assert_eq!(fleet.availability(upstream, now), Availability::Open);
     }
-    peers::take(&core, &[pause]);
+    peers::apply_engine_updates(&core, &[pause]);
     let fresh = choose(&core, &shape).unwrap();
     assert!(
         fresh.last_served().is_none(),
@@ -198,7 +200,7 @@
 fn an_incarnation_observed_by_a_peer_applies_before_it_is_listed() {
     let core = vm("vm-1");
     read(&core, 0, vec![engine(100, 40, 3)]);
-    let loaded = EngineNews {
+    let loaded = EngineUpdate {
         engine: worker(),
         born: Some(Incarnation(200)),
         out_ms: 0,
@@ -208,7 +210,7 @@
         }),
         gone: false,
     };
-    peers::take(&core, &[loaded]);
+    peers::apply_engine_updates(&core, &[loaded]);
     read(&core, 1, vec![engine(100, 41, 3)]);
     let fleet = core.fleet.lock();
     assert_eq!(
@@ -263,7 +265,7 @@
 #[tokio::test]
 async fn news_of_a_restarted_kv_store_is_requested_from_the_beginning() {
     let platform = Arc::new(Platform::default());
-    let news = |born, next| CacheNews {
+    let news = |born, next| CacheUpdate {
         next,
         born: Some(Incarnation(born)),
     };
--- a/crates/sesamegap-entry/tests/testsuite/fleet_records.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet_records.rs
@@ -35,7 +35,7 @@
 
 fn malformed_entry(no: usize, offset: u64, why: &str) -> Record {
     let record = Unreadable::new(Table::Fleet, Offset(offset), id(no).as_str(), &why);
-    Record::Unreadable(record.at("state"))
+    Record::Unreadable(record.with_field("state"))
 }
 
 /// Applies records that start at an offset.
@@ -57,7 +57,7 @@
 fn a_malformed_entry_removes_the_upstream_until_its_next_heartbeat() {
     let (reader, receiver) = (new_core(), new_core());
     receiver
-        .known(Table::Fleet)
+        .table_progress(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
     let steps = [
@@ -103,7 +103,7 @@
     let (one, two, receiver) = (new_core(), new_core(), new_core());
     let mut readings = Vec::new();
     for core in [&one, &two, &receiver] {
-        core.known(Table::Fleet)
+        core.table_progress(Table::Fleet)
             .position()
             .read(offset(1), clock::now());
         read_records(core, 0, vec![valid_entry(1, 5)]);
--- a/crates/sesamegap-entry/tests/testsuite/idle_close.rs
+++ b/crates/sesamegap-entry/tests/testsuite/idle_close.rs
@@ -37,9 +37,9 @@
 async fn an_unread_request_is_answered_before_shutdown_closes_the_connection() {
     for _ in 0..REPETITIONS {
         let (process, _worker, mut caller) = idle_caller(LONG_IDLE_LIMIT).await;
-        process.core.enter(Phase::Leaving);
+        process.core.advance_phase(Phase::Leaving);
         caller.send_now(SAVE_REQUEST);
-        process.core.enter(Phase::Closing);
+        process.core.advance_phase(Phase::Closing);
         let answer = caller.answer().await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ok"));
         assert_eq!(answer.header("connection"), Some("close"));
@@ -70,7 +70,7 @@
     // Once another request has been answered, the partial head has been read too.
     let other = ask(process.callers, "POST", "/save/", "", "").await;
     assert_eq!(other.status, 200);
-    process.core.enter(Phase::Closing);
+    process.core.advance_phase(Phase::Closing);
     for _ in 0..20 {
         tokio::task::yield_now().await;
     }
@@ -90,7 +90,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
         let mut stream = std::net::TcpStream::connect(process.callers).unwrap();
         stream.write_all(SAVE_REQUEST.as_bytes()).unwrap();
-        process.core.enter(Phase::Ended);
+        process.core.advance_phase(Phase::Ended);
         let mut caller = Caller::from_stream(stream);
         assert_eq!(caller.answer().await.body, "ok");
     }
@@ -101,7 +101,7 @@
 #[tokio::test]
 async fn new_connections_do_not_keep_the_port_open() {
     let process = Process::new().await;
-    process.core.enter(Phase::Ended);
+    process.core.advance_phase(Phase::Ended);
     for _ in 0..1_000 {
         if tokio::net::TcpStream::connect(process.callers)
             .await
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -24,8 +24,8 @@
 /// An entry VM with engines at its own address; of its servers only the datagram exchange runs.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
-    settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
-    settings.listen.peers = settings.listen.loads;
+    settings.listen.datagrams = SocketAddr::new(ip.parse().unwrap(), port);
+    settings.listen.peers = settings.listen.datagrams;
     let platform = Arc::new(Platform::default());
     let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
@@ -37,7 +37,7 @@
             .lock()
             .apply(&id, entry, offset(no as u64), clock::now());
     }
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     core
 }
 
@@ -51,7 +51,7 @@
         version: 0,
         status: Status::Alive,
     };
-    core.peers.hear(&update, clock::now());
+    core.peers.apply_update(&update, clock::now());
 }
 
 /// Two VMs that know each other.
@@ -67,7 +67,6 @@
 }
 
 /// Adds peers that never answer.
-
 fn add_unreachable_vms(core: &Core) {
     for no in 0..UNREACHABLE_VMS {
         let ip: IpAddr = format!("127.0.7.{no}").parse().unwrap();
@@ -114,7 +113,7 @@
 /// A prompt placed by `owner`: unreachable owners that are queried first get no further queries for
 /// a while.
 async fn placed_by(asker: &Core, owner: &Core) -> Flight {
-    let addr = owner.settings().listen.loads;
+    let addr = owner.settings().listen.datagrams;
     for part in 0..200 {
         let flight = place(asker, part).await.unwrap();
         if flight.owner() == Some(addr) {
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -42,12 +42,12 @@
 
 async fn vm(no: usize, net: u8, port: u16, platform: &Arc<Platform>) -> Vm {
     let mut settings = settings(&format!("vm-{no}"), Vec::new());
-    settings.listen.loads =
+    settings.listen.datagrams =
         SocketAddr::new(format!("127.0.{net}.{}", no + 1).parse().unwrap(), port);
-    settings.listen.peers = settings.listen.loads;
+    settings.listen.peers = settings.listen.datagrams;
     let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let callers = listener.local_addr().unwrap();
     tokio::spawn(intake::serve(Arc::clone(&core), listener));
@@ -79,7 +79,7 @@
         for other in &all {
             let update = member_update(&other.core.settings(), Status::Alive, 0);
             if !Arc::ptr_eq(&one.core, &other.core) {
-                one.core.peers.hear(&update, clock::now());
+                one.core.peers.apply_update(&update, clock::now());
             }
         }
     }
@@ -283,14 +283,14 @@
     };
     let (first, others): (Vec<&Vm>, Vec<&Vm>) = vms
         .iter()
-        .partition(|vm| vm.core.peers.first(1, COORDINATOR_RANKING_KEY) == [None]);
+        .partition(|vm| vm.core.peers.first_ranked(1, COORDINATOR_RANKING_KEY) == [None]);
     for no in 0..2 {
         request(first[0], no).await;
     }
     for vm in &others {
         let settings = first[0].core.settings();
         let update = member_update(&settings, Status::Leaving, 1);
-        vm.core.peers.hear(&update, clock::now());
+        vm.core.peers.apply_update(&update, clock::now());
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for no in 0..SENDS / 2 {
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -14,19 +14,19 @@
 /// An entry VM that runs only the exchange of datagrams.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
-    settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
-    settings.listen.peers = settings.listen.loads;
+    settings.listen.datagrams = SocketAddr::new(ip.parse().unwrap(), port);
+    settings.listen.peers = settings.listen.datagrams;
     let platform = Arc::new(Platform::default());
     let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
-    tokio::spawn(peers::exchange(Arc::clone(&core)));
+    tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
     core
 }
 
 fn add_peer(core: &Core, other: &Core) {
-    core.peers.hear(
+    core.peers.apply_update(
         &MemberUpdate {
-            who: other.peers.me().clone(),
+            who: other.peers.local_process().clone(),
             addr: other.settings().listen.peers,
             version: 0,
             status: Status::Alive,
@@ -62,7 +62,13 @@
     let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
     tokio::spawn(follow(Arc::clone(&core), Table::Settings));
-    wait_until(|| core.known(Table::Settings).position().next().is_some()).await;
+    wait_until(|| {
+        core.table_progress(Table::Settings)
+            .position()
+            .next()
+            .is_some()
+    })
+    .await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let weights = Weights {
         model: "m".into(),
@@ -92,7 +98,7 @@
         }
     };
     receiver
-        .known(Table::Fleet)
+        .table_progress(Table::Fleet)
         .position()
         .read(offset(4), clock::now());
     let new = apply_batch(
@@ -113,7 +119,7 @@
     reader.peers.outbox.put_reading(leaving);
     wait_until(|| leaves(&receiver)).await;
     assert_eq!(
-        receiver.known(Table::Fleet).position().next(),
+        receiver.table_progress(Table::Fleet).position().next(),
         Some(offset(7))
     );
 }
@@ -124,7 +130,7 @@
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let _guard = runtime.enter();
     let core = vm("vm-1", "127.0.0.1", unused_addr().port());
-    core.known(Table::Fleet)
+    core.table_progress(Table::Fleet)
         .position()
         .read(offset(0), clock::now());
     let update = |from: u64, next: u64, record: Record| {
@@ -160,7 +166,10 @@
     apply_update(&core, empty);
     apply_update(&core, gone);
     assert!(core.fleet.lock().get(&worker()).is_none());
-    assert_eq!(core.known(Table::Fleet).position().next(), Some(offset(9)));
+    assert_eq!(
+        core.table_progress(Table::Fleet).position().next(),
+        Some(offset(9))
+    );
 }
 
 /// A kept-KV store is down, which only a few VMs monitor. Without their report, every prompt that fetches from it would
@@ -172,7 +181,7 @@
     let receiver = vm("vm-2", "127.0.0.2", port);
     add_peer(&watcher, &receiver);
     let store = unused_addr();
-    peers::tell_of_store(&watcher, store);
+    peers::broadcast_store_unavailable(&watcher, store);
     wait_until(|| {
         receiver
             .fleet
--- a/crates/sesamegap-entry/tests/testsuite/rolls.rs
+++ b/crates/sesamegap-entry/tests/testsuite/rolls.rs
@@ -40,7 +40,7 @@
         version: WeightsVersion(version),
     };
     core.fleet.lock().observe_naming(&weights, clock::now());
-    core.named.notify_one();
+    core.weights_named.notify_one();
 }
 
 fn all_have(platform: &Platform, version: u32) -> bool {
@@ -241,7 +241,7 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let long_ago = clock::now_less(Duration::from_secs(7));
+    let long_ago = clock::ago(Duration::from_secs(7));
     core.fleet.lock().observe_naming(&weights, long_ago);
     tokio::spawn(roll::run(Arc::clone(&core)));
     let mut most = 0;
@@ -294,9 +294,9 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let named = clock::now_less(Duration::from_secs(2));
+    let named = clock::ago(Duration::from_secs(2));
     core.fleet.lock().observe_naming(&weights, named);
-    core.named.notify_one();
+    core.weights_named.notify_one();
     wait_until(|| !platform.engines.lock().unwrap()[8].orders.is_empty()).await;
     let drained = clock::now().since(began);
     assert!(drained >= Duration::from_millis(2_900), "{drained:?}");
--- a/crates/sesamegap-entry/tests/testsuite/support/platform.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/platform.rs
@@ -5,9 +5,9 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderName, HeaderValue};
 use sesamegap_entry::ports::{
-    AnswerHead, BadHead, CacheNews, Call, Dispatch, EngineCall, Engines, Headers, LoadOrder,
-    OrderAnswer, Part, Ports, Record, Records, Reply, Report, RequestHead, Store, StoreError,
-    Table, Weights,
+    AnswerHead, CacheUpdate, Dispatch, EngineCall, EngineReport, Engines, Headers, InvalidHeader,
+    LoadOrder, OrderAnswer, Ports, PromptPart, Record, Records, Reply, RequestHead, Store,
+    StoreCall, StoreError, Table, Weights,
 };
 use sesamegap_policy::agreement::timelines::ReportedTimeline;
 use sesamegap_policy::quarantine;
@@ -38,19 +38,19 @@
 }
 
 impl Headers for PlainHeaders {
-    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead> {
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader> {
         let parts = text(headers, &HeaderName::from_static("x-parts"));
         let parts = parts.unwrap_or_default();
         let parts = parts.split(',').filter(|name| !name.is_empty());
         Ok(RequestHead {
-            id: text(headers, &ID).ok_or(BadHead("no id"))?,
-            patience: text(headers, &HeaderName::from_static("x-patience"))
+            id: text(headers, &ID).ok_or(InvalidHeader("no id"))?,
+            timeout: text(headers, &HeaderName::from_static("x-patience"))
                 .and_then(|ms| ms.parse().ok())
                 .map(Duration::from_millis),
             key: text(headers, &AUTHORIZATION),
             model: text(headers, &MODEL),
             parts: parts
-                .map(|name| Part {
+                .map(|name| PromptPart {
                     name: name.into(),
                     tokens: Tokens(500),
                 })
@@ -72,7 +72,7 @@
                 headers.insert(name, HeaderValue::from_str(&value).unwrap());
             }
         };
-        set(&LEFT, Some(dispatch.left.as_millis().to_string()));
+        set(&LEFT, Some(dispatch.time_left.as_millis().to_string()));
         set(&MEANT, dispatch.upstream.as_ref().map(ToString::to_string));
         set(&TEAM, dispatch.team.as_ref().map(ToString::to_string));
         set(&SPACE, dispatch.namespace.as_ref().map(ToString::to_string));
@@ -175,7 +175,7 @@
 /// A kept-KV store that answers with news.
 #[derive(Debug)]
 pub struct StandinKvStore {
-    pub news: CacheNews,
+    pub news: CacheUpdate,
     /// Numbers since which news were requested.
     pub asked: Vec<u64>,
 }
@@ -254,7 +254,7 @@
         let timeline = *self.timeline.lock().unwrap();
         let stated = timeline.map_or(ReportedTimeline::Missing, ReportedTimeline::At);
         Reply {
-            stated: Some(stated),
+            timeline: Some(stated),
             outcome,
         }
     }
@@ -272,7 +272,7 @@
 }
 
 impl Store for Platform {
-    fn snapshot(&self, table: Table) -> Call<'_, Records> {
+    fn snapshot(&self, table: Table) -> StoreCall<'_, Records> {
         let quarantined = || {
             self.check_available()?;
             let records = self.quarantine.lock().unwrap();
@@ -292,7 +292,7 @@
         async move { self.reply(found) }.boxed()
     }
 
-    fn changes(&self, _table: Table, from: Offset, wait: Duration) -> Call<'_, Records> {
+    fn changes(&self, _table: Table, from: Offset, wait: Duration) -> StoreCall<'_, Records> {
         async move {
             tokio::time::sleep(wait.min(Duration::from_millis(50))).await;
             if std::mem::take(&mut *self.dropped.lock().unwrap()) {
@@ -303,12 +303,12 @@
         .boxed()
     }
 
-    fn announce(&self, vm: &VmId, _peers: SocketAddr) -> Call<'_, ()> {
+    fn write_vm_entry(&self, vm: &VmId, _peers: SocketAddr) -> StoreCall<'_, ()> {
         self.announced.lock().unwrap().push(vm.clone());
         async move { self.reply(self.check_available()) }.boxed()
     }
 
-    fn quarantine(&self, records: &[quarantine::Record]) -> Call<'_, ()> {
+    fn write_quarantine_records(&self, records: &[quarantine::Record]) -> StoreCall<'_, ()> {
         let written = self.check_available().map(|()| {
             let mut kept = self.quarantine.lock().unwrap();
             kept.retain(|old| records.iter().all(|new| new.fingerprint != old.fingerprint));
@@ -317,7 +317,7 @@
         async move { self.reply(written) }.boxed()
     }
 
-    fn lease_records(&self, from: Offset) -> Call<'_, (Vec<Bytes>, Offset)> {
+    fn lease_records(&self, from: Offset) -> StoreCall<'_, (Vec<Bytes>, Offset)> {
         async move {
             let read = self.check_available().map(|()| {
                 let leases = self.leases.lock().unwrap();
@@ -329,7 +329,7 @@
         .boxed()
     }
 
-    fn lease_append(&self, record: Bytes, at: Offset) -> Call<'_, Offset> {
+    fn lease_append(&self, record: Bytes, at: Offset) -> StoreCall<'_, Offset> {
         async move {
             let done = self.check_available().and_then(|()| {
                 let mut leases = self.leases.lock().unwrap();
@@ -347,10 +347,10 @@
 }
 
 impl Engines for Platform {
-    fn report(&self, addr: SocketAddr) -> EngineCall<'_, Report> {
+    fn report(&self, addr: SocketAddr) -> EngineCall<'_, EngineReport> {
         let report = self.with(addr, |engine| {
             engine.reports += 1;
-            Ok(Report {
+            Ok(EngineReport {
                 weights: vec![Weights {
                     model: "m".into(),
                     version: WeightsVersion(engine.version),
@@ -363,7 +363,12 @@
         async move { report }.boxed()
     }
 
-    fn news(&self, _addr: SocketAddr, since: u64, _wait: Duration) -> EngineCall<'_, CacheNews> {
+    fn cache_update(
+        &self,
+        _addr: SocketAddr,
+        since: u64,
+        _wait: Duration,
+    ) -> EngineCall<'_, CacheUpdate> {
         let mut cache = self.cache.lock().unwrap();
         let news = cache.as_mut().map(|cache| {
             cache.asked.push(since);
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -1,6 +1,6 @@
 use crate::support::{Act, Caller, Process, Upstream, ask, request};
 use sesamegap_entry::clock;
-use sesamegap_entry::peers::{EngineNews, take};
+use sesamegap_entry::peers::{EngineUpdate, apply_engine_updates};
 use sesamegap_entry::ports::Weights;
 use sesamegap_wire::WeightsVersion;
 use std::time::Duration;
@@ -15,7 +15,7 @@
         version: WeightsVersion(2),
     };
     let mut fleet = process.core.fleet.lock();
-    fleet.observe_naming(&weights, clock::now_less(age));
+    fleet.observe_naming(&weights, clock::ago(age));
 }
 
 fn record_version(process: &Process, engine: &str, version: u32) {
@@ -129,7 +129,7 @@
     drop(ask(process.callers, "POST", "/review/", CHAT, "hello").await);
     assert_eq!(expired.seen().len(), 0);
     let mut left = 0;
-    while process.core.may_repeat(&service) {
+    while process.core.try_retry(&service) {
         left += 1;
     }
     assert!(
@@ -254,16 +254,16 @@
     let mut loads = sesamegap_entry::peers::Loads::default();
     let reported = clock::now();
     for vm in 0..30 {
-        let held = sesamegap_entry::peers::Held {
-            life: 7,
+        let held = sesamegap_entry::peers::UpstreamLoad {
+            key: 7,
             running: 2,
             unread: 2_000,
         };
         let vm = format!("vm-{vm}").parse().unwrap();
-        loads.take(vm, vec![held], reported);
+        loads.record(vm, vec![held], reported);
     }
     loads.tick(reported + Duration::from_millis(60));
-    let unread = loads.at(7).map(|held| held.unread);
+    let unread = loads.total_at(7).map(|held| held.unread);
     assert!(unread >= Some(50_000), "{unread:?}");
 }
 
@@ -275,7 +275,7 @@
     let engine = Upstream::start(vec![Act::Events(1..6)]).await;
     process.add("e1", "engines", engine.addr);
     record_version(&process, "e1", 3);
-    let delayed = EngineNews {
+    let delayed = EngineUpdate {
         engine: "e1".parse().unwrap(),
         born: None,
         out_ms: 0,
@@ -285,7 +285,7 @@
         }),
         gone: false,
     };
-    take(&process.core, &[delayed]);
+    apply_engine_updates(&process.core, &[delayed]);
     let fleet = process.core.fleet.lock();
     let engine = fleet.get(&"e1".parse().unwrap()).unwrap();
     assert_eq!(engine.version("m"), Some(WeightsVersion(3)));
