--- a/crates/sesamegap-policy/src/placing/candidates.rs
+++ b/crates/sesamegap-policy/src/placing/candidates.rs
@@ -47,7 +47,7 @@
 
 impl Candidates {
     /// Selects candidates for a request; returns `false` if no permitted engine has its weights loaded.
-    pub fn gather(
+    pub fn select(
         &mut self,
         ask: &PlacementRequest<'_>,
         engines: &Engines,
--- a/crates/sesamegap-policy/src/placing/choose.rs
+++ b/crates/sesamegap-policy/src/placing/choose.rs
@@ -94,7 +94,7 @@
 
     /// Estimates the candidates' costs. Engines at the limit of cold prefills are considered for another
     /// one only if `allow_excess_cold` is set.
-    pub(super) fn weigh(
+    pub(super) fn score(
         &self,
         ask: &PlacementRequest<'_>,
         room: &dyn Room,
--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -1,7 +1,7 @@
 //! The engines in use and the latest state reported by each.
 //!
-//! An engine is eligible only if it is listed and not leaving, its latest report shows the model
-//! version as loaded, and no failure was seen since that report.
+//! An engine is eligible only if it is listed and not leaving, its latest report shows the
+//! requested weights version as loaded, and no failure was seen since that report.
 
 use super::backlog::Backlog;
 use super::cost::SLOWNESS_THRESHOLD;
@@ -79,11 +79,11 @@
 
     /// Whether the misprediction rate exceeds the threshold; resets the rate if so.
     pub fn take_mistaken(&mut self) -> bool {
-        let take_mistaken = self.mistakes > MISTAKE_THRESHOLD;
-        if take_mistaken {
+        let mistaken = self.mistakes > MISTAKE_THRESHOLD;
+        if mistaken {
             self.mistakes = 0.0;
         }
-        take_mistaken
+        mistaken
     }
 
     /// Seconds by which this router's requests there are overdue.
@@ -285,7 +285,7 @@
         all.filter_map(|(at, e)| Some((EngineNo(u16::try_from(at).ok()?), e.as_ref()?)))
     }
 
-    /// Ring of the usable engines that have the given model version loaded; `None` if there are none.
+    /// Ring of the usable engines that have the given weights version loaded; `None` if there are none.
     pub fn ring(&self, model: &ModelId, version: WeightsVersion) -> Option<&Ring> {
         let rings = self.rings.get(model)?;
         let (_, ring) = rings.iter().find(|(v, _)| *v == version)?;
@@ -372,7 +372,7 @@
         }
     }
 
-    /// Adds an engine to the rings of the model versions it has loaded and removes it from all others.
+    /// Adds an engine to the rings of the weights versions it has loaded and removes it from all others.
     fn update_rings(&mut self, no: EngineNo) {
         let Some(engine) = self.all.get(no.at()).and_then(Option::as_ref) else {
             return;
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -235,11 +235,11 @@
         let tick = tick(now);
         shard.retain(|_, holders| {
             holders.retain(|h| {
-                let retain_holding = self.retain_holding(h, tick);
-                if !retain_holding {
+                let retained = self.retain_holding(h, tick);
+                if !retained {
                     self.decrement_held(h.slot);
                 }
-                retain_holding
+                retained
             });
             !holders.is_empty()
         });
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -49,7 +49,7 @@
     pub request: &'a RequestId,
     /// Requested model.
     pub model: &'a ModelId,
-    /// Version of the weights that must compute the answer.
+    /// Weights version that must compute the answer.
     pub version: WeightsVersion,
     /// Block keys and nested prefixes of the prompt.
     pub chain: &'a Chain,
@@ -79,10 +79,9 @@
 pub enum PlacementOutcome {
     /// An engine with room was chosen.
     At(Placement),
-    /// Engines with the model loaded have no room now; contains the shortest
-    /// estimated wait for room.
+    /// Engines with these weights loaded have no room now; contains the shortest estimated wait for room.
     Full(Duration),
-    /// No eligible engine has this version of the model loaded.
+    /// No eligible engine has this weights version loaded.
     NoEngine,
 }
 
--- a/crates/sesamegap-policy/src/placing/peers.rs
+++ b/crates/sesamegap-policy/src/placing/peers.rs
@@ -47,12 +47,15 @@
 
     /// Removes peers that have timed out; returns the engines whose sum changed.
     pub fn expire(&mut self, now: Moment) -> Vec<EngineNo> {
-        let silent = self
+        let timed_out = self
             .peers
             .iter()
             .filter(|(_, p)| now.since(p.at) >= PEER_TIMEOUT);
-        let silent: Vec<SmolStr> = silent.map(|(name, _)| name.clone()).collect();
-        silent.iter().flat_map(|name| self.forget(name)).collect()
+        let timed_out: Vec<SmolStr> = timed_out.map(|(name, _)| name.clone()).collect();
+        timed_out
+            .iter()
+            .flat_map(|name| self.forget(name))
+            .collect()
     }
 
     /// Tokens of all peers waiting on an engine.
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -1,8 +1,8 @@
 //! The placer that routers use.
 //!
-//! Each request is compared on a few engines, whatever the size of the fleet: those believed to hold
-//! the most of its prefix, its home set, and two drawn at random, which can find an idle engine when
-//! the others are busy. The cheapest is picked. Near ties are broken at random, so that routers with
+//! For each request a few engines are compared, whatever the size of the fleet: those believed to
+//! hold the most of its prefix, its home set, and two drawn at random, which can find an idle engine
+//! when the others are busy. The cheapest is picked. Near ties are broken at random, so that routers with
 //! the same delayed reports do not all send to one engine. A dispatch is added at once to the
 //! engine's backlog and to the index, long before reports and events show it.
 
@@ -199,13 +199,14 @@
         }
         // A listing does not include the blocks of requests in flight. Without this, the next request
         // for the same prefix could go to another engine and be computed twice.
-        let Some((slot, life)) = self.engines.get(no).map(|e| (e.slot, e.incarnation)) else {
+        let Some((slot, incarnation)) = self.engines.get(no).map(|e| (e.slot, e.incarnation))
+        else {
             return;
         };
         let here = self
             .in_flight
             .on_engine(no)
-            .filter(|f| f.incarnation == life);
+            .filter(|f| f.incarnation == incarnation);
         for entry in here {
             for key in entry.keys.iter() {
                 self.index.expect(slot, *key, now);
@@ -222,7 +223,7 @@
     ) -> PlacementOutcome {
         // Maintenance whose cost grows with the fleet runs on reports and digests instead.
         self.index.sweep(now);
-        let known = self.candidates.gather(
+        let known = self.candidates.select(
             ask,
             &self.engines,
             &self.index,
@@ -233,11 +234,11 @@
         if !known {
             return PlacementOutcome::NoEngine;
         }
-        let within = self.weigh(ask, room, now, false);
+        let within = self.score(ask, room, now, false);
         if !within.is_empty() {
             return self.choose(ask, &within, now, rng);
         }
-        let over = self.weigh(ask, room, now, true);
+        let over = self.score(ask, room, now, true);
         self.choose(ask, &over, now, rng)
     }
 
@@ -275,8 +276,8 @@
             cold,
             stage: Stage::Sent,
         };
-        if let Some(former) = self.in_flight.insert(ask.request, entry) {
-            self.settle(&former);
+        if let Some(previous) = self.in_flight.insert(ask.request, entry) {
+            self.settle(&previous);
         }
     }
 
@@ -367,8 +368,8 @@
         let waiting = self.engines.iter().map(|(_, e)| (e.backlog.own(), &e.id));
         let mut waiting: Vec<_> = waiting.filter(|(tokens, _)| tokens.0 > 0).collect();
         waiting.sort_unstable_by(|a, b| b.cmp(a));
-        let named = waiting.into_iter().take(MAX_DIGEST_ENGINES);
-        digest.prefill = named.map(|(tokens, id)| (id.clone(), tokens)).collect();
+        let longest = waiting.into_iter().take(MAX_DIGEST_ENGINES);
+        digest.prefill = longest.map(|(tokens, id)| (id.clone(), tokens)).collect();
         let cold = self.in_flight.cold().take(MAX_COLD_PROMPTS);
         let cold = cold.filter_map(|entry| {
             Some(ColdPrompt {
--- a/crates/sesamegap-policy/src/placing/priority_waits.rs
+++ b/crates/sesamegap-policy/src/placing/priority_waits.rs
@@ -46,8 +46,7 @@
     /// Fraction of the backlog that requests of a priority wait for.
     pub fn wait_fraction(&self, priority: u8) -> f64 {
         let observed = self.observed.get(&priority).copied().unwrap_or_default();
-        let wait_fraction =
-            (observed.waited + PRIOR_SECONDS) / (observed.predicted + PRIOR_SECONDS);
-        wait_fraction.clamp(FRACTION_BOUNDS.0, FRACTION_BOUNDS.1)
+        let fraction = (observed.waited + PRIOR_SECONDS) / (observed.predicted + PRIOR_SECONDS);
+        fraction.clamp(FRACTION_BOUNDS.0, FRACTION_BOUNDS.1)
     }
 }
--- a/crates/sesamegap-policy/src/routing/belief/contact.rs
+++ b/crates/sesamegap-policy/src/routing/belief/contact.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Records that the store was restored from a copy, which lacks the newest entries until they are written again.
+    /// Records that the store was restored from a backup, which lacks the newest entries until they are written again.
     pub fn restored(&mut self, now: Moment) {
         self.away = false;
         self.back = Some(now);
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -11,7 +11,7 @@
 //!    previous incarnation are ignored.
 //! 2. **Positions.** Each update carries its position in the list's log, whoever relays it. An update at or
 //!    before the newest position applied is a repeat. Updates may therefore arrive in any order and any number
-//!    of times. Restoring the store from a copy starts a new timeline, whose positions follow all earlier ones.
+//!    of times. Restoring the store from a backup starts a new timeline, whose positions follow all earlier ones.
 //! 3. **Heartbeats.** A write that was delayed is newer in the log but holds older data. A record whose
 //!    heartbeat is no newer than the known one of the same incarnation changes nothing for an upstream that is
 //!    listed, and only puts one that is gone into the doubted state.
--- a/crates/sesamegap-policy/src/routing/engines.rs
+++ b/crates/sesamegap-policy/src/routing/engines.rs
@@ -7,9 +7,9 @@
 //! When weights change under full traffic, every cache is empty at once, and a few outer prefixes are shared by
 //! most prompts. To keep each engine from computing the same outer prefix, a VM sends the first prompt of an
 //! outer prefix to that prefix's own home. Once it has observed that the home served it, the VM spreads the inner
-//! prefixes over their homes, which fetch the outer one. Measured over 34 s with five weight changes, this reduces
-//! shared tokens that are computed again from 156,000 to 138,000 on nine engines and from 242,000 to 193,000 on
-//! twelve (means of two runs each).
+//! prefixes over their homes, which fetch the outer one. Measured over 34 s with five namings of new weights, this
+//! reduces shared tokens that are computed again from 156,000 to 138,000 on nine engines and from 242,000 to 193,000
+//! on twelve (means of two runs each).
 //!
 //! Long prompts share the engines with short prompts that have long answers. A long prompt is prefilled in chunks
 //! of a tenth of a second between the tokens of all streams of its engine. This slows the streams down, so they
@@ -190,17 +190,22 @@
     x ^ (x >> 31)
 }
 
-/// Picks the engine with the lowest expected time to first token; `newest` is the desired version of the weights.
+/// Picks the engine with the lowest expected time to first token; `newest` is the desired weights version.
 pub fn choose(
     prompt: &Prompt,
     engines: &[Engine],
     newest: u32,
-    recall: &CacheLocations,
+    cache_locations: &CacheLocations,
 ) -> Option<Choice> {
     let fresh = |no: &usize| engines[*no].version >= newest;
     let open = || (0..engines.len()).filter(|no| engines[*no].state != Availability::Paused);
-    let new_home = home(prompt, engines, &open().filter(fresh), recall);
-    let old_home = home(prompt, engines, &open().filter(|no| !fresh(no)), recall);
+    let new_home = home(prompt, engines, &open().filter(fresh), cache_locations);
+    let old_home = home(
+        prompt,
+        engines,
+        &open().filter(|no| !fresh(no)),
+        cache_locations,
+    );
     let home_of = |no: usize| if fresh(&no) { new_home } else { old_home };
     let reach = |no: usize| Reach::between(engines, no, home_of(no));
     let costed = open().map(|no| (cost(prompt, &engines[no], reach(no), fresh(&no)), no));
@@ -211,7 +216,7 @@
         };
         a.0.total_cmp(&b.0).then_with(ranks)
     })?;
-    let source = source(prompt, engines, at, home_of(at), recall);
+    let source = source(prompt, engines, at, home_of(at), cache_locations);
     Some(Choice {
         at,
         source,
@@ -245,7 +250,7 @@
     prompt: &Prompt,
     engines: &[Engine],
     group: &(impl Iterator<Item = usize> + Clone),
-    recall: &CacheLocations,
+    cache_locations: &CacheLocations,
 ) -> Option<usize> {
     let open = || {
         group
@@ -260,7 +265,7 @@
             .or_else(|| open().max_by_key(by_rank))
     };
     let first = best(prompt.outer().hash)?;
-    if recall.served(prompt.outer().hash, &engines[first]) {
+    if cache_locations.served(prompt.outer().hash, &engines[first]) {
         best(prompt.inner().hash)
     } else {
         Some(first)
@@ -282,7 +287,7 @@
     engines: &[Engine],
     at: usize,
     home: Option<usize>,
-    recall: &CacheLocations,
+    cache_locations: &CacheLocations,
 ) -> Option<usize> {
     let usable = |no: &usize| {
         let engine = &engines[*no];
@@ -290,13 +295,14 @@
     };
     let others = || (0..engines.len()).filter(usable);
     let seen = prompt.prefixes.iter().rev().find_map(|prefix| {
-        if recall.served(prefix.hash, &engines[at]) {
+        if cache_locations.served(prefix.hash, &engines[at]) {
             // The engine has the prefix itself, and no engine is known to have more.
             return Some(None);
         }
-        let served = |no: &usize| recall.last(prefix.hash, engines[*no].life, engines[*no].version);
+        let served =
+            |no: &usize| cache_locations.last(prefix.hash, engines[*no].life, engines[*no].version);
         let mut holders = others().filter(|no| served(no).is_some());
-        let holder = if recall.is_complete() {
+        let holder = if cache_locations.is_complete() {
             // A prefix that was served long ago has most likely been evicted, so prefer the latest.
             holders.max_by_key(served)
         } else {
--- a/crates/sesamegap-policy/src/routing/rolls.rs
+++ b/crates/sesamegap-policy/src/routing/rolls.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Engines that may be taken out in one step of a roll: as many as can load within the step.
+/// Engines that may be taken out in one step of a rollout: as many as can load within the step.
 ///
 /// All engines of a round drain for the same second and would then load together, so that each would be out for
 /// longer than its own drain and load. Small fleets gain nothing from spreading.
@@ -123,7 +123,7 @@
     count.max(1)
 }
 
-/// Progress of an engine in a roll.
+/// Progress of an engine in a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// It has older weights and accepts work.
@@ -134,10 +134,10 @@
     Done,
 }
 
-/// An engine as the roll sees it.
+/// An engine as the rollout sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Engine {
-    /// Progress in the roll.
+    /// Progress in the rollout.
     pub stage: Stage,
     /// Version of its weights.
     pub version: u32,
--- a/crates/sesamegap-policy/src/routing/silence.rs
+++ b/crates/sesamegap-policy/src/routing/silence.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub struct SilenceReports {
     reports: FxHashMap<u64, Vec<(VmId, Moment)>>,
-    /// Last avoidance time of an upstream, and until when it is remembered.
+    /// For how long an upstream was last avoided, and until when that is remembered.
     avoided: FxHashMap<u64, (Duration, Moment)>,
     attempts: VecDeque<(Moment, bool)>,
     outgoing: Vec<SilenceReport>,
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -1,11 +1,11 @@
-//! When versions of weights were named, and until when a request may still start on older ones.
+//! When weights versions were named, and until when a request may still start on older ones.
 //!
 //! Weights are named under full traffic, and the VM that rolls them out may crash midway, so most prompts may go to
 //! outdated engines with seconds of queued work. A caller must not get an answer from weights that were superseded
-//! too long ago. The bound applies to the time at which a
-//! request starts at its engine, not to that at which it is sent. The queue in between grows with the load: waits of
-//! 2.3 s were observed where 1.5 s had been assumed as the maximum. So a request is sent only while the expected
-//! wait fits into the rest of the bound, and is withdrawn if it has not started shortly before the bound ends.
+//! too long ago. The bound applies to the time at which a request starts at its engine, not to that at which it is
+//! sent. The queue in between grows with the load: waits of 2.3 s were observed where 1.5 s had been assumed as the
+//! maximum. So a request is sent only while the expected wait fits into the rest of the bound, and is withdrawn if it
+//! has not started shortly before the bound ends.
 
 use sesamegap_wire::{Moment, WeightsVersion};
 use smol_str::SmolStr;
@@ -42,7 +42,7 @@
     Guessed(Moment),
 }
 
-/// A version of weights and when it was named.
+/// A weights version and when it was named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Naming {
     /// The version.
@@ -165,14 +165,15 @@
         wait: Duration,
         now: Moment,
     ) -> bool {
-        let Some(overtaken) = self.superseded_at(model, version) else {
+        let Some(superseded) = self.superseded_at(model, version) else {
             return true;
         };
         let reserved = MIN_WAIT.max(wait * WAIT_FACTOR);
-        now.since(overtaken) + reserved < self.bound
+        now.since(superseded) + reserved < self.bound
     }
 
-    /// Until when a request must have started on these weights to not be withdrawn, or `None` if they are the newest.
+    /// Time by which a request on these weights must have started, since it is withdrawn otherwise; `None` if they are
+    /// the newest.
     pub fn start_deadline(&self, model: &str, version: WeightsVersion) -> Option<Moment> {
         let left = self.bound.saturating_sub(WITHDRAWAL_MARGIN);
         self.superseded_at(model, version).map(|at| at + left)
--- a/crates/sesamegap-policy/tests/agreement/claims.rs
+++ b/crates/sesamegap-policy/tests/agreement/claims.rs
@@ -119,10 +119,10 @@
     fn apply(&mut self, offset: Offset, time: u64, record: &ClaimRecord) {
         if let ClaimRecord::Claim { key, claim, .. } = record {
             let old = self.since.get(key).copied();
-            if let Some((since, former)) = old.filter(|(since, _)| since + 5_000 < time) {
+            if let Some((since, previous)) = old.filter(|(since, _)| since + 5_000 < time) {
                 let release = ClaimRecord::Release {
                     key: key.clone(),
-                    claim: former,
+                    claim: previous,
                 };
                 let _ = since;
                 let mut fresh = RealFold::default();
--- a/crates/sesamegap-policy/tests/agreement/lease.rs
+++ b/crates/sesamegap-policy/tests/agreement/lease.rs
@@ -222,7 +222,7 @@
     })
 }
 
-/// Guards against an engine that alternates between two model versions and loses its cache each
+/// Guards against an engine that alternates between two weights versions and loses its cache each
 /// time, when a holder is paused past its lease before sending an order, appends are delayed, and
 /// responses are lost.
 #[test]
@@ -268,7 +268,7 @@
 }
 
 /// The holder dies ten seconds into the run. Without a successor no engine would receive another
-/// order, and a new model version would never be loaded.
+/// order, and a new weights version would never be loaded.
 #[test]
 fn a_dead_holder_is_succeeded() {
     assert_eq!(run_without_faults(TIMING, 120, Some(0)).len(), 2);
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -17,7 +17,7 @@
 /// Number of cases of each property test, unless `SESAMEGAP_CASES` is set.
 const CASES: u64 = 60;
 
-/// Version of the weights in all requests of these tests.
+/// Weights version in all requests of these tests.
 pub const VERSION: WeightsVersion = WeightsVersion(1);
 
 /// Runs a check on cases generated from fixed seeds and describes the first that fails.
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -48,7 +48,7 @@
     Crash,
     /// The VM receives an update again, whether it has read it or not.
     Tell(u8),
-    /// The store is restored from a copy that lacks this many of the newest records.
+    /// The store is restored from a backup that lacks this many of the newest records.
     Restore(u8),
     /// The VM cannot reach the store.
     Away,
@@ -195,7 +195,7 @@
 
     fn restore(&mut self, lost: usize) {
         self.timeline = Timeline(self.timeline.0 + 1);
-        // The copy always contains the first record, since the list would have no position otherwise.
+        // The backup always contains the first record, since the list would have no position otherwise.
         let kept = self.log.len().saturating_sub(lost).max(1);
         self.log.truncate(kept);
         self.entry = match self.log.last() {
@@ -331,13 +331,13 @@
 
     /// An upstream that announced that it leaves and is gone must not come back in the same incarnation.
     fn check(&mut self, now: u64) -> Result<(), String> {
-        let (known, life) = (self.judge.is_known(), self.judge.born());
+        let (known, born) = (self.judge.is_known(), self.judge.born());
         if !known && self.judge.is_leaving() {
-            self.left.insert(life);
+            self.left.insert(born);
         }
         let usable = known && !self.judge.is_leaving();
-        if usable && self.left.contains(&life) {
-            return Err(format!("{life:?} is back at {now} though it had left"));
+        if usable && self.left.contains(&born) {
+            return Err(format!("{born:?} is back at {now} though it had left"));
         }
         Ok(())
     }
@@ -385,8 +385,8 @@
     }
     let judge = vm.judge;
     let usable = judge.is_known() && !judge.is_leaving();
-    let life = world.alive().map(|listing| listing.born);
-    match life {
+    let born = world.alive().map(|listing| listing.born);
+    match born {
         Some(born) if !usable || judge.born() != born => Err(format!(
             "{born:?} is alive but not used: {:?}",
             judge.born()
--- a/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/engines.rs
@@ -57,9 +57,9 @@
     }
 }
 
-fn serve(recall: &mut CacheLocations, prompt: &Prompt, engine: &Engine) {
+fn serve(cache_locations: &mut CacheLocations, prompt: &Prompt, engine: &Engine) {
     for prefix in &prompt.prefixes {
-        recall.note(prefix.hash, engine.seed, engine.version, Moment(0));
+        cache_locations.note(prefix.hash, engine.seed, engine.version, Moment(0));
     }
 }
 
@@ -71,11 +71,13 @@
     for preamble in 0..4 {
         for dossier in 0..30 {
             let asked = prompt(preamble, dossier, 2_000);
-            for recall in [&mut one, &mut two] {
-                let first = choose(&asked, &fleet, 1, recall).expect("engines are open");
-                serve(recall, &asked, &fleet[first.at]);
+            for cache_locations in [&mut one, &mut two] {
+                let first = choose(&asked, &fleet, 1, cache_locations).expect("engines are open");
+                serve(cache_locations, &asked, &fleet[first.at]);
             }
-            let placed = |recall: &CacheLocations| choose(&asked, &fleet, 1, recall).map(|c| c.at);
+            let placed = |cache_locations: &CacheLocations| {
+                choose(&asked, &fleet, 1, cache_locations).map(|c| c.at)
+            };
             assert_eq!(placed(&one), placed(&two));
         }
     }
@@ -86,14 +88,16 @@
 #[test]
 fn the_first_dossier_of_a_preamble_goes_to_its_home_and_the_next_ones_fetch_from_there() {
     let fleet = engines(9);
-    let mut recall = CacheLocations::default();
-    let first = choose(&prompt(1, 0, 2_000), &fleet, 1, &recall).expect("engines are open");
-    let again = choose(&prompt(1, 1, 2_000), &fleet, 1, &recall).expect("engines are open");
+    let mut cache_locations = CacheLocations::default();
+    let first =
+        choose(&prompt(1, 0, 2_000), &fleet, 1, &cache_locations).expect("engines are open");
+    let again =
+        choose(&prompt(1, 1, 2_000), &fleet, 1, &cache_locations).expect("engines are open");
     assert_eq!(first.at, again.at, "both wait for the one computation");
-    serve(&mut recall, &prompt(1, 0, 2_000), &fleet[first.at]);
+    serve(&mut cache_locations, &prompt(1, 0, 2_000), &fleet[first.at]);
     let mut spread = 0;
     for dossier in 2..40 {
-        let choice = choose(&prompt(1, dossier, 2_000), &fleet, 1, &recall).expect("open");
+        let choice = choose(&prompt(1, dossier, 2_000), &fleet, 1, &cache_locations).expect("open");
         if choice.at != first.at {
             spread += 1;
             assert_eq!(choice.source, Some(first.at), "the preamble is fetched");
@@ -109,12 +113,18 @@
 #[test]
 fn nothing_is_fetched_across_weight_versions() {
     let mut fleet = engines(9);
-    let recall = CacheLocations::default();
+    let cache_locations = CacheLocations::default();
     for (no, engine) in fleet.iter_mut().enumerate() {
         engine.version = if no % 2 == 0 { 1 } else { 2 };
     }
     for dossier in 0..200 {
-        let choice = choose(&prompt(dossier % 4, dossier, 900), &fleet, 2, &recall).expect("open");
+        let choice = choose(
+            &prompt(dossier % 4, dossier, 900),
+            &fleet,
+            2,
+            &cache_locations,
+        )
+        .expect("open");
         if let Some(source) = choice.source {
             assert_eq!(fleet[source].version, fleet[choice.at].version);
         }
@@ -125,20 +135,20 @@
 #[test]
 fn a_hot_dossier_spills_over_and_fetches_from_its_home() {
     let mut fleet = engines(9);
-    let mut recall = CacheLocations::default();
+    let mut cache_locations = CacheLocations::default();
     let hot = prompt(1, 7, 2_000);
-    let home = choose(&hot, &fleet, 1, &recall).expect("open").at;
-    serve(&mut recall, &hot, &fleet[home]);
-    let settled = choose(&hot, &fleet, 1, &recall).expect("open").at;
-    serve(&mut recall, &hot, &fleet[settled]);
+    let home = choose(&hot, &fleet, 1, &cache_locations).expect("open").at;
+    serve(&mut cache_locations, &hot, &fleet[home]);
+    let settled = choose(&hot, &fleet, 1, &cache_locations).expect("open").at;
+    serve(&mut cache_locations, &hot, &fleet[settled]);
     fleet[settled].unread = 40_000;
-    let spilled = choose(&hot, &fleet, 1, &recall).expect("open");
+    let spilled = choose(&hot, &fleet, 1, &cache_locations).expect("open");
     assert_ne!(spilled.at, settled);
     let inner = hot.prefixes[1].hash;
-    let holds = recall.served(inner, &fleet[spilled.at]);
+    let holds = cache_locations.served(inner, &fleet[spilled.at]);
     let fetches = spilled
         .source
-        .is_some_and(|source| recall.served(inner, &fleet[source]));
+        .is_some_and(|source| cache_locations.served(inner, &fleet[source]));
     assert!(holds || fetches, "{spilled:?}");
 }
 
@@ -147,17 +157,23 @@
 #[test]
 fn long_and_short_prompts_use_separate_engines_until_one_kind_queues() {
     let mut fleet = engines(9);
-    let recall = CacheLocations::default();
+    let cache_locations = CacheLocations::default();
     for thing in 0..100 {
-        let chat = choose(&short(thing), &fleet, 1, &recall).expect("open");
+        let chat = choose(&short(thing), &fleet, 1, &cache_locations).expect("open");
         assert!(!fleet[chat.at].long);
-        let review = choose(&prompt(thing % 4, thing, 3_000), &fleet, 1, &recall).expect("open");
+        let review = choose(
+            &prompt(thing % 4, thing, 3_000),
+            &fleet,
+            1,
+            &cache_locations,
+        )
+        .expect("open");
         assert!(fleet[review.at].long);
     }
     for engine in &mut fleet {
         engine.unread = if engine.long { 60_000 } else { 0 };
     }
-    let review = choose(&prompt(1, 1, 3_000), &fleet, 1, &recall).expect("open");
+    let review = choose(&prompt(1, 1, 3_000), &fleet, 1, &cache_locations).expect("open");
     assert!(
         !fleet[review.at].long,
         "two seconds of queue cost more than an engine of the other kind"
@@ -185,13 +201,15 @@
     for engine in &mut fleet {
         engine.store = 1 + engine.seed % 3;
     }
-    let recall = CacheLocations::default();
+    let cache_locations = CacheLocations::default();
     for dossier in 0..40 {
         let mut fleet = fleet.clone();
         let asked = prompt(1, dossier, 2_000);
-        let home = choose(&asked, &fleet, 1, &recall).expect("open").at;
+        let home = choose(&asked, &fleet, 1, &cache_locations)
+            .expect("open")
+            .at;
         fleet[home].unread = 9_000;
-        let spilled = choose(&asked, &fleet, 1, &recall).expect("open");
+        let spilled = choose(&asked, &fleet, 1, &cache_locations).expect("open");
         assert_ne!(spilled.at, home);
         assert_eq!(fleet[spilled.at].store, fleet[home].store);
         assert!(spilled.at_store);
@@ -200,7 +218,7 @@
                 engine.unread = 90_000;
             }
         }
-        let away = choose(&asked, &fleet, 1, &recall).expect("open");
+        let away = choose(&asked, &fleet, 1, &cache_locations).expect("open");
         assert!(!away.at_store);
         assert_eq!(away.source, Some(home));
     }
@@ -218,12 +236,16 @@
     for engine in &mut fleet {
         engine.slots = 12;
     }
-    let recall = CacheLocations::default();
+    let cache_locations = CacheLocations::default();
     for thing in 0..50 {
         let mut fleet = fleet.clone();
-        let home = choose(&short(thing), &fleet, 1, &recall).expect("open").at;
+        let home = choose(&short(thing), &fleet, 1, &cache_locations)
+            .expect("open")
+            .at;
         fleet[home].running = 12;
-        let placed = choose(&short(thing), &fleet, 1, &recall).expect("open").at;
+        let placed = choose(&short(thing), &fleet, 1, &cache_locations)
+            .expect("open")
+            .at;
         assert_ne!(placed, home);
     }
 }
@@ -232,18 +254,18 @@
 #[test]
 fn a_suspect_or_paused_engine_gets_nothing_while_others_are_open() {
     let mut fleet = engines(6);
-    let recall = CacheLocations::default();
+    let cache_locations = CacheLocations::default();
     fleet[0].state = Availability::Suspect;
     fleet[1].state = Availability::Paused;
     for thing in 0..200 {
-        let choice = choose(&short(thing), &fleet, 1, &recall).expect("open");
+        let choice = choose(&short(thing), &fleet, 1, &cache_locations).expect("open");
         assert!(choice.at > 1, "{choice:?}");
         assert!(choice.source.is_none_or(|source| source > 1), "{choice:?}");
     }
     for engine in &mut fleet {
         engine.state = Availability::Paused;
     }
-    assert_eq!(choose(&short(1), &fleet, 1, &recall), None);
+    assert_eq!(choose(&short(1), &fleet, 1, &cache_locations), None);
 }
 
 #[test]
@@ -261,14 +283,14 @@
 
 /// A VM that observes more prefixes than it may store evicts the oldest.
 #[test]
-fn recall_is_bounded_and_keeps_the_newest() {
-    let mut recall = CacheLocations::default();
+fn cache_locations_are_bounded_and_keep_the_newest() {
+    let mut cache_locations = CacheLocations::default();
     let engine = engines(1)[0];
     for prefix in 0..100_000 {
-        recall.note(prefix, engine.seed, engine.version, Moment(prefix));
+        cache_locations.note(prefix, engine.seed, engine.version, Moment(prefix));
     }
-    assert!(recall.served(99_999, &engine));
-    assert!(!recall.served(1, &engine));
+    assert!(cache_locations.served(99_999, &engine));
+    assert!(!cache_locations.served(1, &engine));
 }
 
 /// Guards against prompts that all go to the home of their preamble because the VM has evicted the home's entry after
@@ -276,15 +298,16 @@
 #[test]
 fn a_preamble_that_all_engines_served_counts_as_served_at_its_home() {
     let fleet = engines(16);
-    let mut recall = CacheLocations::default();
-    recall.set_complete();
-    let first = choose(&prompt(1, 0, 2_000), &fleet, 1, &recall).expect("engines are open");
-    serve(&mut recall, &prompt(1, 0, 2_000), &fleet[first.at]);
+    let mut cache_locations = CacheLocations::default();
+    cache_locations.set_complete();
+    let first =
+        choose(&prompt(1, 0, 2_000), &fleet, 1, &cache_locations).expect("engines are open");
+    serve(&mut cache_locations, &prompt(1, 0, 2_000), &fleet[first.at]);
     for (dossier, engine) in (1..).zip(&fleet) {
-        serve(&mut recall, &prompt(1, dossier, 2_000), engine);
+        serve(&mut cache_locations, &prompt(1, dossier, 2_000), engine);
     }
     let placed = (100..300).filter(|dossier| {
-        let choice = choose(&prompt(1, *dossier, 2_000), &fleet, 1, &recall);
+        let choice = choose(&prompt(1, *dossier, 2_000), &fleet, 1, &cache_locations);
         choice.is_some_and(|choice| choice.at == first.at)
     });
     assert!(placed.count() < 50);
@@ -294,12 +317,12 @@
 #[test]
 fn a_prefix_is_fetched_from_the_engine_that_served_it_last() {
     let fleet = engines(9);
-    let mut recall = CacheLocations::default();
-    recall.set_complete();
+    let mut cache_locations = CacheLocations::default();
+    cache_locations.set_complete();
     let asked = prompt(1, 7, 2_000);
     for (second, engine) in [2, 5, 3].into_iter().zip(&fleet) {
         for prefix in &asked.prefixes {
-            recall.note(
+            cache_locations.note(
                 prefix.hash,
                 engine.life,
                 engine.version,
@@ -315,6 +338,6 @@
             ..*engine
         })
         .collect();
-    let choice = choose(&asked, &elsewhere, 1, &recall).expect("engines are open");
+    let choice = choose(&asked, &elsewhere, 1, &cache_locations).expect("engines are open");
     assert_eq!(choice.source, Some(1));
 }
--- a/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
@@ -101,7 +101,7 @@
     assert_eq!(next(&engines), Vec::<usize>::new());
 }
 
-/// Streams may outlast a roll. Waiting for each would let requests start on old weights after the bound.
+/// Streams may outlast a rollout. Waiting for each would let requests start on old weights after the bound.
 #[test]
 fn a_drain_ends_before_the_bound() {
     for bound in [8, 10, 15].map(Duration::from_secs) {
@@ -117,7 +117,7 @@
     assert!(drain(5, 9, BOUND) > drain(0, 9, BOUND));
 }
 
-/// When engines crash in the middle of a roll while half of the others drain, all callers would wait for seconds at the
+/// When engines crash in the middle of a rollout while half of the others drain, all callers would wait for seconds at the
 /// one or two that are left.
 #[test]
 fn draining_engines_return_when_others_are_lost() {
@@ -131,7 +131,7 @@
     );
 }
 
-/// The lease holder crashes during a roll, and the next holder takes over when requests may no longer be sent to four
+/// The lease holder crashes during a rollout, and the next holder takes over when requests may no longer be sent to four
 /// engines. Taken out two at a time, they would stay shut while they wait for their turn, with queued requests that
 /// start too late.
 #[test]
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -114,10 +114,10 @@
         .map(|_| rng.random_range(0..SIMULATED_MS))
         .collect();
     times.sort_unstable();
-    let (mut late, mut recall) = (0, CacheLocations::default());
+    let (mut late, mut cache_locations) = (0, CacheLocations::default());
     // All engines have prefilled the outer prefixes before the load starts.
     for seed in &fleet.seeds {
-        (0..4).for_each(|outer| recall.note(outer, *seed, 1, at(0)));
+        (0..4).for_each(|outer| cache_locations.note(outer, *seed, 1, at(0)));
     }
     for (number, now) in times.into_iter().enumerate() {
         let number = number as u64;
@@ -140,7 +140,7 @@
                 |seed| owned[placing_vm].at(seed).unread,
             ),
         };
-        let choice = engines::choose(&prompt, &views, 1, &recall).expect("an open engine");
+        let choice = engines::choose(&prompt, &views, 1, &cache_locations).expect("an open engine");
         let chosen = views[choice.at];
         let took = fleet.send(chosen.seed, now);
         late += u64::from(took > 1_000);
