--- a/crates/sesamegap-policy/src/placing/builder.rs
+++ b/crates/sesamegap-policy/src/placing/builder.rs
@@ -12,7 +12,7 @@
 use rustc_hash::FxHashMap;
 use sesamegap_wire::{DomainId, Moment};
 
-/// Default limit on indexed blocks: one daemon's share of 120 million blocks over 340 daemons, plus
+/// Default limit on indexed blocks: one router's share of 120 million blocks over 340 routers, plus
 /// half as many again for uneven shares. At 57 bytes per block this takes 30 MB.
 const DEFAULT_MAX_BLOCKS: usize = 530_000;
 
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -65,7 +65,7 @@
             apply(event, engine.slot, index, now);
         }
         if self.due(engine, now) {
-            self.record_request(engine, now);
+            self.record_listing_request(engine, now);
             return Need::Listing;
         }
         Need::Nothing
@@ -86,7 +86,7 @@
             self.next_request = now + SCAN_INTERVAL;
         }
         let engine = engines.get_mut(no?)?;
-        self.record_request(engine, now);
+        self.record_listing_request(engine, now);
         Some(engine.id.clone())
     }
 
@@ -99,7 +99,7 @@
         unknown && reports && !waits && now >= self.next_request
     }
 
-    fn record_request(&mut self, engine: &mut Engine, now: Moment) {
+    fn record_listing_request(&mut self, engine: &mut Engine, now: Moment) {
         engine.listing_requested = Some(now);
         let seconds = engine.capacity() as f64 / LISTING_KEYS_PER_SECOND;
         self.next_request =
--- a/crates/sesamegap-policy/src/placing/index.rs
+++ b/crates/sesamegap-policy/src/placing/index.rs
@@ -23,7 +23,7 @@
 pub const UNCONFIRMED_TTL: Duration = Duration::from_secs(10);
 
 /// Number of shards. One is swept at a time, so the longest pause is about a microsecond at a
-/// daemon's share of 353,000 blocks.
+/// router's share of 353,000 blocks.
 const SHARDS: usize = 2048;
 
 /// Time for a sweep over all shards; a closed slot can be reused after two sweeps.
@@ -90,7 +90,7 @@
 }
 
 impl Index {
-    /// Creates an index for approximately `most` blocks at the most.
+    /// Creates an index that holds approximately `most` blocks at most.
     pub fn new(most: usize) -> Self {
         Self {
             shards: (0..SHARDS).map(|_| FxHashMap::default()).collect(),
--- a/crates/sesamegap-policy/src/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/src/routing/belief/mod.rs
@@ -23,9 +23,9 @@
 //! tracked separately ([`super::silence`]): one that leaves without announcing it answers for as long as it may
 //! be asked, so its answers do not contradict the list.
 
-mod contact;
+mod reachability;
 
-pub use contact::StoreReachability;
+pub use reachability::StoreReachability;
 
 use sesamegap_wire::{Incarnation, LogPosition, Moment};
 use std::time::Duration;
@@ -197,8 +197,8 @@
 
     /// Whether the entry lapsed and did not reappear within [`Rules::lapse`] of the store's return. A live
     /// upstream writes again as soon as it can.
-    pub fn is_overdue(&self, rules: &Rules, contact: &StoreReachability, now: Moment) -> bool {
-        self.is_lapsed() && contact.reachable_for(Moment(0), rules.lapse, now)
+    pub fn is_overdue(&self, rules: &Rules, reachability: &StoreReachability, now: Moment) -> bool {
+        self.is_lapsed() && reachability.reachable_for(Moment(0), rules.lapse, now)
     }
 
     /// Whether a tombstone is old enough to be forgotten.
@@ -211,7 +211,7 @@
         &mut self,
         update: ListUpdate,
         rules: &Rules,
-        contact: &StoreReachability,
+        reachability: &StoreReachability,
         now: Moment,
     ) -> Change {
         let repeat = self.at.is_some_and(|at| update.at <= at);
@@ -230,7 +230,8 @@
                 if restored {
                     self.accept_rewrite();
                 }
-                let may_reappear = contact.may_explain_expiry(rules.lapse, now) && !self.leaving;
+                let may_reappear =
+                    reachability.may_explain_expiry(rules.lapse, now) && !self.leaving;
                 self.remove(may_reappear, now)
             }
             ListRecord::Withdrawn => self.withdraw(now),
@@ -250,13 +251,18 @@
     }
 
     /// Applies time limits: ends overdue lapses, and lists doubted upstreams whose entry has remained long enough.
-    pub fn expire(&mut self, rules: &Rules, contact: &StoreReachability, now: Moment) -> Change {
+    pub fn expire(
+        &mut self,
+        rules: &Rules,
+        reachability: &StoreReachability,
+        now: Moment,
+    ) -> Change {
         match self.state {
-            State::Lapsed(again) if self.is_overdue(rules, contact, now) => {
+            State::Lapsed(again) if self.is_overdue(rules, reachability, now) => {
                 self.state = again.map_or(State::Gone(now), State::Doubted);
                 Change::Gone
             }
-            State::Doubted(since) if contact.reachable_for(since, rules.confirmation, now) => {
+            State::Doubted(since) if reachability.reachable_for(since, rules.confirmation, now) => {
                 self.state = State::Listed;
                 Change::New
             }
--- a/crates/sesamegap-policy/src/routing/plain.rs
+++ b/crates/sesamegap-policy/src/routing/plain.rs
@@ -1,8 +1,7 @@
 //! Which worker of a plain service runs a request.
 //!
 //! Requests are short and workers have few slots. A worker may become slow, or fail part of its requests, while its
-//! health check still passes. Choosing by expected cost avoids a queue behind such a worker while others
-//! are free.
+//! health check still passes. Choosing by expected cost avoids a queue behind such a worker while others are free.
 
 use super::Availability;
 
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -108,10 +108,10 @@
     }
 
     /// Time until this VM must read the table itself if it receives no update.
-    pub fn time_left(&self, pace: Duration, now: Moment) -> Duration {
+    pub fn time_left(&self, interval: Duration, now: Moment) -> Duration {
         if self.next.is_none_or(|next| next < self.missed) {
             return Duration::ZERO;
         }
-        pace.saturating_sub(now.since(self.last_update))
+        interval.saturating_sub(now.since(self.last_update))
     }
 }
--- a/crates/sesamegap-policy/tests/testsuite/placing/index.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/index.rs
@@ -218,9 +218,9 @@
 fn reuses_closed_slots() {
     let mut index = Index::new(1000);
     let mut now = Moment(1_000_000_000);
-    for life in 0..70_000_u64 {
+    for round in 0..70_000_u64 {
         let slot = index.open().expect("a slot is free");
-        index.stored(slot, key(life % 7), now);
+        index.stored(slot, key(round % 7), now);
         index.close(slot);
         now = Moment(now.0 + 20_000);
         index.sweep(now);
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/mod.rs
@@ -45,11 +45,11 @@
         updates.extend(updates.clone());
         updates.shuffle(&mut StdRng::seed_from_u64(seed));
         let mut judge = Real::new();
-        let contact = StoreReachability::default();
+        let reachability = StoreReachability::default();
         for update in updates {
-            judge.apply(update, &contact, world.now);
+            judge.apply(update, &reachability, world.now);
         }
-        judge.expire(&contact, world.now + 100);
+        judge.expire(&reachability, world.now + 100);
         let usable = judge.is_known() && !judge.is_leaving();
         assert_eq!(
             usable,
@@ -68,7 +68,12 @@
 }
 
 impl Judge for HeartbeatsOnly {
-    fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+    fn apply(
+        &mut self,
+        update: ListUpdate,
+        _reachability: &StoreReachability,
+        _now: u64,
+    ) -> Change {
         match update.record {
             ListRecord::Listed(listing) if self.tomb.is_some_and(|beat| listing.beat <= beat) => {}
             ListRecord::Listed(listing) => {
@@ -80,7 +85,7 @@
         Change::Same
     }
 
-    fn expire(&mut self, _contact: &StoreReachability, _now: u64) {}
+    fn expire(&mut self, _reachability: &StoreReachability, _now: u64) {}
 
     fn is_known(&self) -> bool {
         self.known.is_some()
@@ -103,7 +108,12 @@
 }
 
 impl Judge for PositionsOnly {
-    fn apply(&mut self, update: ListUpdate, _contact: &StoreReachability, _now: u64) -> Change {
+    fn apply(
+        &mut self,
+        update: ListUpdate,
+        _reachability: &StoreReachability,
+        _now: u64,
+    ) -> Change {
         if self.at.is_none_or(|at| at < update.at) {
             self.at = Some(update.at);
             self.known = match update.record {
@@ -117,7 +127,7 @@
         Change::Same
     }
 
-    fn expire(&mut self, _contact: &StoreReachability, _now: u64) {}
+    fn expire(&mut self, _reachability: &StoreReachability, _now: u64) {}
 
     fn is_known(&self) -> bool {
         self.known.is_some_and(|known| !known.leaving)
@@ -180,13 +190,13 @@
 }
 
 impl Judge for Altered {
-    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.real.apply((self.alter)(update), contact, now)
+    fn apply(&mut self, update: ListUpdate, reachability: &StoreReachability, now: u64) -> Change {
+        self.real.apply((self.alter)(update), reachability, now)
     }
 
-    fn expire(&mut self, contact: &StoreReachability, now: u64) {
+    fn expire(&mut self, reachability: &StoreReachability, now: u64) {
         if self.expires {
-            self.real.expire(contact, now);
+            self.real.expire(reachability, now);
         }
     }
 
@@ -265,10 +275,13 @@
         Change::Doubted
     );
     assert!(!belief.is_known());
-    let contact = StoreReachability::default();
+    let reachability = StoreReachability::default();
     let stood = 5_000 + u64::try_from(rules.confirmation.as_millis()).expect("a short span");
-    assert_eq!(belief.expire(&rules, &contact, at(stood - 1)), Change::Same);
-    assert_eq!(belief.expire(&rules, &contact, at(stood)), Change::New);
+    assert_eq!(
+        belief.expire(&rules, &reachability, at(stood - 1)),
+        Change::Same
+    );
+    assert_eq!(belief.expire(&rules, &reachability, at(stood)), Change::New);
     assert!(belief.is_known());
 }
 
@@ -297,13 +310,19 @@
     apply(&mut belief, listed(0, 5, None), 0);
     apply(&mut belief, removed(1), 4_000);
     apply(&mut belief, listed(2, 5, None), 5_000);
-    let mut contact = StoreReachability::default();
-    contact.record_response(false, at(5_500));
-    assert_eq!(belief.expire(&rules, &contact, at(30_000)), Change::Same);
-    contact.record_response(true, at(30_000));
-    assert_eq!(belief.expire(&rules, &contact, at(31_000)), Change::Same);
+    let mut reachability = StoreReachability::default();
+    reachability.record_response(false, at(5_500));
+    assert_eq!(
+        belief.expire(&rules, &reachability, at(30_000)),
+        Change::Same
+    );
+    reachability.record_response(true, at(30_000));
+    assert_eq!(
+        belief.expire(&rules, &reachability, at(31_000)),
+        Change::Same
+    );
     let stood = at(30_000) + rules.confirmation;
-    assert_eq!(belief.expire(&rules, &contact, stood), Change::New);
+    assert_eq!(belief.expire(&rules, &reachability, stood), Change::New);
 }
 
 /// A worker announces that it leaves, ends, and restarts under the same id. It must get requests at once, and delayed
@@ -343,18 +362,18 @@
 #[test]
 fn a_lapse_ends_two_seconds_after_the_stores_return() {
     let rules = Rules::default();
-    let mut contact = StoreReachability::default();
+    let mut reachability = StoreReachability::default();
     let mut belief = Belief::new(at(0));
     apply(&mut belief, listed(0, 5, Some(1)), 0);
-    contact.record_response(false, at(1_000));
-    let lapsed = belief.apply(removed(1), &rules, &contact, at(1_500));
+    reachability.record_response(false, at(1_000));
+    let lapsed = belief.apply(removed(1), &rules, &reachability, at(1_500));
     assert_eq!(lapsed, Change::Lapsed);
-    contact.record_response(true, at(9_000));
+    reachability.record_response(true, at(9_000));
     assert!(belief.is_known());
     let due = at(9_000) + LAPSE;
-    assert!(!belief.is_overdue(&rules, &contact, at(10_999)));
-    assert!(belief.is_overdue(&rules, &contact, due));
-    assert_eq!(belief.expire(&rules, &contact, due), Change::Gone);
+    assert!(!belief.is_overdue(&rules, &reachability, at(10_999)));
+    assert!(belief.is_overdue(&rules, &reachability, due));
+    assert_eq!(belief.expire(&rules, &reachability, due), Change::Gone);
 }
 
 /// Without faults, an upstream writes a single record to the log.
@@ -368,24 +387,27 @@
 #[test]
 fn a_worker_missing_from_a_restored_list_comes_back_with_the_same_heartbeat() {
     let rules = Rules::default();
-    let mut contact = StoreReachability::default();
+    let mut reachability = StoreReachability::default();
     let mut belief = Belief::new(at(0));
-    belief.apply(listed(40, 7, Some(1)), &rules, &contact, at(100));
-    contact.restored(at(1_000));
+    belief.apply(listed(40, 7, Some(1)), &rules, &reachability, at(100));
+    reachability.restored(at(1_000));
     let on_copy = |no: u64, update: ListUpdate| ListUpdate {
         at: LogPosition::new(Timeline(1), Offset(no)),
         ..update
     };
-    let missing = belief.apply(on_copy(30, removed(0)), &rules, &contact, at(1_000));
+    let missing = belief.apply(on_copy(30, removed(0)), &rules, &reachability, at(1_000));
     assert_eq!(missing, Change::Lapsed);
     assert!(belief.is_known());
     let again = belief.apply(
         on_copy(31, listed(0, 7, Some(1))),
         &rules,
-        &contact,
+        &reachability,
         at(1_500),
     );
     assert_eq!(again, Change::Same);
-    assert_eq!(belief.expire(&rules, &contact, at(9_000)), Change::Same);
+    assert_eq!(
+        belief.expire(&rules, &reachability, at(9_000)),
+        Change::Same
+    );
     assert!(belief.is_known());
 }
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -78,8 +78,8 @@
 
 /// Implementation that decides whether an upstream is present.
 pub trait Judge {
-    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
-    fn expire(&mut self, contact: &StoreReachability, now: u64);
+    fn apply(&mut self, update: ListUpdate, reachability: &StoreReachability, now: u64) -> Change;
+    fn expire(&mut self, reachability: &StoreReachability, now: u64);
     fn is_known(&self) -> bool;
     fn is_leaving(&self) -> bool;
     fn born(&self) -> Option<Incarnation>;
@@ -96,12 +96,12 @@
 }
 
 impl Judge for Real {
-    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.0.apply(update, &self.1, contact, at(now * 100))
+    fn apply(&mut self, update: ListUpdate, reachability: &StoreReachability, now: u64) -> Change {
+        self.0.apply(update, &self.1, reachability, at(now * 100))
     }
 
-    fn expire(&mut self, contact: &StoreReachability, now: u64) {
-        self.0.expire(&self.1, contact, at(now * 100));
+    fn expire(&mut self, reachability: &StoreReachability, now: u64) {
+        self.0.expire(&self.1, reachability, at(now * 100));
     }
 
     fn is_known(&self) -> bool {
@@ -262,8 +262,8 @@
         for (_, listing) in arrived {
             self.write(listing);
         }
-        let silent = |entry: &Entry| entry.until <= self.now;
-        if self.entry.as_ref().is_some_and(silent) {
+        let expired = |entry: &Entry| entry.until <= self.now;
+        if self.entry.as_ref().is_some_and(expired) {
             self.drop_entry();
         }
     }
@@ -292,7 +292,7 @@
 /// The VM's state for the upstream.
 struct Vm<'a> {
     judge: &'a mut dyn Judge,
-    contact: StoreReachability,
+    reachability: StoreReachability,
     away: bool,
     read: usize,
     timeline: Timeline,
@@ -305,26 +305,26 @@
         let now = world.now;
         if now >= self.next_read {
             self.next_read = now + READ_INTERVAL;
-            self.contact.record_response(!self.away, at(now * 100));
+            self.reachability.record_response(!self.away, at(now * 100));
             if !self.away {
                 self.read(world, now);
             }
         }
-        self.judge.expire(&self.contact, now);
+        self.judge.expire(&self.reachability, now);
         self.check(now)
     }
 
     fn read(&mut self, world: &World, now: u64) {
         if self.timeline < world.timeline {
             self.timeline = world.timeline;
-            self.contact.restored(at(now * 100));
+            self.reachability.restored(at(now * 100));
             if let Some(update) = world.newest() {
-                self.judge.apply(update, &self.contact, now);
+                self.judge.apply(update, &self.reachability, now);
             }
             self.read = world.log.len();
         }
         for no in self.read..world.log.len() {
-            self.judge.apply(world.update(no), &self.contact, now);
+            self.judge.apply(world.update(no), &self.reachability, now);
         }
         self.read = world.log.len();
     }
@@ -343,12 +343,12 @@
     }
 }
 
-/// Plays the events, lets the system settle, and reports where the view and the truth differ.
+/// Runs the events, lets the system settle, and reports where the view and the truth differ.
 pub fn play(steps: &[Step], judge: &mut dyn Judge) -> Result<World, String> {
     let mut world = World::new();
     let mut vm = Vm {
         judge,
-        contact: StoreReachability::default(),
+        reachability: StoreReachability::default(),
         away: false,
         read: 0,
         timeline: Timeline(0),
@@ -359,8 +359,8 @@
         world.act(step);
         match step {
             Step::Tell(no) if !world.updates.is_empty() => {
-                let told = world.updates[usize::from(*no) % world.updates.len()];
-                vm.judge.apply(told, &vm.contact, world.now);
+                let update = world.updates[usize::from(*no) % world.updates.len()];
+                vm.judge.apply(update, &vm.reachability, world.now);
                 vm.check(world.now)?;
             }
             Step::Away => vm.away = true,
--- a/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/rolls.rs
@@ -33,9 +33,9 @@
 #[test]
 fn no_more_engines_are_out_than_drain_and_load_at_full_speed() {
     let engines: Vec<Engine> = (0..12).map(|no| engine(1, no)).collect();
-    let mut pace = LoadTime::default();
-    pace.loaded(Duration::from_millis(1_300));
-    let due = pace.next(&engines).len();
+    let mut load_time = LoadTime::default();
+    load_time.loaded(Duration::from_millis(1_300));
+    let due = load_time.next(&engines).len();
     assert!((max_concurrent_loads(12)..=4).contains(&due), "{due}");
     let mut quick = LoadTime::default();
     quick.loaded(Duration::from_millis(390));
@@ -49,24 +49,27 @@
     for engine in &mut engines[..9] {
         engine.shut = true;
     }
-    let mut pace = LoadTime::default();
-    pace.loaded(Duration::from_secs(2));
-    assert_eq!(pace.next(&engines).len(), 9);
+    let mut load_time = LoadTime::default();
+    load_time.loaded(Duration::from_secs(2));
+    assert_eq!(load_time.next(&engines).len(), 9);
 }
 
 /// A load that ran beside others took longer than necessary and hardly raises the estimate. Weights that have grown are
 /// still detected after several loads.
 #[test]
 fn the_expected_load_time_follows_the_fast_loads() {
-    let mut pace = LoadTime::default();
+    let mut load_time = LoadTime::default();
     for ms in [3_900, 1_300, 3_900, 2_600] {
-        pace.loaded(Duration::from_millis(ms));
+        load_time.loaded(Duration::from_millis(ms));
     }
-    assert!(pace.load() < Duration::from_millis(1_600), "{pace:?}");
+    assert!(
+        load_time.load() < Duration::from_millis(1_600),
+        "{load_time:?}"
+    );
     for _ in 0..12 {
-        pace.loaded(Duration::from_secs(4));
+        load_time.loaded(Duration::from_secs(4));
     }
-    assert_eq!(pace.load(), Duration::from_secs(4));
+    assert_eq!(load_time.load(), Duration::from_secs(4));
 }
 
 /// An engine returns from a crash with weights that were superseded twice. Requests may soon no longer start there, while
--- a/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/silence.rs
@@ -23,7 +23,7 @@
 /// A VM with the number of failures and the end of the avoidance for each engine.
 #[derive(Debug, Default)]
 struct Vm {
-    silences: SilenceReports,
+    silence_reports: SilenceReports,
     avoided: HashMap<u64, (u32, Moment)>,
 }
 
@@ -33,7 +33,7 @@
             let seed = rng.random_range(0..ENGINES);
             let own = self.avoided.get(&seed);
             let avoided = own.is_some_and(|(_, until)| now < *until);
-            if !avoided && !self.silences.is_silent(seed, now) {
+            if !avoided && !self.silence_reports.is_silent(seed, now) {
                 return seed;
             }
         }
@@ -43,7 +43,7 @@
         let (failures, until) = self.avoided.entry(seed).or_insert((0, now));
         let alone = Duration::from_millis(600 << (*failures).min(3));
         *failures += 1;
-        *until = now + self.silences.failed(seed, alone, now);
+        *until = now + self.silence_reports.failed(seed, alone, now);
     }
 }
 
@@ -58,16 +58,16 @@
         let no = rng.random_range(0..vms.len());
         let seed = vms[no].choose(&mut rng, now);
         if seed >= UNRESPONSIVE {
-            vms[no].silences.answered(seed, false, now);
+            vms[no].silence_reports.answered(seed, false, now);
         } else {
             hits += 1;
             vms[no].record_failure(seed, now);
         }
-        let reports = vms[no].silences.take_outgoing();
+        let reports = vms[no].silence_reports.take_outgoing();
         for (other, receiver) in vms.iter_mut().enumerate().filter(|_| share_reports) {
             if other != no {
                 for report in &reports {
-                    receiver.silences.apply(&vm(no), *report, now);
+                    receiver.silence_reports.apply(&vm(no), *report, now);
                 }
             }
         }
@@ -112,25 +112,28 @@
 /// Guards against an engine that responds again but stays idle for the rest of the avoidance.
 #[test]
 fn an_engine_that_answers_one_vm_is_available_to_all_again() {
-    let mut silences = SilenceReports::default();
-    silences.apply(&vm(1), report(9, 4_800), at(0));
-    assert!(!silences.is_silent(9, at(1)), "one report is not enough");
-    silences.apply(&vm(2), report(9, 4_800), at(2));
-    assert!(silences.is_silent(9, at(3)));
-    silences.apply(&vm(1), report(9, 0), at(1_000));
-    assert!(!silences.is_silent(9, at(1_001)));
+    let mut silence_reports = SilenceReports::default();
+    silence_reports.apply(&vm(1), report(9, 4_800), at(0));
+    assert!(
+        !silence_reports.is_silent(9, at(1)),
+        "one report is not enough"
+    );
+    silence_reports.apply(&vm(2), report(9, 4_800), at(2));
+    assert!(silence_reports.is_silent(9, at(3)));
+    silence_reports.apply(&vm(1), report(9, 0), at(1_000));
+    assert!(!silence_reports.is_silent(9, at(1_001)));
 }
 
 /// An engine does not answer two VMs but answers a third, which must keep using it despite the others' reports.
 #[test]
 fn own_observations_take_precedence_over_reports() {
-    let mut silences = SilenceReports::default();
-    silences.apply(&vm(1), report(9, 600), at(0));
-    silences.apply(&vm(2), report(9, 600), at(0));
-    silences.answered(9, false, at(10));
-    assert!(!silences.is_silent(9, at(11)));
+    let mut silence_reports = SilenceReports::default();
+    silence_reports.apply(&vm(1), report(9, 600), at(0));
+    silence_reports.apply(&vm(2), report(9, 600), at(0));
+    silence_reports.answered(9, false, at(10));
+    assert!(!silence_reports.is_silent(9, at(11)));
     assert_eq!(
-        silences.take_outgoing(),
+        silence_reports.take_outgoing(),
         [report(9, 0)],
         "it reports the recovery"
     );
@@ -138,9 +141,9 @@
 
 #[test]
 fn reports_expire() {
-    let mut silences = SilenceReports::default();
-    silences.apply(&vm(1), report(9, 600), at(0));
-    silences.apply(&vm(2), report(9, 600), at(0));
-    assert!(silences.is_silent(9, at(899)));
-    assert!(!silences.is_silent(9, at(901)));
+    let mut silence_reports = SilenceReports::default();
+    silence_reports.apply(&vm(1), report(9, 600), at(0));
+    silence_reports.apply(&vm(2), report(9, 600), at(0));
+    assert!(silence_reports.is_silent(9, at(899)));
+    assert!(!silence_reports.is_silent(9, at(901)));
 }
