--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -96,7 +96,7 @@
                 fleet.placements.begin((from, number), placement, now);
             }
             Word::Read(number) => {
-                if let Some(read) = fleet.placements.read(&(from, number)) {
+                if let Some(read) = fleet.placements.record_prefill(&(from, number)) {
                     for prefix in read.prefixes {
                         fleet
                             .cache_locations
--- a/crates/sesamegap-policy/src/routing/placements.rs
+++ b/crates/sesamegap-policy/src/routing/placements.rs
@@ -33,7 +33,7 @@
 
 /// A prompt that an engine has prefilled.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Read {
+pub struct PrefilledPrompt {
     /// Seed of the engine's incarnation.
     pub life: u64,
     /// Version of its weights.
@@ -97,11 +97,11 @@
     }
 
     /// Records that a prompt was prefilled. Returns what its engine holds now, unless that was returned before.
-    pub fn read(&mut self, key: &K) -> Option<Read> {
+    pub fn record_prefill(&mut self, key: &K) -> Option<PrefilledPrompt> {
         self.clear_unread(key);
         let entry = self.entries.get_mut(key)?;
         let prefixes = std::mem::take(&mut entry.prefixes);
-        (!prefixes.is_empty()).then_some(Read {
+        (!prefixes.is_empty()).then_some(PrefilledPrompt {
             life: entry.life,
             version: entry.version,
             prefixes,
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -265,13 +265,13 @@
 #[test]
 fn reports_in_any_order_leave_no_residue() {
     let mut placed = Placements::default();
-    assert_eq!(placed.read(&1), None);
+    assert_eq!(placed.record_prefill(&1), None);
     placed.begin(1, placement(9), at(0));
     placed.begin(1, placement(8), at(1));
     assert_eq!(placed.at(9), Sum::default());
-    let read = placed.read(&1).expect("it was placed");
+    let read = placed.record_prefill(&1).expect("it was placed");
     assert_eq!((read.life, read.version, read.prefixes.len()), (8, 4, 1));
-    assert_eq!(placed.read(&1), None, "reported once");
+    assert_eq!(placed.record_prefill(&1), None, "reported once");
     placed.end(&1);
     placed.end(&1);
     assert_eq!(placed.at(8), Sum::default());
