--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -174,7 +174,7 @@
     let started = clock::now();
     let (next, complete) = {
         let position = known.position();
-        (position.next(), position.complete())
+        (position.next(), position.complete_until())
     };
     let Some(from) = next else {
         let batch = core.store.snapshot(table).await?;
@@ -185,7 +185,7 @@
             info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::ms(clock::now().since(since)), "table was read again from the restored store");
         }
         known.position().read(at, clock::now());
-        known.position().asked(started);
+        known.position().record_call(started);
         return Ok(());
     };
     let reader = is_reader(core, table);
@@ -196,7 +196,7 @@
     let batch = core.store.changes(table, from, wait).await?;
     let update = apply_batch(core, table, from, batch);
     known.position().read(update.next, clock::now());
-    known.position().asked(started);
+    known.position().record_call(started);
     if reader {
         core.peers.outbox.put_reading(update);
     }
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -47,7 +47,7 @@
     /// When the whole table was last read.
     last_full_read: Moment,
     /// When this VM's last successful call began.
-    asked: Option<Moment>,
+    last_call: Option<Moment>,
 }
 
 impl Position {
@@ -66,15 +66,15 @@
     }
 
     /// Records the start of the call whose answer this VM has just read.
-    pub fn asked(&mut self, at: Moment) {
-        self.asked = Some(at);
+    pub fn record_call(&mut self, began: Moment) {
+        self.last_call = Some(began);
     }
 
     /// Time up to which this VM is certain to know the whole table, or `None` if it never read it.
     ///
     /// Updates from peers do not count, since they may have been delayed on the way.
-    pub fn complete(&self) -> Option<Moment> {
-        self.asked
+    pub fn complete_until(&self) -> Option<Moment> {
+        self.last_call
     }
 
     /// Requires the next read to cover the whole table.
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -15,12 +15,12 @@
 #[test]
 fn only_own_calls_show_up_to_when_the_data_is_complete() {
     let mut position = read_up_to(10);
-    assert_eq!(position.complete(), None);
-    position.asked(at(100));
+    assert_eq!(position.complete_until(), None);
+    position.record_call(at(100));
     position.apply(span(10, 12), true, at(9_000));
-    assert_eq!(position.complete(), Some(at(100)));
+    assert_eq!(position.complete_until(), Some(at(100)));
     position.require_full_read();
-    assert_eq!(position.complete(), Some(at(100)));
+    assert_eq!(position.complete_until(), Some(at(100)));
 }
 
 fn span(from: u64, next: u64) -> Span {
