--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -184,7 +184,7 @@
         if let Some(since) = restored.take() {
             info!(event = events::REBUILT, table = ?table, at = %at, records, missing, took_ms = clock::ms(clock::now().since(since)), "table was read again from the restored store");
         }
-        known.position().read(at, clock::now());
+        known.position().record_read(at, clock::now());
         known.position().record_call(started);
         return Ok(());
     };
@@ -195,7 +195,7 @@
     };
     let batch = core.store.changes(table, from, wait).await?;
     let update = apply_batch(core, table, from, batch);
-    known.position().read(update.next, clock::now());
+    known.position().record_read(update.next, clock::now());
     known.position().record_call(started);
     if reader {
         core.peers.outbox.put_reading(update);
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -23,7 +23,7 @@
     );
     let core = Arc::new(core.unwrap());
     let position = core.known(Table::Fleet);
-    position.position().read(offset(0), clock::now());
+    position.position().record_read(offset(0), clock::now());
     core
 }
 
@@ -48,7 +48,9 @@
     let next = offset(from + records.len() as u64);
     let records = (from..).map(offset).zip(records).collect();
     let update = apply_batch(core, Table::Fleet, offset(from), Batch { records, next });
-    core.known(Table::Fleet).position().read(next, clock::now());
+    core.known(Table::Fleet)
+        .position()
+        .record_read(next, clock::now());
     update
 }
 
--- a/crates/sesamegap-entry/tests/testsuite/fleet_records.rs
+++ b/crates/sesamegap-entry/tests/testsuite/fleet_records.rs
@@ -58,7 +58,7 @@
     receiver
         .known(Table::Fleet)
         .position()
-        .read(offset(0), clock::now());
+        .record_read(offset(0), clock::now());
     let steps = [
         (
             vec![valid_entry(1, 1), valid_entry(2, 1), valid_entry(3, 1)],
@@ -104,7 +104,7 @@
     for core in [&one, &two, &receiver] {
         core.known(Table::Fleet)
             .position()
-            .read(offset(1), clock::now());
+            .record_read(offset(1), clock::now());
         read_records(core, 0, vec![valid_entry(1, 5)]);
     }
     for reader in [&one, &two] {
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -94,7 +94,7 @@
     receiver
         .known(Table::Fleet)
         .position()
-        .read(offset(4), clock::now());
+        .record_read(offset(4), clock::now());
     let new = apply_batch(
         &reader,
         Table::Fleet,
@@ -126,7 +126,7 @@
     let core = vm("vm-1", "127.0.0.1", unused().port());
     core.known(Table::Fleet)
         .position()
-        .read(offset(0), clock::now());
+        .record_read(offset(0), clock::now());
     let update = |from: u64, next: u64, record: Record| {
         let other = vm("vm-2", "127.0.0.1", unused().port());
         let known = change(false, 1);
--- a/crates/sesamegap-policy/src/routing/reading.rs
+++ b/crates/sesamegap-policy/src/routing/reading.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records the position up to which this VM has read.
-    pub fn read(&mut self, next: LogPosition, now: Moment) {
+    pub fn record_read(&mut self, next: LogPosition, now: Moment) {
         if self.next.is_none() {
             self.last_full_read = now;
         }
--- a/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/reading.rs
@@ -32,7 +32,7 @@
 
 fn read_up_to(next: u64) -> Position {
     let mut position = Position::default();
-    position.read(offset(next), at(0));
+    position.record_read(offset(next), at(0));
     position
 }
 
@@ -61,13 +61,13 @@
     );
     assert_eq!(position.next(), Some(offset(100)));
     assert_eq!(position.time_left(READ_INTERVAL, at(500)), Duration::ZERO);
-    position.read(offset(118), at(600));
+    position.record_read(offset(118), at(600));
     assert_eq!(
         position.time_left(READ_INTERVAL, at(600)),
         Duration::ZERO,
         "not yet there"
     );
-    position.read(offset(125), at(700));
+    position.record_read(offset(125), at(700));
     assert_eq!(position.time_left(READ_INTERVAL, at(700)), READ_INTERVAL);
 }
 
@@ -80,7 +80,7 @@
         position.apply(span(100, 101), false, at(10)),
         UpdateOutcome::Missed
     );
-    position.read(offset(101), at(20));
+    position.record_read(offset(101), at(20));
     assert_eq!(
         position.apply(span(100, 101), false, at(30)),
         UpdateOutcome::Contiguous
@@ -167,7 +167,7 @@
     );
     assert_eq!(position.time_left(READ_INTERVAL, at(10)), Duration::ZERO);
     position.require_full_read();
-    position.read(on(1, 110), at(20));
+    position.record_read(on(1, 110), at(20));
     assert_eq!(
         position.apply(span(100, 500), true, at(30)),
         UpdateOutcome::Outdated
