--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -158,8 +158,8 @@
         })
     }
 
-    fn settings(&mut self, catalogue: &Catalogue) {
-        self.inner.settings(catalogue);
+    fn apply_settings(&mut self, catalogue: &Catalogue) {
+        self.inner.apply_settings(catalogue);
     }
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
         self.inner.set_engines(engines, now);
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -154,7 +154,7 @@
     }
 
     fn settings(&mut self, catalogue: Arc<Catalogue>) {
-        self.placer.settings(&catalogue);
+        self.placer.apply_settings(&catalogue);
         let priorities = catalogue.classes.values().map(|class| class.priority);
         self.highest_priority = priorities.max().unwrap_or(0);
         self.teams.keep(&catalogue);
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -104,7 +104,7 @@
 /// measurements.
 pub trait Placer: fmt::Debug + Send {
     /// Applies the current settings, of which only the models' block sizes are used.
-    fn settings(&mut self, _catalogue: &Catalogue) {}
+    fn apply_settings(&mut self, _catalogue: &Catalogue) {}
 
     /// Replaces the list of engines in use.
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment);
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -151,7 +151,7 @@
 }
 
 impl Placer for PrefixPlacer {
-    fn settings(&mut self, catalogue: &Catalogue) {
+    fn apply_settings(&mut self, catalogue: &Catalogue) {
         let models = catalogue.models.iter();
         self.blocks = models
             .map(|(model, spec)| (model.clone(), Tokens(spec.block.0.max(1))))
