--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -71,7 +71,7 @@
         match news {
             Observation::Settings(catalogue) => self.settings(catalogue),
             Observation::Fleet(engines) => self.fleet(&engines, now),
-            Observation::Store(store) => self.placer.store(store),
+            Observation::Store(store) => self.placer.set_store(store),
             Observation::Report(engine, report) => {
                 self.placer.report(&engine, &report, now);
                 self.windows.report(&engine, &report, now);
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -116,7 +116,7 @@
     fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need;
 
     /// Sets the kept-KV store, if there is one.
-    fn store(&mut self, _store: Option<UpstreamId>) {}
+    fn set_store(&mut self, _store: Option<UpstreamId>) {}
 
     /// Returns an engine from which a listing should be requested now, independently of its events.
     fn next_listing(&mut self, _now: Moment) -> Option<UpstreamId> {
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -182,7 +182,7 @@
             .events(no, batch, &mut self.engines, &mut self.index, now)
     }
 
-    fn store(&mut self, store: Option<UpstreamId>) {
+    fn set_store(&mut self, store: Option<UpstreamId>) {
         self.store = store;
     }
 
