--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -164,8 +164,8 @@
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
         self.inner.set_engines(engines, now);
     }
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
-        self.inner.report(engine, report, now);
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
+        self.inner.apply_report(engine, report, now);
     }
     fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
         self.inner.apply_cache_events(engine, batch, now)
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -50,13 +50,13 @@
         let mut placer = PrefixPlacer::builder(id("domain-0")).build();
         placer.set_engines(&fleet::entries(*size), START);
         for at in 0..*size {
-            placer.report(&fleet::engine(at), &fleet::report(), START);
+            placer.apply_report(&fleet::engine(at), &fleet::report(), START);
             placer.listing(&fleet::engine(at), &listing(), START);
         }
         let mut run = Run::new(*size, requests);
         let mut rng = ChaCha12Rng::seed_from_u64(2);
         for _ in 0..requests {
-            let work = run.next(|engine, now| placer.report(engine, &fleet::report(), now));
+            let work = run.next(|engine, now| placer.apply_report(engine, &fleet::report(), now));
             let start = Instant::now();
             place(&mut placer, &work, run.now, &mut rng);
             run.took += start.elapsed();
--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -89,7 +89,7 @@
     placer.set_engines(&entries, NOW);
     for at in 0..engines {
         let queued = if rng.random_bool(0.3) { 20_000 } else { 0 };
-        placer.report(&engine(at), &report(queued), NOW);
+        placer.apply_report(&engine(at), &report(queued), NOW);
         let mut keys = Vec::new();
         for _ in 0..8 {
             let team = rng.random_range(0..teams(engines));
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -73,7 +73,7 @@
             Observation::Fleet(engines) => self.fleet(&engines, now),
             Observation::Store(store) => self.placer.set_store(store),
             Observation::Report(engine, report) => {
-                self.placer.report(&engine, &report, now);
+                self.placer.apply_report(&engine, &report, now);
                 self.windows.report(&engine, &report, now);
                 self.queue.notify_room();
             }
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -110,7 +110,7 @@
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment);
 
     /// Applies an engine's load report.
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
 
     /// Applies an engine's cache events and returns what is needed before its entries can be trusted.
     fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need;
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -165,7 +165,7 @@
         self.maintain(now);
     }
 
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         if let Some(no) = self.engines.number(engine) {
             self.engines.report(no, report, now, &mut self.index);
             self.update_peer_backlog(no, now);
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -103,7 +103,9 @@
         };
         assert_eq!(at.engine, engine(1));
     }
-    simulation.placer.report(&engine(0), &report(2, 0), now);
+    simulation
+        .placer
+        .apply_report(&engine(0), &report(2, 0), now);
     let again = (0..50).filter(|seq| match simulation.place(&chain(*seq, *seq, 3, 0)) {
         PlacementOutcome::At(at) => at.engine == engine(0) && at.incarnation == Incarnation(2),
         _ => false,
@@ -186,7 +188,7 @@
     simulation.placer.set_engines(&fleet, now);
     let mut other = report(1, 0);
     other.loaded[0].1 = WeightsVersion(2);
-    simulation.placer.report(&engine(1), &other, now);
+    simulation.placer.apply_report(&engine(1), &other, now);
     simulation.placer.failed(&engine(2), now);
     for seq in 0..200 {
         let PlacementOutcome::At(at) = simulation.place(&chain(seq % 9, seq, 3, 0)) else {
--- a/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
@@ -30,7 +30,7 @@
         } else {
             0
         };
-        placer.report(&engine(at), &report(1, queued), NOW);
+        placer.apply_report(&engine(at), &report(1, queued), NOW);
         let mut keys = Vec::new();
         for _ in 0..4 {
             let held = chain(rng.random_range(0..4), rng.random_range(0..30), 8, 1);
--- a/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/simulation.rs
@@ -87,7 +87,8 @@
             let left = engine_state.busy_until.saturating_sub(self.now)
                 / (MICROS_PER_TOKEN * engine_state.slowness);
             let report = report(engine_state.incarnation, left);
-            self.placer.report(&engine(at), &report, Moment(self.now));
+            self.placer
+                .apply_report(&engine(at), &report, Moment(self.now));
         }
     }
 
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -129,7 +129,7 @@
     let fleet: Vec<_> = (0..engines).map(entry).collect();
     placer.set_engines(&fleet, now);
     for at in 0..engines {
-        placer.report(&engine(at), &report(1, 0), now);
+        placer.apply_report(&engine(at), &report(1, 0), now);
         placer.listing(&engine(at), &listing(1, 0, Vec::new()), now);
     }
     placer
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -34,7 +34,7 @@
             .collect();
     }
 
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, _now: Moment) {
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, _now: Moment) {
         self.engines.insert(engine.clone(), Some(report.clone()));
     }
 
