--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -173,8 +173,8 @@
     fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
         self.inner.next_listing(now)
     }
-    fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
-        self.inner.listing(engine, listing, now);
+    fn apply_listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
+        self.inner.apply_listing(engine, listing, now);
     }
     fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment) {
         self.inner.sent(ask, at, now);
--- a/crates/sesamegap-measure/src/slopes/placing.rs
+++ b/crates/sesamegap-measure/src/slopes/placing.rs
@@ -51,7 +51,7 @@
         placer.set_engines(&fleet::entries(*size), START);
         for at in 0..*size {
             placer.apply_report(&fleet::engine(at), &fleet::report(), START);
-            placer.listing(&fleet::engine(at), &listing(), START);
+            placer.apply_listing(&fleet::engine(at), &listing(), START);
         }
         let mut run = Run::new(*size, requests);
         let mut rng = ChaCha12Rng::seed_from_u64(2);
--- a/crates/sesamegap-policy/benches/placing.rs
+++ b/crates/sesamegap-policy/benches/placing.rs
@@ -100,7 +100,7 @@
             newest: 1,
             keys,
         };
-        placer.listing(&engine(at), &listing, NOW);
+        placer.apply_listing(&engine(at), &listing, NOW);
     }
     placer
 }
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -78,7 +78,9 @@
                 self.queue.notify_room();
             }
             Observation::Cache(engine, batch) => self.cache(engine, &batch, now),
-            Observation::Listing(engine, listing) => self.placer.listing(&engine, &listing, now),
+            Observation::Listing(engine, listing) => {
+                self.placer.apply_listing(&engine, &listing, now);
+            }
             Observation::Started(request, cached) => self.placer.started(&request, cached, now),
             Observation::FirstToken(request) => self.first(&request, now),
             Observation::Finished(request, whole) => self.finished(&request, whole, now),
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -124,7 +124,7 @@
     }
 
     /// Applies a listing of all blocks that an engine holds.
-    fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment);
+    fn apply_listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment);
 
     /// Picks an engine; the request is not counted until [`Placer::sent`] is called.
     fn place(
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -190,7 +190,7 @@
         self.feed.next_listing(&mut self.engines, now)
     }
 
-    fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
+    fn apply_listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
         let Some(no) = self.engines.number(engine) else {
             return;
         };
--- a/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/faults.rs
@@ -170,7 +170,7 @@
     let truth = listing(1, 9, vec![prompt.keys[0]]);
     simulation
         .placer
-        .listing(&engine(0), &truth, Moment(simulation.now));
+        .apply_listing(&engine(0), &truth, Moment(simulation.now));
     let PlacementOutcome::At(at) = simulation.place(&prompt) else {
         panic!("the engine is eligible");
     };
--- a/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/scan.rs
@@ -36,7 +36,7 @@
             let held = chain(rng.random_range(0..4), rng.random_range(0..30), 8, 1);
             keys.extend(held.keys.iter().take(rng.random_range(1..10)).copied());
         }
-        placer.listing(&engine(at), &listing(1, 1, keys), NOW);
+        placer.apply_listing(&engine(at), &listing(1, 1, keys), NOW);
     }
     placer
 }
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -130,7 +130,7 @@
     placer.set_engines(&fleet, now);
     for at in 0..engines {
         placer.apply_report(&engine(at), &report(1, 0), now);
-        placer.listing(&engine(at), &listing(1, 0, Vec::new()), now);
+        placer.apply_listing(&engine(at), &listing(1, 0, Vec::new()), now);
     }
     placer
 }
--- a/crates/sesamegap-policy/tests/testsuite/support/least.rs
+++ b/crates/sesamegap-policy/tests/testsuite/support/least.rs
@@ -47,7 +47,7 @@
         Need::Nothing
     }
 
-    fn listing(&mut self, _engine: &UpstreamId, _listing: &Listing, _now: Moment) {}
+    fn apply_listing(&mut self, _engine: &UpstreamId, _listing: &Listing, _now: Moment) {}
 
     fn place(
         &mut self,
