--- a/crates/sesamegap-policy/src/placing/backlog.rs
+++ b/crates/sesamegap-policy/src/placing/backlog.rs
@@ -53,7 +53,7 @@
     }
 
     /// Replaces the estimate by a report of the tokens waiting at `as_of`, then replays later dispatches.
-    pub fn report(&mut self, waiting: Tokens, as_of: Moment, seconds_per_token: f64) {
+    pub fn apply_report(&mut self, waiting: Tokens, as_of: Moment, seconds_per_token: f64) {
         while self.sent.front().is_some_and(|(sent, _)| *sent <= as_of) {
             self.sent.pop_front();
         }
--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -159,7 +159,7 @@
 
 impl Engines {
     /// Replaces the list of engines; returns the numbers of those removed.
-    pub fn list(&mut self, entries: &[EngineEntry], index: &mut Index) -> Vec<EngineNo> {
+    pub fn set_list(&mut self, entries: &[EngineEntry], index: &mut Index) -> Vec<EngineNo> {
         let listed: FxHashMap<_, _> = entries.iter().map(|e| (&e.id, e)).collect();
         let gone = self.iter().filter(|(_, e)| !listed.contains_key(&e.id));
         let gone: Vec<EngineNo> = gone.map(|(no, _)| no).collect();
@@ -183,7 +183,13 @@
     }
 
     /// Applies an engine's load report.
-    pub fn report(&mut self, no: EngineNo, report: &LoadReport, now: Moment, index: &mut Index) {
+    pub fn apply_report(
+        &mut self,
+        no: EngineNo,
+        report: &LoadReport,
+        now: Moment,
+        index: &mut Index,
+    ) {
         self.observe_incarnation(no, report.incarnation, index);
         let typical = self.typical;
         let Some(engine) = self.get_mut(no) else {
@@ -195,7 +201,9 @@
         let age = u64::try_from(report.age.as_micros()).unwrap_or(u64::MAX);
         let as_of = Moment(now.0.saturating_sub(age));
         let per_token = engine.speed.per_token(typical, now);
-        engine.backlog.report(report.prefill, as_of, per_token);
+        engine
+            .backlog
+            .apply_report(report.prefill, as_of, per_token);
         engine.report = Some(report.clone());
         engine.suspect = false;
         self.update_rings(no);
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -32,7 +32,7 @@
 
 impl Feed {
     /// Applies a batch of events and returns what is needed before the entries can be trusted.
-    pub fn events(
+    pub fn apply_events(
         &mut self,
         no: EngineNo,
         batch: &CacheBatch,
@@ -107,7 +107,7 @@
     }
 
     /// Applies a listing; returns `false` if it is older than the known state.
-    pub fn listing(
+    pub fn apply_listing(
         no: EngineNo,
         listing: &Listing,
         engines: &mut Engines,
@@ -132,7 +132,7 @@
     }
 
     /// Applies a peer's view of an engine's cache, unless this router has its own.
-    pub fn warm(
+    pub fn apply_warmth(
         no: EngineNo,
         cache: &EngineCache,
         engines: &mut Engines,
--- a/crates/sesamegap-policy/src/placing/heat.rs
+++ b/crates/sesamegap-policy/src/placing/heat.rs
@@ -112,7 +112,7 @@
     }
 
     /// Replaces a peer's rates.
-    pub fn peer(&mut self, from: &str, rates: &[(BlockKey, f32)], now: Moment) {
+    pub fn set_peer_rates(&mut self, from: &str, rates: &[(BlockKey, f32)], now: Moment) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(from) {
             return;
         }
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -159,7 +159,7 @@
     }
 
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
-        for gone in self.engines.list(engines, &mut self.index) {
+        for gone in self.engines.set_list(engines, &mut self.index) {
             self.in_flight.drop_engine(gone);
         }
         self.maintain(now);
@@ -167,7 +167,7 @@
 
     fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         if let Some(no) = self.engines.number(engine) {
-            self.engines.report(no, report, now, &mut self.index);
+            self.engines.apply_report(no, report, now, &mut self.index);
             self.update_peer_backlog(no, now);
         }
         self.maintain(now);
@@ -179,7 +179,7 @@
             return Need::Nothing;
         };
         self.feed
-            .events(no, batch, &mut self.engines, &mut self.index, now)
+            .apply_events(no, batch, &mut self.engines, &mut self.index, now)
     }
 
     fn set_store(&mut self, store: Option<UpstreamId>) {
@@ -194,7 +194,7 @@
         let Some(no) = self.engines.number(engine) else {
             return;
         };
-        if !Feed::listing(no, listing, &mut self.engines, &mut self.index, now) {
+        if !Feed::apply_listing(no, listing, &mut self.engines, &mut self.index, now) {
             return;
         }
         // A listing does not include the blocks of requests in flight. Without this, the next request
@@ -351,7 +351,7 @@
     }
 
     fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment) {
-        self.heat.peer(from, &digest.heat, now);
+        self.heat.set_peer_rates(from, &digest.heat, now);
         let waiting = digest.prefill.iter().take(MAX_DIGEST_ENGINES);
         let waiting = waiting
             .filter_map(|(id, tokens)| Some((self.engines.number(id)?, tokens.0 as f64)))
@@ -384,7 +384,7 @@
     fn apply_warmth(&mut self, warmth: &Warmth, now: Moment) {
         for cache in &warmth.engines {
             if let Some(no) = self.engines.number(&cache.engine) {
-                Feed::warm(no, cache, &mut self.engines, &mut self.index, now);
+                Feed::apply_warmth(no, cache, &mut self.engines, &mut self.index, now);
             }
         }
     }
