--- a/crates/sesamegap-entry/src/placing/owner.rs
+++ b/crates/sesamegap-entry/src/placing/owner.rs
@@ -101,7 +101,7 @@
                 fleet.placements.begin((from, number), placement, now);
             }
             PromptReport::Read(number) => {
-                if let Some(read) = fleet.placements.read(&(from, number)) {
+                if let Some(read) = fleet.placements.record_prefill(&(from, number)) {
                     for prefix in read.prefixes {
                         fleet
                             .cache_locations
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -25,7 +25,7 @@
     );
     let core = Arc::new(core.unwrap());
     let position = core.table_progress(Table::Fleet);
-    position.position().read(offset(0), clock::now());
+    position.position().record_read(offset(0), clock::now());
     core
 }
 
@@ -52,7 +52,7 @@
     let update = apply_batch(core, Table::Fleet, offset(from), Batch { records, next });
     core.table_progress(Table::Fleet)
         .position()
-        .read(next, clock::now());
+        .record_read(next, clock::now());
     update
 }
 
--- a/crates/sesamegap-measure/src/baselines.rs
+++ b/crates/sesamegap-measure/src/baselines.rs
@@ -158,14 +158,14 @@
         })
     }
 
-    fn settings(&mut self, catalogue: &Catalogue) {
-        self.inner.settings(catalogue);
+    fn apply_settings(&mut self, catalogue: &Catalogue) {
+        self.inner.apply_settings(catalogue);
     }
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
         self.inner.set_engines(engines, now);
     }
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
-        self.inner.report(engine, report, now);
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
+        self.inner.apply_report(engine, report, now);
     }
     fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need {
         self.inner.apply_cache_events(engine, batch, now)
@@ -173,8 +173,8 @@
     fn next_listing(&mut self, now: Moment) -> Option<UpstreamId> {
         self.inner.next_listing(now)
     }
-    fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
-        self.inner.listing(engine, listing, now);
+    fn apply_listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
+        self.inner.apply_listing(engine, listing, now);
     }
     fn sent(&mut self, ask: &PlacementRequest<'_>, at: &Placement, now: Moment) {
         self.inner.sent(ask, at, now);
--- a/crates/sesamegap-policy/src/decider/mod.rs
+++ b/crates/sesamegap-policy/src/decider/mod.rs
@@ -71,14 +71,16 @@
         match observation {
             Observation::Settings(catalogue) => self.settings(catalogue),
             Observation::Fleet(engines) => self.fleet(&engines, now),
-            Observation::Store(store) => self.placer.store(store),
+            Observation::Store(store) => self.placer.set_store(store),
             Observation::Report(engine, report) => {
-                self.placer.report(&engine, &report, now);
+                self.placer.apply_report(&engine, &report, now);
                 self.windows.report(&engine, &report, now);
                 self.queue.notify_room();
             }
             Observation::Cache(engine, batch) => self.cache(engine, &batch, now),
-            Observation::Listing(engine, listing) => self.placer.listing(&engine, &listing, now),
+            Observation::Listing(engine, listing) => {
+                self.placer.apply_listing(&engine, &listing, now);
+            }
             Observation::Started(request, cached) => self.placer.started(&request, cached, now),
             Observation::FirstToken(request) => self.first_token(&request, now),
             Observation::Finished(request, whole) => self.finished(&request, whole, now),
@@ -154,7 +156,7 @@
     }
 
     fn settings(&mut self, catalogue: Arc<Catalogue>) {
-        self.placer.settings(&catalogue);
+        self.placer.apply_settings(&catalogue);
         let priorities = catalogue.classes.values().map(|class| class.priority);
         self.highest_priority = priorities.max().unwrap_or(0);
         self.teams.retain(&catalogue);
--- a/crates/sesamegap-policy/src/placing/engines.rs
+++ b/crates/sesamegap-policy/src/placing/engines.rs
@@ -1,7 +1,7 @@
 //! The engines in use and the latest state reported by each.
 //!
-//! An engine is eligible only if it is listed and not leaving, its latest report shows the model
-//! version as loaded, and no failure was seen since that report.
+//! An engine is eligible only if it is listed and not leaving, its latest report shows the
+//! requested weights version as loaded, and no failure was seen since that report.
 
 use super::backlog::Backlog;
 use super::cost::SLOWNESS_THRESHOLD;
@@ -79,11 +79,11 @@
 
     /// Whether the misprediction rate exceeds the threshold; resets the rate if so.
     pub fn take_mistaken(&mut self) -> bool {
-        let take_mistaken = self.mistakes > MISTAKE_THRESHOLD;
-        if take_mistaken {
+        let mistaken = self.mistakes > MISTAKE_THRESHOLD;
+        if mistaken {
             self.mistakes = 0.0;
         }
-        take_mistaken
+        mistaken
     }
 
     /// Seconds by which this router's requests there are overdue.
@@ -159,7 +159,7 @@
 
 impl Engines {
     /// Replaces the list of engines; returns the numbers of those removed.
-    pub fn list(&mut self, entries: &[EngineEntry], index: &mut Index) -> Vec<EngineNo> {
+    pub fn set_list(&mut self, entries: &[EngineEntry], index: &mut Index) -> Vec<EngineNo> {
         let listed: FxHashMap<_, _> = entries.iter().map(|e| (&e.id, e)).collect();
         let gone = self.iter().filter(|(_, e)| !listed.contains_key(&e.id));
         let gone: Vec<EngineNo> = gone.map(|(no, _)| no).collect();
@@ -183,7 +183,13 @@
     }
 
     /// Applies an engine's load report.
-    pub fn report(&mut self, no: EngineNo, report: &LoadReport, now: Moment, index: &mut Index) {
+    pub fn apply_report(
+        &mut self,
+        no: EngineNo,
+        report: &LoadReport,
+        now: Moment,
+        index: &mut Index,
+    ) {
         self.observe_incarnation(no, report.incarnation, index);
         let typical = self.typical;
         let Some(engine) = self.get_mut(no) else {
@@ -195,7 +201,9 @@
         let age = u64::try_from(report.age.as_micros()).unwrap_or(u64::MAX);
         let as_of = Moment(now.0.saturating_sub(age));
         let per_token = engine.speed.per_token(typical, now);
-        engine.backlog.report(report.prefill, as_of, per_token);
+        engine
+            .backlog
+            .apply_report(report.prefill, as_of, per_token);
         engine.report = Some(report.clone());
         engine.suspect = false;
         self.update_rings(no);
@@ -285,7 +293,7 @@
         all.filter_map(|(at, e)| Some((EngineNo(u16::try_from(at).ok()?), e.as_ref()?)))
     }
 
-    /// Ring of the usable engines that have the given model version loaded; `None` if there are none.
+    /// Ring of the usable engines that have the given weights version loaded; `None` if there are none.
     pub fn ring(&self, model: &ModelId, version: WeightsVersion) -> Option<&Ring> {
         let rings = self.rings.get(model)?;
         let (_, ring) = rings.iter().find(|(v, _)| *v == version)?;
@@ -372,7 +380,7 @@
         }
     }
 
-    /// Adds an engine to the rings of the model versions it has loaded and removes it from all others.
+    /// Adds an engine to the rings of the weights versions it has loaded and removes it from all others.
     fn update_rings(&mut self, no: EngineNo) {
         let Some(engine) = self.all.get(no.at()).and_then(Option::as_ref) else {
             return;
--- a/crates/sesamegap-policy/src/placing/feed.rs
+++ b/crates/sesamegap-policy/src/placing/feed.rs
@@ -32,7 +32,7 @@
 
 impl Feed {
     /// Applies a batch of events and returns what is needed before the entries can be trusted.
-    pub fn events(
+    pub fn apply_events(
         &mut self,
         no: EngineNo,
         batch: &CacheBatch,
@@ -65,7 +65,7 @@
             apply(event, engine.slot, index, now);
         }
         if self.due(engine, now) {
-            self.ask(engine, now);
+            self.record_listing_request(engine, now);
             return Need::Listing;
         }
         Need::Nothing
@@ -86,7 +86,7 @@
             self.next_request = now + SCAN_INTERVAL;
         }
         let engine = engines.get_mut(no?)?;
-        self.ask(engine, now);
+        self.record_listing_request(engine, now);
         Some(engine.id.clone())
     }
 
@@ -99,7 +99,7 @@
         unknown && reports && !waits && now >= self.next_request
     }
 
-    fn ask(&mut self, engine: &mut Engine, now: Moment) {
+    fn record_listing_request(&mut self, engine: &mut Engine, now: Moment) {
         engine.listing_requested = Some(now);
         let seconds = engine.capacity() as f64 / LISTING_KEYS_PER_SECOND;
         self.next_request =
@@ -107,7 +107,7 @@
     }
 
     /// Applies a listing; returns `false` if it is older than the known state.
-    pub fn listing(
+    pub fn apply_listing(
         no: EngineNo,
         listing: &Listing,
         engines: &mut Engines,
@@ -132,7 +132,7 @@
     }
 
     /// Applies a peer's view of an engine's cache, unless this router has its own.
-    pub fn warm(
+    pub fn apply_warmth(
         no: EngineNo,
         cache: &EngineCache,
         engines: &mut Engines,
--- a/crates/sesamegap-policy/src/placing/mod.rs
+++ b/crates/sesamegap-policy/src/placing/mod.rs
@@ -49,7 +49,7 @@
     pub request: &'a RequestId,
     /// Requested model.
     pub model: &'a ModelId,
-    /// Version of the weights that must compute the answer.
+    /// Weights version that must compute the answer.
     pub version: WeightsVersion,
     /// Block keys and nested prefixes of the prompt.
     pub chain: &'a Chain,
@@ -79,10 +79,9 @@
 pub enum PlacementOutcome {
     /// An engine with room was chosen.
     At(Placement),
-    /// Engines with the model loaded have no room now; contains the shortest
-    /// estimated wait for room.
+    /// Engines with these weights loaded have no room now; contains the shortest estimated wait for room.
     Full(Duration),
-    /// No eligible engine has this version of the model loaded.
+    /// No eligible engine has this weights version loaded.
     NoEngine,
 }
 
@@ -105,19 +104,19 @@
 /// measurements.
 pub trait Placer: fmt::Debug + Send {
     /// Applies the current settings, of which only the models' block sizes are used.
-    fn settings(&mut self, _catalogue: &Catalogue) {}
+    fn apply_settings(&mut self, _catalogue: &Catalogue) {}
 
     /// Replaces the list of engines in use.
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment);
 
     /// Applies an engine's load report.
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment);
 
     /// Applies an engine's cache events and returns what is needed before its entries can be trusted.
     fn apply_cache_events(&mut self, engine: &UpstreamId, batch: &CacheBatch, now: Moment) -> Need;
 
     /// Sets the kept-KV store, if there is one.
-    fn store(&mut self, _store: Option<UpstreamId>) {}
+    fn set_store(&mut self, _store: Option<UpstreamId>) {}
 
     /// Returns an engine from which a listing should be requested now, independently of its events.
     fn next_listing(&mut self, _now: Moment) -> Option<UpstreamId> {
@@ -125,7 +124,7 @@
     }
 
     /// Applies a listing of all blocks that an engine holds.
-    fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment);
+    fn apply_listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment);
 
     /// Picks an engine; the request is not counted until [`Placer::sent`] is called.
     fn place(
--- a/crates/sesamegap-policy/src/placing/prefix.rs
+++ b/crates/sesamegap-policy/src/placing/prefix.rs
@@ -1,8 +1,8 @@
 //! The placer that routers use.
 //!
-//! Each request is compared on a few engines, whatever the size of the fleet: those believed to hold
-//! the most of its prefix, its home set, and two drawn at random, which can find an idle engine when
-//! the others are busy. The cheapest is picked. Near ties are broken at random, so that routers with
+//! For each request a few engines are compared, whatever the size of the fleet: those believed to
+//! hold the most of its prefix, its home set, and two drawn at random, which can find an idle engine
+//! when the others are busy. The cheapest is picked. Near ties are broken at random, so that routers with
 //! the same delayed reports do not all send to one engine. A dispatch is added at once to the
 //! engine's backlog and to the index, long before reports and events show it.
 
@@ -151,7 +151,7 @@
 }
 
 impl Placer for PrefixPlacer {
-    fn settings(&mut self, catalogue: &Catalogue) {
+    fn apply_settings(&mut self, catalogue: &Catalogue) {
         let models = catalogue.models.iter();
         self.blocks = models
             .map(|(model, spec)| (model.clone(), Tokens(spec.block.0.max(1))))
@@ -159,15 +159,15 @@
     }
 
     fn set_engines(&mut self, engines: &[EngineEntry], now: Moment) {
-        for gone in self.engines.list(engines, &mut self.index) {
+        for gone in self.engines.set_list(engines, &mut self.index) {
             self.in_flight.drop_engine(gone);
         }
         self.maintain(now);
     }
 
-    fn report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
+    fn apply_report(&mut self, engine: &UpstreamId, report: &LoadReport, now: Moment) {
         if let Some(no) = self.engines.number(engine) {
-            self.engines.report(no, report, now, &mut self.index);
+            self.engines.apply_report(no, report, now, &mut self.index);
             self.update_peer_backlog(no, now);
         }
         self.maintain(now);
@@ -179,10 +179,10 @@
             return Need::Nothing;
         };
         self.feed
-            .events(no, batch, &mut self.engines, &mut self.index, now)
+            .apply_events(no, batch, &mut self.engines, &mut self.index, now)
     }
 
-    fn store(&mut self, store: Option<UpstreamId>) {
+    fn set_store(&mut self, store: Option<UpstreamId>) {
         self.store = store;
     }
 
@@ -190,22 +190,23 @@
         self.feed.next_listing(&mut self.engines, now)
     }
 
-    fn listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
+    fn apply_listing(&mut self, engine: &UpstreamId, listing: &Listing, now: Moment) {
         let Some(no) = self.engines.number(engine) else {
             return;
         };
-        if !Feed::listing(no, listing, &mut self.engines, &mut self.index, now) {
+        if !Feed::apply_listing(no, listing, &mut self.engines, &mut self.index, now) {
             return;
         }
         // A listing does not include the blocks of requests in flight. Without this, the next request
         // for the same prefix could go to another engine and be computed twice.
-        let Some((slot, life)) = self.engines.get(no).map(|e| (e.slot, e.incarnation)) else {
+        let Some((slot, incarnation)) = self.engines.get(no).map(|e| (e.slot, e.incarnation))
+        else {
             return;
         };
         let here = self
             .in_flight
             .on_engine(no)
-            .filter(|f| f.incarnation == life);
+            .filter(|f| f.incarnation == incarnation);
         for entry in here {
             for key in entry.keys.iter() {
                 self.index.expect(slot, *key, now);
@@ -222,7 +223,7 @@
     ) -> PlacementOutcome {
         // Maintenance whose cost grows with the fleet runs on reports and digests instead.
         self.index.sweep(now);
-        let known = self.candidates.gather(
+        let known = self.candidates.select(
             ask,
             &self.engines,
             &self.index,
@@ -233,11 +234,11 @@
         if !known {
             return PlacementOutcome::NoEngine;
         }
-        let within = self.weigh(ask, room, now, false);
+        let within = self.score(ask, room, now, false);
         if !within.is_empty() {
             return self.choose(ask, &within, now, rng);
         }
-        let over = self.weigh(ask, room, now, true);
+        let over = self.score(ask, room, now, true);
         self.choose(ask, &over, now, rng)
     }
 
@@ -275,8 +276,8 @@
             cold,
             stage: Stage::Sent,
         };
-        if let Some(former) = self.in_flight.insert(ask.request, entry) {
-            self.settle(&former);
+        if let Some(previous) = self.in_flight.insert(ask.request, entry) {
+            self.settle(&previous);
         }
     }
 
@@ -350,7 +351,7 @@
     }
 
     fn apply_digest(&mut self, from: &str, digest: &Digest, now: Moment) {
-        self.heat.peer(from, &digest.heat, now);
+        self.heat.set_peer_rates(from, &digest.heat, now);
         let waiting = digest.prefill.iter().take(MAX_DIGEST_ENGINES);
         let waiting = waiting
             .filter_map(|(id, tokens)| Some((self.engines.number(id)?, tokens.0 as f64)))
@@ -367,8 +368,8 @@
         let waiting = self.engines.iter().map(|(_, e)| (e.backlog.own(), &e.id));
         let mut waiting: Vec<_> = waiting.filter(|(tokens, _)| tokens.0 > 0).collect();
         waiting.sort_unstable_by(|a, b| b.cmp(a));
-        let named = waiting.into_iter().take(MAX_DIGEST_ENGINES);
-        digest.prefill = named.map(|(tokens, id)| (id.clone(), tokens)).collect();
+        let longest = waiting.into_iter().take(MAX_DIGEST_ENGINES);
+        digest.prefill = longest.map(|(tokens, id)| (id.clone(), tokens)).collect();
         let cold = self.in_flight.cold().take(MAX_COLD_PROMPTS);
         let cold = cold.filter_map(|entry| {
             Some(ColdPrompt {
@@ -383,7 +384,7 @@
     fn apply_warmth(&mut self, warmth: &Warmth, now: Moment) {
         for cache in &warmth.engines {
             if let Some(no) = self.engines.number(&cache.engine) {
-                Feed::warm(no, cache, &mut self.engines, &mut self.index, now);
+                Feed::apply_warmth(no, cache, &mut self.engines, &mut self.index, now);
             }
         }
     }
--- a/crates/sesamegap-policy/tests/testsuite/placing/support.rs
+++ b/crates/sesamegap-policy/tests/testsuite/placing/support.rs
@@ -17,7 +17,7 @@
 /// Number of cases of each property test, unless `SESAMEGAP_CASES` is set.
 const CASES: u64 = 60;
 
-/// Version of the weights in all requests of these tests.
+/// Weights version in all requests of these tests.
 pub const VERSION: WeightsVersion = WeightsVersion(1);
 
 /// Runs a check on cases generated from fixed seeds and describes the first that fails.
@@ -129,8 +129,8 @@
     let fleet: Vec<_> = (0..engines).map(entry).collect();
     placer.set_engines(&fleet, now);
     for at in 0..engines {
-        placer.report(&engine(at), &report(1, 0), now);
-        placer.listing(&engine(at), &listing(1, 0, Vec::new()), now);
+        placer.apply_report(&engine(at), &report(1, 0), now);
+        placer.apply_listing(&engine(at), &listing(1, 0, Vec::new()), now);
     }
     placer
 }
--- a/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/belief/world.rs
@@ -48,7 +48,7 @@
     Crash,
     /// The VM receives an update again, whether it has read it or not.
     Tell(u8),
-    /// The store is restored from a copy that lacks this many of the newest records.
+    /// The store is restored from a backup that lacks this many of the newest records.
     Restore(u8),
     /// The VM cannot reach the store.
     Away,
@@ -78,8 +78,8 @@
 
 /// Implementation that decides whether an upstream is present.
 pub trait Judge {
-    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change;
-    fn expire(&mut self, contact: &StoreReachability, now: u64);
+    fn apply(&mut self, update: ListUpdate, reachability: &StoreReachability, now: u64) -> Change;
+    fn expire(&mut self, reachability: &StoreReachability, now: u64);
     fn is_known(&self) -> bool;
     fn is_leaving(&self) -> bool;
     fn born(&self) -> Option<Incarnation>;
@@ -96,12 +96,12 @@
 }
 
 impl Judge for Real {
-    fn apply(&mut self, update: ListUpdate, contact: &StoreReachability, now: u64) -> Change {
-        self.0.apply(update, &self.1, contact, at(now * 100))
+    fn apply(&mut self, update: ListUpdate, reachability: &StoreReachability, now: u64) -> Change {
+        self.0.apply(update, &self.1, reachability, at(now * 100))
     }
 
-    fn expire(&mut self, contact: &StoreReachability, now: u64) {
-        self.0.expire(&self.1, contact, at(now * 100));
+    fn expire(&mut self, reachability: &StoreReachability, now: u64) {
+        self.0.expire(&self.1, reachability, at(now * 100));
     }
 
     fn is_known(&self) -> bool {
@@ -195,7 +195,7 @@
 
     fn restore(&mut self, lost: usize) {
         self.timeline = Timeline(self.timeline.0 + 1);
-        // The copy always contains the first record, since the list would have no position otherwise.
+        // The backup always contains the first record, since the list would have no position otherwise.
         let kept = self.log.len().saturating_sub(lost).max(1);
         self.log.truncate(kept);
         self.entry = match self.log.last() {
@@ -262,8 +262,8 @@
         for (_, listing) in arrived {
             self.write(listing);
         }
-        let silent = |entry: &Entry| entry.until <= self.now;
-        if self.entry.as_ref().is_some_and(silent) {
+        let expired = |entry: &Entry| entry.until <= self.now;
+        if self.entry.as_ref().is_some_and(expired) {
             self.drop_entry();
         }
     }
@@ -292,7 +292,7 @@
 /// The VM's state for the upstream.
 struct Vm<'a> {
     judge: &'a mut dyn Judge,
-    contact: StoreReachability,
+    reachability: StoreReachability,
     away: bool,
     read: usize,
     timeline: Timeline,
@@ -305,50 +305,50 @@
         let now = world.now;
         if now >= self.next_read {
             self.next_read = now + READ_INTERVAL;
-            self.contact.record_response(!self.away, at(now * 100));
+            self.reachability.record_response(!self.away, at(now * 100));
             if !self.away {
                 self.read(world, now);
             }
         }
-        self.judge.expire(&self.contact, now);
+        self.judge.expire(&self.reachability, now);
         self.check(now)
     }
 
     fn read(&mut self, world: &World, now: u64) {
         if self.timeline < world.timeline {
             self.timeline = world.timeline;
-            self.contact.restored(at(now * 100));
+            self.reachability.restored(at(now * 100));
             if let Some(update) = world.newest() {
-                self.judge.apply(update, &self.contact, now);
+                self.judge.apply(update, &self.reachability, now);
             }
             self.read = world.log.len();
         }
         for no in self.read..world.log.len() {
-            self.judge.apply(world.update(no), &self.contact, now);
+            self.judge.apply(world.update(no), &self.reachability, now);
         }
         self.read = world.log.len();
     }
 
     /// An upstream that announced that it leaves and is gone must not come back in the same incarnation.
     fn check(&mut self, now: u64) -> Result<(), String> {
-        let (known, life) = (self.judge.is_known(), self.judge.born());
+        let (known, born) = (self.judge.is_known(), self.judge.born());
         if !known && self.judge.is_leaving() {
-            self.left.insert(life);
+            self.left.insert(born);
         }
         let usable = known && !self.judge.is_leaving();
-        if usable && self.left.contains(&life) {
-            return Err(format!("{life:?} is back at {now} though it had left"));
+        if usable && self.left.contains(&born) {
+            return Err(format!("{born:?} is back at {now} though it had left"));
         }
         Ok(())
     }
 }
 
-/// Plays the events, lets the system settle, and reports where the view and the truth differ.
+/// Runs the events, lets the system settle, and reports where the view and the truth differ.
 pub fn play(steps: &[Step], judge: &mut dyn Judge) -> Result<World, String> {
     let mut world = World::new();
     let mut vm = Vm {
         judge,
-        contact: StoreReachability::default(),
+        reachability: StoreReachability::default(),
         away: false,
         read: 0,
         timeline: Timeline(0),
@@ -359,8 +359,8 @@
         world.act(step);
         match step {
             Step::Tell(no) if !world.updates.is_empty() => {
-                let told = world.updates[usize::from(*no) % world.updates.len()];
-                vm.judge.apply(told, &vm.contact, world.now);
+                let update = world.updates[usize::from(*no) % world.updates.len()];
+                vm.judge.apply(update, &vm.reachability, world.now);
                 vm.check(world.now)?;
             }
             Step::Away => vm.away = true,
@@ -385,8 +385,8 @@
     }
     let judge = vm.judge;
     let usable = judge.is_known() && !judge.is_leaving();
-    let life = world.alive().map(|listing| listing.born);
-    match life {
+    let born = world.alive().map(|listing| listing.born);
+    match born {
         Some(born) if !usable || judge.born() != born => Err(format!(
             "{born:?} is alive but not used: {:?}",
             judge.born()
--- a/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
+++ b/crates/sesamegap-policy/tests/testsuite/routing/shards.rs
@@ -114,10 +114,10 @@
         .map(|_| rng.random_range(0..SIMULATED_MS))
         .collect();
     times.sort_unstable();
-    let (mut late, mut recall) = (0, CacheLocations::default());
+    let (mut late, mut cache_locations) = (0, CacheLocations::default());
     // All engines have prefilled the outer prefixes before the load starts.
     for seed in &fleet.seeds {
-        (0..4).for_each(|outer| recall.note(outer, *seed, 1, at(0)));
+        (0..4).for_each(|outer| cache_locations.note(outer, *seed, 1, at(0)));
     }
     for (number, now) in times.into_iter().enumerate() {
         let number = number as u64;
@@ -140,7 +140,7 @@
                 |seed| owned[placing_vm].at(seed).unread,
             ),
         };
-        let choice = engines::choose(&prompt, &views, 1, &recall).expect("an open engine");
+        let choice = engines::choose(&prompt, &views, 1, &cache_locations).expect("an open engine");
         let chosen = views[choice.at];
         let took = fleet.send(chosen.seed, now);
         late += u64::from(took > 1_000);
@@ -265,13 +265,13 @@
 #[test]
 fn reports_in_any_order_leave_no_residue() {
     let mut placed = Placements::default();
-    assert_eq!(placed.read(&1), None);
+    assert_eq!(placed.record_prefill(&1), None);
     placed.begin(1, placement(9), at(0));
     placed.begin(1, placement(8), at(1));
     assert_eq!(placed.at(9), Sum::default());
-    let read = placed.read(&1).expect("it was placed");
+    let read = placed.record_prefill(&1).expect("it was placed");
     assert_eq!((read.life, read.version, read.prefixes.len()), (8, 4, 1));
-    assert_eq!(placed.read(&1), None, "reported once");
+    assert_eq!(placed.record_prefill(&1), None, "reported once");
     placed.end(&1);
     placed.end(&1);
     assert_eq!(placed.at(8), Sum::default());
