--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -4,7 +4,7 @@
 use crate::catalogue::Limits;
 use crate::core::{Core, Phase};
 use crate::telemetry::events;
-use sesamegap_http::serving::{self, Bounds, Ended, Terms};
+use sesamegap_http::serving::{self, Bounds, Ended, ConnectionPolicy};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -24,7 +24,7 @@
         .map_or(FIRST_LIMITS, |catalogue| catalogue.limits())
 }
 
-impl Terms for Core {
+impl ConnectionPolicy for Core {
     fn bounds(&self) -> Bounds {
         let limits = limits(self);
         Bounds {
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -49,7 +49,7 @@
 const LAST_BYTES: Duration = Duration::from_secs(1);
 
 /// How a server treats its connections.
-pub trait Terms: Send + Sync {
+pub trait ConnectionPolicy: Send + Sync {
     /// Bounds in force now; they may change while a connection is open.
     fn bounds(&self) -> Bounds;
 
@@ -83,7 +83,7 @@
 /// Answers to requests that come after that should say `connection: close` themselves.
 pub async fn serve<S, F, A, B>(
     stream: S,
-    terms: &dyn Terms,
+    terms: &dyn ConnectionPolicy,
     answer: F,
     stop: impl Future<Output = ()>,
 ) -> Ended
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -4,7 +4,7 @@
 use http::Response;
 use http_body_util::Full;
 use http_body_util::combinators::UnsyncBoxBody;
-use sesamegap_http::serving::{self, Bounds, Ended, Terms, hold};
+use sesamegap_http::serving::{self, Bounds, Ended, ConnectionPolicy, hold};
 use std::io::{Read, Write};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -20,7 +20,7 @@
     idle: Duration,
 }
 
-impl Terms for Short {
+impl ConnectionPolicy for Short {
     fn bounds(&self) -> Bounds {
         Bounds {
             head: Duration::from_secs(10),
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -22,7 +22,7 @@
 use poem::http::uri::Scheme;
 use poem::web::{LocalAddr, RemoteAddr};
 use rustix::io::ioctl_fionread;
-use sesamegap_http::serving::{self, Bounds, Busy, Terms, hold};
+use sesamegap_http::serving::{self, Bounds, Busy, ConnectionPolicy, hold};
 use std::io::Result;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -183,7 +183,7 @@
 #[derive(Debug)]
 struct RouterTerms;
 
-impl Terms for RouterTerms {
+impl ConnectionPolicy for RouterTerms {
     fn bounds(&self) -> Bounds {
         Bounds {
             head: IDLE,
