--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    fn longest_head(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         limits(self).head
     }
 }
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -54,7 +54,7 @@
     fn bounds(&self) -> Bounds;
 
     /// Longest head, in bytes, of a connection that opens now.
-    fn longest_head(&self) -> usize;
+    fn max_head_bytes(&self) -> usize;
 
     /// What a connection closed between two requests is sent; nothing if empty.
     fn farewell(&self) -> Bytes {
@@ -104,7 +104,7 @@
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(terms.longest_head().max(LEAST_HEAD))
+            .max_buf_size(terms.max_head_bytes().max(LEAST_HEAD))
             .serve_connection(TokioIo::new(watched), service)
     );
     let mut stop = pin!(stop);
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    fn longest_head(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         8 << 10
     }
 
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    fn longest_head(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         LONGEST_HEAD
     }
 
