--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -57,7 +57,7 @@
     fn max_head_bytes(&self) -> usize;
 
     /// What a connection closed between two requests is sent; nothing if empty.
-    fn farewell(&self) -> Bytes {
+    fn closing_response(&self) -> Bytes {
         Bytes::new()
     }
 
@@ -95,7 +95,7 @@
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     let activity = Activity::new();
-    let watched = Watched::new(stream, Arc::clone(&activity), terms.farewell());
+    let watched = Watched::new(stream, Arc::clone(&activity), terms.closing_response());
     let service = service_fn(|request| {
         let answered = answer(request, activity.begin());
         async move { Ok::<_, Infallible>(answered.await) }
--- a/crates/sesamegap-http/src/serving/watched.rs
+++ b/crates/sesamegap-http/src/serving/watched.rs
@@ -25,20 +25,20 @@
 pub struct Watched<S> {
     stream: S,
     activity: Arc<Activity>,
-    farewell: Bytes,
-    /// Whether there is a farewell that the caller should get to read.
+    closing_response: Bytes,
+    /// Whether there is a closing_response that the caller should get to read.
     lingers: bool,
     linger: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S: AsFd> Watched<S> {
-    /// Watches a stream, whose caller is sent `farewell` if it is closed between two requests.
-    pub fn new(stream: S, activity: Arc<Activity>, farewell: Bytes) -> Self {
+    /// Watches a stream, whose caller is sent `closing_response` if it is closed between two requests.
+    pub fn new(stream: S, activity: Arc<Activity>, closing_response: Bytes) -> Self {
         Self {
             stream,
             activity,
-            lingers: !farewell.is_empty(),
-            farewell,
+            lingers: !closing_response.is_empty(),
+            closing_response,
             linger: None,
         }
     }
@@ -75,11 +75,11 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Watched<S> {
-    /// Sends what is left of the farewell.
+    /// Sends what is left of the closing_response.
     fn take_leave(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while self.farewell.has_remaining() {
-            let sent = ready!(Pin::new(&mut self.stream).poll_write(cx, &self.farewell))?;
-            self.farewell.advance(sent);
+        while self.closing_response.has_remaining() {
+            let sent = ready!(Pin::new(&mut self.stream).poll_write(cx, &self.closing_response))?;
+            self.closing_response.advance(sent);
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -32,7 +32,7 @@
         8 << 10
     }
 
-    fn farewell(&self) -> Bytes {
+    fn closing_response(&self) -> Bytes {
         Bytes::from_static(b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\n\r\n")
     }
 }
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -196,7 +196,7 @@
     }
 
     /// The answer to a request that is on its way while its connection is closed.
-    fn farewell(&self) -> Bytes {
+    fn closing_response(&self) -> Bytes {
         let message =
             "the connection was idle and is closed; what came after its last answer was not run";
         let error = ApiError::not_run(StatusCode::REQUEST_TIMEOUT, "closing", message);
