--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether a stop also closes connections on which no request has come yet.
-    fn closes_unused(&self) -> bool {
+    fn closes_unused_on_stop(&self) -> bool {
         false
     }
 }
@@ -118,7 +118,7 @@
             () = stop.as_mut(), if !stopping => stopping = true,
             () = sleep(wait) => {}
         }
-        let unused = !activity.has_asked() && !terms.closes_unused();
+        let unused = !activity.has_asked() && !terms.closes_unused_on_stop();
         let closes = stopping && !unused;
         if closes && activity.due(bounds) == Due::Busy {
             // Its head may have gone out before the stop. Kept after it, the connection would bring
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -207,7 +207,7 @@
         ))
     }
 
-    fn closes_unused(&self) -> bool {
+    fn closes_unused_on_stop(&self) -> bool {
         true
     }
 }
