--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -12,7 +12,7 @@
 use http::{Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
-use sesamegap_http::serving::{Busy, hold};
+use sesamegap_http::serving::{Busy, guard_body};
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -50,7 +50,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    response.map(|body| hold(body, (busy, active)))
+    response.map(|body| guard_body(body, (busy, active)))
 }
 
 /// A request refused before it was placed.
--- a/crates/sesamegap-http/src/serving/held.rs
+++ b/crates/sesamegap-http/src/serving/held.rs
@@ -13,7 +13,7 @@
 }
 
 /// A body that keeps something until it is dropped.
-pub fn hold<B, G>(body: B, guard: G) -> UnsyncBoxBody<B::Data, B::Error>
+pub fn guard_body<B, G>(body: B, guard: G) -> UnsyncBoxBody<B::Data, B::Error>
 where
     B: Body + Send + 'static,
     G: Send + Unpin + 'static,
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -14,7 +14,7 @@
 mod watched;
 
 pub use activity::{Bounds, Busy, Due};
-pub use held::hold;
+pub use held::guard_body;
 
 use activity::Activity;
 use bytes::Bytes;
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -4,7 +4,7 @@
 use http::Response;
 use http_body_util::Full;
 use http_body_util::combinators::UnsyncBoxBody;
-use sesamegap_http::serving::{self, Bounds, Ended, ConnectionPolicy, hold};
+use sesamegap_http::serving::{self, Bounds, Ended, ConnectionPolicy, guard_body};
 use std::io::{Read, Write};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -54,7 +54,7 @@
     busy: serving::Busy,
 ) -> Response<UnsyncBoxBody<Bytes, std::convert::Infallible>> {
     let body = Full::new(Bytes::from(vec![b'x'; LARGE]));
-    Response::new(hold(body, busy))
+    Response::new(guard_body(body, busy))
 }
 
 /// A caller asks for a large answer and does not read it. The answer was handed over whole, so the
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -22,7 +22,7 @@
 use poem::http::uri::Scheme;
 use poem::web::{LocalAddr, RemoteAddr};
 use rustix::io::ioctl_fionread;
-use sesamegap_http::serving::{self, Bounds, Busy, ConnectionPolicy, hold};
+use sesamegap_http::serving::{self, Bounds, Busy, ConnectionPolicy, guard_body};
 use std::io::Result;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -176,7 +176,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    response.map(|body| hold(body, busy))
+    response.map(|body| guard_body(body, busy))
 }
 
 /// How callers' connections are treated.
