--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -12,7 +12,7 @@
 use http::{Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
-use sesamegap_http::serving::{Busy, guard_body};
+use sesamegap_http::serving::{RequestGuard, guard_body};
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -23,7 +23,7 @@
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Answers a request; the guard lasts as long as the answer's body.
-pub async fn answer(core: Arc<Core>, request: Request<Incoming>, busy: Busy) -> Response<Body> {
+pub async fn answer(core: Arc<Core>, request: Request<Incoming>, busy: RequestGuard) -> Response<Body> {
     let taken = take(&core, request).await;
     let id = match &taken {
         Ok(job) => job.head.id.clone(),
--- a/crates/sesamegap-http/src/serving/activity.rs
+++ b/crates/sesamegap-http/src/serving/activity.rs
@@ -59,11 +59,11 @@
     }
 
     /// A request was read; it lasts until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> Busy {
+    pub fn begin(self: &Arc<Self>) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::Relaxed);
         self.asked.store(true, Ordering::Relaxed);
         self.head_since.store(NONE, Ordering::Relaxed);
-        Busy(Arc::clone(self))
+        RequestGuard(Arc::clone(self))
     }
 
     /// The bound that applies now.
@@ -171,9 +171,9 @@
 
 /// A request on the connection.
 #[derive(Debug)]
-pub struct Busy(Arc<Activity>);
+pub struct RequestGuard(Arc<Activity>);
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let now = self.0.now();
         self.0.idle_since.store(now, Ordering::Relaxed);
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -13,7 +13,7 @@
 mod held;
 mod watched;
 
-pub use activity::{Bounds, Busy, Due};
+pub use activity::{Bounds, Due, RequestGuard};
 pub use held::guard_body;
 
 use activity::Activity;
@@ -89,7 +89,7 @@
 ) -> Ended
 where
     S: AsyncRead + AsyncWrite + AsFd + Unpin + Send + 'static,
-    F: Fn(Request<Incoming>, Busy) -> A,
+    F: Fn(Request<Incoming>, RequestGuard) -> A,
     A: Future<Output = Response<B>>,
     B: Body + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -51,7 +51,7 @@
 
 async fn large(
     _request: http::Request<hyper::body::Incoming>,
-    busy: serving::Busy,
+    busy: serving::RequestGuard,
 ) -> Response<UnsyncBoxBody<Bytes, std::convert::Infallible>> {
     let body = Full::new(Bytes::from(vec![b'x'; LARGE]));
     Response::new(guard_body(body, busy))
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -22,7 +22,7 @@
 use poem::http::uri::Scheme;
 use poem::web::{LocalAddr, RemoteAddr};
 use rustix::io::ioctl_fionread;
-use sesamegap_http::serving::{self, Bounds, Busy, ConnectionPolicy, guard_body};
+use sesamegap_http::serving::{self, Bounds, RequestGuard, ConnectionPolicy, guard_body};
 use std::io::Result;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -159,7 +159,7 @@
     core: Arc<Core>,
     app: App,
     request: Request<Incoming>,
-    busy: Busy,
+    busy: RequestGuard,
     (local, caller): (SocketAddr, SocketAddr),
 ) -> Response<impl Body<Data = Bytes, Error = std::io::Error>> {
     let request = poem::Request::from((
