--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -51,7 +51,7 @@
         Ended::Closed(Some(error)) => {
             debug!(event = events::BOUND, %error, "connection ended early");
         }
-        Ended::Bound(due) => {
+        Ended::TimedOut(due) => {
             debug!(event = events::BOUND, bound = ?due, "connection closed");
         }
         Ended::Closed(None) | Ended::Stopped => {}
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -73,7 +73,7 @@
     /// Closed by the caller or by an answer that said so, or broken.
     Closed(Option<hyper::Error>),
     /// Closed by the server at a bound.
-    Bound(Due),
+    TimedOut(Due),
     /// Closed by the server since it stops.
     Stopped,
 }
@@ -140,7 +140,7 @@
         }
         let due = activity.due(bounds);
         if due.is_over() {
-            break Ended::Bound(due);
+            break Ended::TimedOut(due);
         }
         // The last bytes of an answer may still wait for a slow caller.
         if closes && matches!(due, Due::Idle(_)) && !activity.has_unsent() {
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -70,7 +70,7 @@
     let ended = timeout(PATIENCE, served)
         .await
         .expect("the connection ends");
-    assert!(matches!(ended, Ended::Bound(_)), "{ended:?}");
+    assert!(matches!(ended, Ended::TimedOut(_)), "{ended:?}");
     drop(caller);
 }
 
