--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -4,7 +4,7 @@
 use crate::catalogue::Limits;
 use crate::core::{Core, Phase};
 use crate::telemetry::events;
-use sesamegap_http::serving::{self, Bounds, Ended, ConnectionPolicy};
+use sesamegap_http::serving::{self, Bounds, CloseReason, ConnectionPolicy};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -48,12 +48,12 @@
     let closing = super::reached(&mut phases, Phase::Closing);
     let answer = |request, busy| request::answer(Arc::clone(&core), request, busy);
     match serving::serve(stream, core.as_ref(), answer, closing).await {
-        Ended::Closed(Some(error)) => {
+        CloseReason::Closed(Some(error)) => {
             debug!(event = events::BOUND, %error, "connection ended early");
         }
-        Ended::TimedOut(due) => {
+        CloseReason::TimedOut(due) => {
             debug!(event = events::BOUND, bound = ?due, "connection closed");
         }
-        Ended::Closed(None) | Ended::Stopped => {}
+        CloseReason::Closed(None) | CloseReason::Stopped => {}
     }
 }
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -69,7 +69,7 @@
 
 /// How a connection ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum CloseReason {
     /// Closed by the caller or by an answer that said so, or broken.
     Closed(Option<hyper::Error>),
     /// Closed by the server at a bound.
@@ -86,7 +86,7 @@
     terms: &dyn ConnectionPolicy,
     answer: F,
     stop: impl Future<Output = ()>,
-) -> Ended
+) -> CloseReason
 where
     S: AsyncRead + AsyncWrite + AsFd + Unpin + Send + 'static,
     F: Fn(Request<Incoming>, RequestGuard) -> A,
@@ -114,7 +114,7 @@
         let wait = wait(activity.due(bounds), bounds, stopping);
         tokio::select! {
             // A caller that leaves ends the connection, and with it the request on it.
-            ended = served.as_mut() => return Ended::Closed(ended.err()),
+            ended = served.as_mut() => return CloseReason::Closed(ended.err()),
             () = stop.as_mut(), if !stopping => stopping = true,
             () = sleep(wait) => {}
         }
@@ -133,18 +133,18 @@
         let looked = poll_fn(|cx| Poll::Ready(served.as_mut().poll(cx))).await;
         activity.stay();
         if let Poll::Ready(ended) = looked {
-            return Ended::Closed(ended.err());
+            return CloseReason::Closed(ended.err());
         }
         if activity.has_unread() {
             continue;
         }
         let due = activity.due(bounds);
         if due.is_over() {
-            break Ended::TimedOut(due);
+            break CloseReason::TimedOut(due);
         }
         // The last bytes of an answer may still wait for a slow caller.
         if closes && matches!(due, Due::Idle(_)) && !activity.has_unsent() {
-            break Ended::Stopped;
+            break CloseReason::Stopped;
         }
     };
     // From here to the close of the socket nothing else runs.
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -4,7 +4,7 @@
 use http::Response;
 use http_body_util::Full;
 use http_body_util::combinators::UnsyncBoxBody;
-use sesamegap_http::serving::{self, Bounds, Ended, ConnectionPolicy, guard_body};
+use sesamegap_http::serving::{self, Bounds, CloseReason, ConnectionPolicy, guard_body};
 use std::io::{Read, Write};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -70,7 +70,7 @@
     let ended = timeout(PATIENCE, served)
         .await
         .expect("the connection ends");
-    assert!(matches!(ended, Ended::TimedOut(_)), "{ended:?}");
+    assert!(matches!(ended, CloseReason::TimedOut(_)), "{ended:?}");
     drop(caller);
 }
 
@@ -90,6 +90,6 @@
         body.iter().take_while(|byte| **byte == b'x').count()
     });
     let ended = serving::serve(stream, &terms, large, std::future::ready(())).await;
-    assert!(matches!(ended, Ended::Stopped), "{ended:?}");
+    assert!(matches!(ended, CloseReason::Stopped), "{ended:?}");
     assert_eq!(read.await.unwrap(), LARGE);
 }
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -149,7 +149,7 @@
     };
     let terms = RouterTerms;
     let ended = serving::serve(line, &terms, answer, close.cancelled()).await;
-    if let serving::Ended::Closed(Some(error)) = ended {
+    if let serving::CloseReason::Closed(Some(error)) = ended {
         tracing::debug!(event = events::CALLER_GONE.number, %error, %caller, "connection ended early");
     }
 }
