--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// Header by which a caller names its failure domain.
-pub const DOMAIN: &str = "sesamegap-domain";
+pub const DOMAIN_HEADER: &str = "sesamegap-domain";
 
 /// Probes that may go unanswered before the kernel closes an idle connection.
 const PROBES: u32 = 3;
@@ -55,7 +55,7 @@
             .client()
             .request(method, format!("{}{path}", self.base));
         match &self.settings.domain {
-            Some(domain) => request.header(DOMAIN, domain.as_str()),
+            Some(domain) => request.header(DOMAIN_HEADER, domain.as_str()),
             None => request,
         }
     }
--- a/crates/sesamegap-standin/src/host.rs
+++ b/crates/sesamegap-standin/src/host.rs
@@ -3,7 +3,7 @@
 use crate::faults::Switches;
 use crate::gate::{Gate, GateAcceptor};
 use poem::{Endpoint, EndpointExt, IntoEndpoint, Request, Response, Server};
-use sesamegap_http::pool::DOMAIN;
+use sesamegap_http::pool::DOMAIN_HEADER;
 use sesamegap_wire::DomainId;
 use std::io::Result as IoResult;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -58,7 +58,7 @@
 
     /// Time that a caller's round trip takes, by the domain that its request names.
     fn distance(&self, request: &Request) -> Duration {
-        match (&self.domain, request.header(DOMAIN)) {
+        match (&self.domain, request.header(DOMAIN_HEADER)) {
             (Some(own), Some(caller)) if own.as_str() != caller => self.between,
             _ => Duration::ZERO,
         }
