--- a/crates/sesamegap-standin/src/worker.rs
+++ b/crates/sesamegap-standin/src/worker.rs
@@ -12,7 +12,7 @@
 use poem::web::{Data, Json};
 use poem::{Body, EndpointExt, IntoEndpoint, IntoResponse, Request, Response, Route, handler};
 use serde::{Deserialize, Serialize};
-use sesamegap_upstream::wire::{KEY, RAN, REQUEST};
+use sesamegap_upstream::wire::{KEY, RAN, REQUEST_HEADER};
 use sesamegap_wire::{RequestId, ServiceId, UpstreamId};
 use smol_str::SmolStr;
 use std::sync::Arc;
@@ -108,7 +108,7 @@
 
 #[handler]
 async fn call(Data(worker): Data<&Arc<WorkerStandin>>, request: &Request, body: Body) -> Response {
-    let id = request.header(REQUEST).and_then(|id| id.parse().ok());
+    let id = request.header(REQUEST_HEADER).and_then(|id| id.parse().ok());
     let Some(id): Option<RequestId> = id else {
         return not_run(StatusCode::BAD_REQUEST, String::new());
     };
@@ -127,13 +127,13 @@
         sleep(worker.late).await;
     }
     Json(echo)
-        .with_header(REQUEST, worker.named(&id))
+        .with_header(REQUEST_HEADER, worker.named(&id))
         .into_response()
 }
 
 fn not_run(status: StatusCode, id: String) -> Response {
     status
         .with_header(RAN, "no")
-        .with_header(REQUEST, id)
+        .with_header(REQUEST_HEADER, id)
         .into_response()
 }
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -1,6 +1,6 @@
 //! A worker of a plain service over HTTP.
 //!
-//! The call goes through as it is, with two headers added: [`REQUEST`] names the request, which the
+//! The call goes through as it is, with two headers added: [`REQUEST_HEADER`] names the request, which the
 //! worker echoes, and [`KEY`] carries the idempotency key. A reply without the echo, or with that
 //! of another request, is discarded. A worker that did not run the call says so with [`RAN`] and
 //! status 429 or 503; any other status is the service's own reply.
@@ -8,7 +8,7 @@
 use super::{Call, PlainService, Reply};
 use crate::client::unreadable;
 use crate::error::{Fault, Ran, UpstreamError};
-use crate::wire::{KEY, RAN, REQUEST};
+use crate::wire::{KEY, RAN, REQUEST_HEADER};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::header::{CONTENT_TYPE, HeaderMap};
 use reqwest::{Method, RequestBuilder, Response, StatusCode};
@@ -53,7 +53,7 @@
         let mut request = self
             .pool
             .request(method, &format!("/{path}"))
-            .header(REQUEST, call.request.to_string())
+            .header(REQUEST_HEADER, call.request.to_string())
             .body(call.body);
         if let Some(content) = &call.content {
             request = request.header(CONTENT_TYPE, content.as_str());
@@ -66,7 +66,7 @@
 
     /// Checks that a reply is the one to this request.
     fn own(&self, response: &Response, id: &str) -> Result<(), UpstreamError> {
-        let echo = header(response.headers(), REQUEST);
+        let echo = header(response.headers(), REQUEST_HEADER);
         if echo.as_deref() == Some(id) {
             return Ok(());
         }
