--- a/crates/sesamegap-standin/src/worker.rs
+++ b/crates/sesamegap-standin/src/worker.rs
@@ -12,7 +12,7 @@
 use poem::web::{Data, Json};
 use poem::{Body, EndpointExt, IntoEndpoint, IntoResponse, Request, Response, Route, handler};
 use serde::{Deserialize, Serialize};
-use sesamegap_upstream::wire::{KEY, RAN, REQUEST_HEADER};
+use sesamegap_upstream::wire::{KEY, RAN_HEADER, REQUEST_HEADER};
 use sesamegap_wire::{RequestId, ServiceId, UpstreamId};
 use smol_str::SmolStr;
 use std::sync::Arc;
@@ -133,7 +133,7 @@
 
 fn not_run(status: StatusCode, id: String) -> Response {
     status
-        .with_header(RAN, "no")
+        .with_header(RAN_HEADER, "no")
         .with_header(REQUEST_HEADER, id)
         .into_response()
 }
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -2,13 +2,13 @@
 //!
 //! The call goes through as it is, with two headers added: [`REQUEST_HEADER`] names the request, which the
 //! worker echoes, and [`KEY`] carries the idempotency key. A reply without the echo, or with that
-//! of another request, is discarded. A worker that did not run the call says so with [`RAN`] and
+//! of another request, is discarded. A worker that did not run the call says so with [`RAN_HEADER`] and
 //! status 429 or 503; any other status is the service's own reply.
 
 use super::{Call, PlainService, Reply};
 use crate::client::unreadable;
 use crate::error::{Fault, Ran, UpstreamError};
-use crate::wire::{KEY, RAN, REQUEST_HEADER};
+use crate::wire::{KEY, RAN_HEADER, REQUEST_HEADER};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::header::{CONTENT_TYPE, HeaderMap};
 use reqwest::{Method, RequestBuilder, Response, StatusCode};
@@ -78,7 +78,7 @@
 
     async fn reply(&self, response: Response) -> Result<Reply, UpstreamError> {
         let status = response.status();
-        let refused = header(response.headers(), RAN).as_deref() == Some("no");
+        let refused = header(response.headers(), RAN_HEADER).as_deref() == Some("no");
         let content = header(response.headers(), CONTENT_TYPE.as_str());
         let body = self.pool.whole(response).await?;
         if refused {
--- a/crates/sesamegap-upstream/src/wire.rs
+++ b/crates/sesamegap-upstream/src/wire.rs
@@ -12,7 +12,7 @@
 /// Header by which a plain service's worker echoes the request.
 pub const REQUEST_HEADER: &str = "sesamegap-request";
 /// Header by which a plain service's worker says that it did not run the call.
-pub const RAN: &str = "sesamegap-ran";
+pub const RAN_HEADER: &str = "sesamegap-ran";
 /// Header that carries the idempotency key to a plain service's worker.
 pub const KEY: &str = "idempotency-key";
 
