--- a/crates/sesamegap-standin/src/worker.rs
+++ b/crates/sesamegap-standin/src/worker.rs
@@ -12,7 +12,7 @@
 use poem::web::{Data, Json};
 use poem::{Body, EndpointExt, IntoEndpoint, IntoResponse, Request, Response, Route, handler};
 use serde::{Deserialize, Serialize};
-use sesamegap_upstream::wire::{KEY, RAN_HEADER, REQUEST_HEADER};
+use sesamegap_upstream::wire::{IDEMPOTENCY_KEY_HEADER, RAN_HEADER, REQUEST_HEADER};
 use sesamegap_wire::{RequestId, ServiceId, UpstreamId};
 use smol_str::SmolStr;
 use std::sync::Arc;
@@ -83,7 +83,7 @@
     }
 
     async fn run(&self, request: &Request, id: &RequestId, body: String) -> Echo {
-        let key = request.header(KEY);
+        let key = request.header(IDEMPOTENCY_KEY_HEADER);
         let runs = self.record.ran(id, 0, &self.plan.id, key);
         sleep(self.work).await;
         Echo {
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -1,14 +1,14 @@
 //! A worker of a plain service over HTTP.
 //!
 //! The call goes through as it is, with two headers added: [`REQUEST_HEADER`] names the request, which the
-//! worker echoes, and [`KEY`] carries the idempotency key. A reply without the echo, or with that
+//! worker echoes, and [`IDEMPOTENCY_KEY_HEADER`] carries the idempotency key. A reply without the echo, or with that
 //! of another request, is discarded. A worker that did not run the call says so with [`RAN_HEADER`] and
 //! status 429 or 503; any other status is the service's own reply.
 
 use super::{Call, PlainService, Reply};
 use crate::client::unreadable;
 use crate::error::{Fault, Ran, UpstreamError};
-use crate::wire::{KEY, RAN_HEADER, REQUEST_HEADER};
+use crate::wire::{IDEMPOTENCY_KEY_HEADER, RAN_HEADER, REQUEST_HEADER};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::header::{CONTENT_TYPE, HeaderMap};
 use reqwest::{Method, RequestBuilder, Response, StatusCode};
@@ -59,7 +59,7 @@
             request = request.header(CONTENT_TYPE, content.as_str());
         }
         if let Some(key) = &call.key {
-            request = request.header(KEY, key.as_str());
+            request = request.header(IDEMPOTENCY_KEY_HEADER, key.as_str());
         }
         Ok(request)
     }
--- a/crates/sesamegap-upstream/src/wire.rs
+++ b/crates/sesamegap-upstream/src/wire.rs
@@ -14,7 +14,7 @@
 /// Header by which a plain service's worker says that it did not run the call.
 pub const RAN_HEADER: &str = "sesamegap-ran";
 /// Header that carries the idempotency key to a plain service's worker.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// One event of an answer's stream and the attempt it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
