--- a/crates/sesamegap-upstream/src/kv/http.rs
+++ b/crates/sesamegap-upstream/src/kv/http.rs
@@ -3,7 +3,7 @@
 use super::KvStore;
 use crate::client::ask;
 use crate::error::UpstreamError;
-use crate::wire::{Asked, Held};
+use crate::wire::{HeldPrefixRequest, Held};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::Method;
 use sesamegap_http::{Pool, Settings};
@@ -26,7 +26,7 @@
 
     async fn count(&self, keys: &[BlockKey]) -> Result<usize, UpstreamError> {
         let keys = keys.to_vec();
-        let asked = Asked { keys };
+        let asked = HeldPrefixRequest { keys };
         let request = self.pool.request(Method::POST, "/v1/held").json(&asked);
         let answer: Held = ask(&self.pool, request, Duration::ZERO).await?;
         // A store that claims more than was asked for would make the caller index out of bounds.
--- a/crates/sesamegap-upstream/src/wire.rs
+++ b/crates/sesamegap-upstream/src/wire.rs
@@ -55,7 +55,7 @@
 
 /// Keys asked of a kept-KV store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Asked {
+pub struct HeldPrefixRequest {
     /// The keys, outermost prefix first.
     pub keys: Vec<BlockKey>,
 }
