--- a/crates/sesamegap-standin/src/store.rs
+++ b/crates/sesamegap-standin/src/store.rs
@@ -3,7 +3,7 @@
 use crate::engine::cache::{Cache, Tag};
 use poem::web::{Data, Json};
 use poem::{EndpointExt, IntoEndpoint, Route, handler};
-use sesamegap_upstream::wire::{HeldPrefixRequest, Held};
+use sesamegap_upstream::wire::{HeldPrefixRequest, HeldPrefixResponse};
 use sesamegap_wire::{BlockKey, UpstreamId};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -49,7 +49,7 @@
 }
 
 #[handler]
-fn held(Data(store): Data<&Arc<StoreStandin>>, Json(asked): Json<HeldPrefixRequest>) -> Json<Held> {
+fn held(Data(store): Data<&Arc<StoreStandin>>, Json(asked): Json<HeldPrefixRequest>) -> Json<HeldPrefixResponse> {
     let held = store.lock().held(&asked.keys);
-    Json(Held { held })
+    Json(HeldPrefixResponse { held })
 }
--- a/crates/sesamegap-upstream/src/kv/http.rs
+++ b/crates/sesamegap-upstream/src/kv/http.rs
@@ -3,7 +3,7 @@
 use super::KvStore;
 use crate::client::ask;
 use crate::error::UpstreamError;
-use crate::wire::{HeldPrefixRequest, Held};
+use crate::wire::{HeldPrefixRequest, HeldPrefixResponse};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::Method;
 use sesamegap_http::{Pool, Settings};
@@ -28,7 +28,7 @@
         let keys = keys.to_vec();
         let asked = HeldPrefixRequest { keys };
         let request = self.pool.request(Method::POST, "/v1/held").json(&asked);
-        let answer: Held = ask(&self.pool, request, Duration::ZERO).await?;
+        let answer: HeldPrefixResponse = ask(&self.pool, request, Duration::ZERO).await?;
         // A store that claims more than was asked for would make the caller index out of bounds.
         Ok(answer.held.min(asked.keys.len()))
     }
--- a/crates/sesamegap-upstream/src/wire.rs
+++ b/crates/sesamegap-upstream/src/wire.rs
@@ -62,7 +62,7 @@
 
 /// How many of the keys a kept-KV store holds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldPrefixResponse {
     /// Count from the first key on, without a gap.
     pub held: usize,
 }
