--- a/crates/sesamegap-standin/tests/testsuite/cache.rs
+++ b/crates/sesamegap-standin/tests/testsuite/cache.rs
@@ -60,7 +60,7 @@
     ask(&engine, other).await;
     let store = HttpStore::new(url(deployment.addresses().store.unwrap()), settings());
     let keys: Vec<_> = (0..4).map(BlockKey).collect();
-    assert_eq!(store.held(&keys).await.unwrap(), 3);
+    assert_eq!(store.held_prefix_len(&keys).await.unwrap(), 3);
     let mut again = dispatch(&deployment, 3, 2);
     again.import = Some("store-1".parse().unwrap());
     assert_eq!(ask(&engine, again).await.cached, Some(Tokens(48)));
--- a/crates/sesamegap-upstream/src/kv/http.rs
+++ b/crates/sesamegap-upstream/src/kv/http.rs
@@ -35,7 +35,7 @@
 }
 
 impl KvStore for HttpStore {
-    fn held<'a>(&'a self, keys: &'a [BlockKey]) -> BoxFuture<'a, Result<usize, UpstreamError>> {
+    fn held_prefix_len<'a>(&'a self, keys: &'a [BlockKey]) -> BoxFuture<'a, Result<usize, UpstreamError>> {
         self.count(keys).boxed()
     }
 }
--- a/crates/sesamegap-upstream/tests/testsuite/limits.rs
+++ b/crates/sesamegap-upstream/tests/testsuite/limits.rs
@@ -53,5 +53,5 @@
 async fn a_store_cannot_hold_more_than_was_asked() {
     let body = "HTTP/1.1 200 OK\r\ncontent-length: 13\r\n\r\n{\"held\": 999}";
     let store = HttpStore::new(endless(body, " ").await, Settings::default());
-    assert_eq!(store.held(&[BlockKey(1)]).await.unwrap(), 1);
+    assert_eq!(store.held_prefix_len(&[BlockKey(1)]).await.unwrap(), 1);
 }
