--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -150,7 +150,7 @@
         .no_proxy()
         .redirect(redirect::Policy::none())
         .retry(retry::never())
-        .connect_timeout(settings.connect)
+        .connect_timeout(settings.connect_timeout)
         .pool_idle_timeout(settings.idle)
         .tcp_nodelay(true)
         .tcp_keepalive(settings.idle)
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -6,7 +6,7 @@
 /// Limits of a client towards one target.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    pub(crate) connect: Duration,
+    pub(crate) connect_timeout: Duration,
     pub(crate) silence: Duration,
     pub(crate) age: Duration,
     pub(crate) idle: Duration,
@@ -41,7 +41,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(250),
+            connect_timeout: Duration::from_millis(250),
             silence: Duration::from_millis(400),
             age: Duration::from_mins(1),
             idle: Duration::from_secs(20),
@@ -60,8 +60,8 @@
 impl Builder {
     /// Time to open a connection.
     #[must_use]
-    pub fn connect(mut self, time: Duration) -> Self {
-        self.0.connect = time;
+    pub fn connect_timeout(mut self, time: Duration) -> Self {
+        self.0.connect_timeout = time;
         self
     }
 
--- a/crates/sesamegap-http/tests/testsuite/pool.rs
+++ b/crates/sesamegap-http/tests/testsuite/pool.rs
@@ -13,7 +13,7 @@
 fn settings() -> Builder {
     Settings::builder()
         .silence(Duration::from_secs(1))
-        .connect(Duration::from_secs(20))
+        .connect_timeout(Duration::from_secs(20))
 }
 
 async fn get(pool: &Pool) -> Result<Bytes, Failure> {
--- a/crates/sesamegap-standin/tests/testsuite/support.rs
+++ b/crates/sesamegap-standin/tests/testsuite/support.rs
@@ -53,7 +53,7 @@
 pub fn settings() -> Settings {
     Settings::builder()
         .silence(SILENCE)
-        .connect(PATIENCE)
+        .connect_timeout(PATIENCE)
         .build()
 }
 
--- a/crates/sesamegap/src/router/fleet/connect.rs
+++ b/crates/sesamegap/src/router/fleet/connect.rs
@@ -26,7 +26,7 @@
 /// Limits on connections to platform and upstreams.
 pub fn http_settings(config: &ProcessConfig) -> Settings {
     Settings::builder()
-        .connect(config.timing.connect)
+        .connect_timeout(config.timing.connect)
         .silence(config.timing.silence)
         .age(config.timing.age)
         .domain(config.domain.clone())
