--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -81,7 +81,7 @@
         request: RequestBuilder,
         extra: Duration,
     ) -> Result<Response, Failure> {
-        let limit = self.settings.silence + extra;
+        let limit = self.settings.read_timeout + extra;
         let outcome = match timeout(limit, request.send()).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(Failure::of_sending(&error)),
@@ -104,7 +104,7 @@
     /// # Errors
     /// If it did not end in time; the pooled connections are then given up.
     pub async fn heard<T>(&self, waiting: impl Future<Output = T>) -> Result<T, Failure> {
-        let outcome = timeout(self.settings.silence, waiting).await;
+        let outcome = timeout(self.settings.read_timeout, waiting).await;
         self.watch(outcome.map_err(|_| Failure::silence()))
     }
 
@@ -112,7 +112,7 @@
         let limit = self.settings.body;
         let mut body = BytesMut::new();
         loop {
-            let next = timeout(self.settings.silence, response.chunk()).await;
+            let next = timeout(self.settings.read_timeout, response.chunk()).await;
             let chunk = match next {
                 Ok(Ok(Some(chunk))) => chunk,
                 Ok(Ok(None)) => return Ok(body.freeze()),
@@ -159,7 +159,7 @@
     // Bytes that the other end never acknowledges would keep a dead connection open for a
     // quarter of an hour; this closes it after about the silence limit.
     #[cfg(target_os = "linux")]
-    let builder = builder.tcp_user_timeout(settings.silence * PROBES);
+    let builder = builder.tcp_user_timeout(settings.read_timeout * PROBES);
     builder
         .build()
         .expect("a client without TLS and proxy has nothing to fail on")
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     pub(crate) connect_timeout: Duration,
-    pub(crate) silence: Duration,
+    pub(crate) read_timeout: Duration,
     pub(crate) age: Duration,
     pub(crate) idle: Duration,
     pub(crate) whole: Duration,
@@ -23,8 +23,8 @@
     }
 
     /// Longest wait for the next bytes of an answer.
-    pub fn silence(&self) -> Duration {
-        self.silence
+    pub fn read_timeout(&self) -> Duration {
+        self.read_timeout
     }
 
     /// Largest body taken, in bytes.
@@ -42,7 +42,7 @@
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_millis(250),
-            silence: Duration::from_millis(400),
+            read_timeout: Duration::from_millis(400),
             age: Duration::from_mins(1),
             idle: Duration::from_secs(20),
             whole: Duration::from_secs(30),
@@ -67,8 +67,8 @@
 
     /// Longest wait for the next bytes of an answer.
     #[must_use]
-    pub fn silence(mut self, time: Duration) -> Self {
-        self.0.silence = time;
+    pub fn read_timeout(mut self, time: Duration) -> Self {
+        self.0.read_timeout = time;
         self
     }
 
--- a/crates/sesamegap-http/tests/testsuite/pool.rs
+++ b/crates/sesamegap-http/tests/testsuite/pool.rs
@@ -12,7 +12,7 @@
 
 fn settings() -> Builder {
     Settings::builder()
-        .silence(Duration::from_secs(1))
+        .read_timeout(Duration::from_secs(1))
         .connect_timeout(Duration::from_secs(20))
 }
 
--- a/crates/sesamegap-standin/tests/testsuite/support.rs
+++ b/crates/sesamegap-standin/tests/testsuite/support.rs
@@ -52,7 +52,7 @@
 
 pub fn settings() -> Settings {
     Settings::builder()
-        .silence(SILENCE)
+        .read_timeout(SILENCE)
         .connect_timeout(PATIENCE)
         .build()
 }
--- a/crates/sesamegap/src/router/fleet/connect.rs
+++ b/crates/sesamegap/src/router/fleet/connect.rs
@@ -27,7 +27,7 @@
 pub fn http_settings(config: &ProcessConfig) -> Settings {
     Settings::builder()
         .connect_timeout(config.timing.connect)
-        .silence(config.timing.silence)
+        .read_timeout(config.timing.silence)
         .age(config.timing.age)
         .domain(config.domain.clone())
         .build()
