--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -136,7 +136,7 @@
 
     fn client(&self) -> Client {
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        if held.since.elapsed() > self.settings.age {
+        if held.since.elapsed() > self.settings.max_connection_age {
             held.client = build(&self.settings);
             held.since = Instant::now();
         }
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -8,7 +8,7 @@
 pub struct Settings {
     pub(crate) connect_timeout: Duration,
     pub(crate) read_timeout: Duration,
-    pub(crate) age: Duration,
+    pub(crate) max_connection_age: Duration,
     pub(crate) idle: Duration,
     pub(crate) whole: Duration,
     pub(crate) body: usize,
@@ -43,7 +43,7 @@
         Self {
             connect_timeout: Duration::from_millis(250),
             read_timeout: Duration::from_millis(400),
-            age: Duration::from_mins(1),
+            max_connection_age: Duration::from_mins(1),
             idle: Duration::from_secs(20),
             whole: Duration::from_secs(30),
             body: 8 << 20,
@@ -74,8 +74,8 @@
 
     /// Age at which the connections are replaced by new ones.
     #[must_use]
-    pub fn age(mut self, time: Duration) -> Self {
-        self.0.age = time;
+    pub fn max_connection_age(mut self, time: Duration) -> Self {
+        self.0.max_connection_age = time;
         self
     }
 
--- a/crates/sesamegap-http/tests/testsuite/pool.rs
+++ b/crates/sesamegap-http/tests/testsuite/pool.rs
@@ -36,7 +36,7 @@
 #[tokio::test]
 async fn a_connection_past_its_age_is_replaced() {
     let server = Server::start(HELLO).await;
-    let pool = Pool::new(server.url(), settings().age(Duration::ZERO).build());
+    let pool = Pool::new(server.url(), settings().max_connection_age(Duration::ZERO).build());
     for _ in 0..3 {
         get(&pool).await.unwrap();
     }
--- a/crates/sesamegap/src/router/fleet/connect.rs
+++ b/crates/sesamegap/src/router/fleet/connect.rs
@@ -28,7 +28,7 @@
     Settings::builder()
         .connect_timeout(config.timing.connect)
         .read_timeout(config.timing.silence)
-        .age(config.timing.age)
+        .max_connection_age(config.timing.age)
         .domain(config.domain.clone())
         .build()
 }
