--- a/crates/sesamegap-standin/tests/testsuite/service.rs
+++ b/crates/sesamegap-standin/tests/testsuite/service.rs
@@ -18,7 +18,7 @@
         request: request(seq),
         method: SmolStr::new("POST"),
         path: "forms/12?copy=1".to_owned(),
-        content: Some(SmolStr::new("text/plain")),
+        content_type: Some(SmolStr::new("text/plain")),
         body: Bytes::from_static(b"save"),
         key: Some(SmolStr::new(format!("save-{seq}"))),
         timeout: SILENCE,
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -55,8 +55,8 @@
             .request(method, &format!("/{path}"))
             .header(REQUEST_HEADER, call.request.to_string())
             .body(call.body);
-        if let Some(content) = &call.content {
-            request = request.header(CONTENT_TYPE, content.as_str());
+        if let Some(content_type) = &call.content_type {
+            request = request.header(CONTENT_TYPE, content_type.as_str());
         }
         if let Some(key) = &call.key {
             request = request.header(IDEMPOTENCY_KEY_HEADER, key.as_str());
@@ -79,14 +79,14 @@
     async fn reply(&self, response: Response) -> Result<Reply, UpstreamError> {
         let status = response.status();
         let refused = header(response.headers(), RAN_HEADER).as_deref() == Some("no");
-        let content = header(response.headers(), CONTENT_TYPE.as_str());
+        let content_type = header(response.headers(), CONTENT_TYPE.as_str());
         let body = self.pool.whole(response).await?;
         if refused {
             return Err(refusal(status));
         }
         Ok(Reply {
             status: status.as_u16(),
-            content,
+            content_type,
             body,
         })
     }
--- a/crates/sesamegap-upstream/src/service/mod.rs
+++ b/crates/sesamegap-upstream/src/service/mod.rs
@@ -22,7 +22,7 @@
     /// Path and query below the service's root.
     pub path: String,
     /// Content type of the body.
-    pub content: Option<SmolStr>,
+    pub content_type: Option<SmolStr>,
     /// Body.
     pub body: Bytes,
     /// Idempotency key, passed on to the worker.
@@ -37,7 +37,7 @@
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
-    pub content: Option<SmolStr>,
+    pub content_type: Option<SmolStr>,
     /// Body, whole.
     pub body: Bytes,
 }
--- a/crates/sesamegap/src/router/callers/reply.rs
+++ b/crates/sesamegap/src/router/callers/reply.rs
@@ -70,7 +70,7 @@
 fn service(reply: sesamegap_upstream::Reply) -> Response {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::builder().status(status);
-    if let Some(content) = &reply.content {
+    if let Some(content) = &reply.content_type {
         response = response.content_type(content.as_str());
     }
     response.body(reply.body)
--- a/crates/sesamegap/src/router/callers/services.rs
+++ b/crates/sesamegap/src/router/callers/services.rs
@@ -102,7 +102,7 @@
         request: placeholder(core),
         method: outline.method.into(),
         path: path.to_owned(),
-        content: outline.content.map(SmolStr::from),
+        content_type: outline.content.map(SmolStr::from),
         body,
         key: None,
         timeout: spec.timeout,
