--- a/crates/sesamegap-standin/tests/testsuite/service.rs
+++ b/crates/sesamegap-standin/tests/testsuite/service.rs
@@ -20,7 +20,7 @@
         path: "forms/12?copy=1".to_owned(),
         content_type: Some(SmolStr::new("text/plain")),
         body: Bytes::from_static(b"save"),
-        key: Some(SmolStr::new(format!("save-{seq}"))),
+        idempotency_key: Some(SmolStr::new(format!("save-{seq}"))),
         timeout: SILENCE,
     }
 }
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -58,7 +58,7 @@
         if let Some(content_type) = &call.content_type {
             request = request.header(CONTENT_TYPE, content_type.as_str());
         }
-        if let Some(key) = &call.key {
+        if let Some(key) = &call.idempotency_key {
             request = request.header(IDEMPOTENCY_KEY_HEADER, key.as_str());
         }
         Ok(request)
--- a/crates/sesamegap-upstream/src/service/mod.rs
+++ b/crates/sesamegap-upstream/src/service/mod.rs
@@ -26,7 +26,7 @@
     /// Body.
     pub body: Bytes,
     /// Idempotency key, passed on to the worker.
-    pub key: Option<SmolStr>,
+    pub idempotency_key: Option<SmolStr>,
     /// Time for the whole call.
     pub timeout: Duration,
 }
--- a/crates/sesamegap/src/router/callers/admit.rs
+++ b/crates/sesamegap/src/router/callers/admit.rs
@@ -175,7 +175,7 @@
                 model::work(Arc::clone(&core), *job, answer).await;
             }
             Job::Service(mut job) => {
-                job.call.key = key;
+                job.call.idempotency_key = key;
                 job.call.request = request.clone();
                 service::work(Arc::clone(&core), *job, answer).await;
             }
--- a/crates/sesamegap/src/router/callers/services.rs
+++ b/crates/sesamegap/src/router/callers/services.rs
@@ -104,7 +104,7 @@
         path: path.to_owned(),
         content_type: outline.content.map(SmolStr::from),
         body,
-        key: None,
+        idempotency_key: None,
         timeout: spec.timeout,
     };
     let job = ServiceJob {
