--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -23,7 +23,11 @@
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Answers a request; the guard lasts as long as the answer's body.
-pub async fn answer(core: Arc<Core>, request: Request<Incoming>, busy: RequestGuard) -> Response<Body> {
+pub async fn answer(
+    core: Arc<Core>,
+    request: Request<Incoming>,
+    busy: RequestGuard,
+) -> Response<Body> {
     let taken = take(&core, request).await;
     let id = match &taken {
         Ok(job) => job.head.id.clone(),
--- a/crates/sesamegap-http/src/failure.rs
+++ b/crates/sesamegap-http/src/failure.rs
@@ -18,38 +18,38 @@
     /// Tells a connection never made from one that broke.
     ///
     /// A request that could not even be built was not written either.
-    pub fn of_sending(error: &reqwest::Error) -> Self {
-        let words = with_sources(error);
+    pub fn from_send_error(error: &reqwest::Error) -> Self {
+        let message = error_chain(error);
         if error.is_connect() || error.is_builder() {
-            Self::Unreached(words)
+            Self::Unreached(message)
         } else {
-            Self::Broken(words)
+            Self::Broken(message)
         }
     }
 
     /// A wait that reached its limit on an open connection.
-    pub fn silence() -> Self {
+    pub fn timed_out() -> Self {
         Self::Broken("the connection went silent".to_owned())
     }
 }
 
 /// The error and its sources in one line, since the outermost one alone tells little.
-fn with_sources(error: &reqwest::Error) -> String {
-    let mut words = error.to_string();
+fn error_chain(error: &reqwest::Error) -> String {
+    let mut message = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
-        words.push_str(": ");
-        words.push_str(&cause.to_string());
+        message.push_str(": ");
+        message.push_str(&cause.to_string());
         source = cause.source();
     }
-    words
+    message
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreached(words) => write!(f, "no connection: {words}"),
-            Self::Broken(words) => write!(f, "no whole answer: {words}"),
+            Self::Unreached(message) => write!(f, "no connection: {message}"),
+            Self::Broken(message) => write!(f, "no whole answer: {message}"),
             Self::Oversized(limit) => write!(f, "answer longer than {limit} bytes"),
         }
     }
--- a/crates/sesamegap-http/src/lib.rs
+++ b/crates/sesamegap-http/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod pool;
 pub mod serving;
 pub mod settings;
-pub mod text;
+pub mod sse;
 
 pub use failure::Failure;
 pub use pool::Pool;
--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -13,12 +13,12 @@
 pub const DOMAIN_HEADER: &str = "sesamegap-domain";
 
 /// Probes that may go unanswered before the kernel closes an idle connection.
-const PROBES: u32 = 3;
+const KEEPALIVE_PROBES: u32 = 3;
 
 #[derive(Debug)]
-struct Held {
+struct Connections {
     client: Client,
-    since: Instant,
+    created: Instant,
 }
 
 /// The connections to one target, replaced when they are old or one of them misbehaved.
@@ -26,21 +26,21 @@
 pub struct Pool {
     base: String,
     settings: Settings,
-    held: Arc<Mutex<Held>>,
+    current: Arc<Mutex<Connections>>,
 }
 
 impl Pool {
     /// A pool for a target given as `http://IP:PORT`; nothing is connected yet.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         let base = base.into();
-        let held = Held {
-            client: build(&settings),
-            since: Instant::now(),
+        let connections = Connections {
+            client: build_client(&settings),
+            created: Instant::now(),
         };
         Self {
             base: base.trim_end_matches('/').to_owned(),
             settings,
-            held: Arc::new(Mutex::new(held)),
+            current: Arc::new(Mutex::new(connections)),
         }
     }
 
@@ -64,12 +64,12 @@
     ///
     /// When one connection went mute or crossed answers, whatever did that to it may have done it
     /// to its neighbours. Requests sent on those would be noticed only after the silence limit.
-    pub fn renew(&self) {
-        let fresh = Held {
-            client: build(&self.settings),
-            since: Instant::now(),
+    pub fn discard_connections(&self) {
+        let fresh = Connections {
+            client: build_client(&self.settings),
+            created: Instant::now(),
         };
-        *self.held.lock().unwrap_or_else(PoisonError::into_inner) = fresh;
+        *self.current.lock().unwrap_or_else(PoisonError::into_inner) = fresh;
     }
 
     /// Sends a request and waits for the head of the answer, at most the silence limit plus `extra`.
@@ -84,10 +84,10 @@
         let limit = self.settings.read_timeout + extra;
         let outcome = match timeout(limit, request.send()).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) => Err(Failure::of_sending(&error)),
-            Err(_) => Err(Failure::silence()),
+            Ok(Err(error)) => Err(Failure::from_send_error(&error)),
+            Err(_) => Err(Failure::timed_out()),
         };
-        self.watch(outcome)
+        self.discard_if_broken(outcome)
     }
 
     /// Reads a whole body, within the limits on silence, time and size.
@@ -95,21 +95,24 @@
     /// # Errors
     /// If the body breaks off, goes silent or is too long.
     pub async fn whole(&self, response: Response) -> Result<Bytes, Failure> {
-        let outcome = timeout(self.settings.whole, self.read(response)).await;
-        self.watch(outcome.unwrap_or_else(|_| Err(Failure::silence())))
+        let outcome = timeout(self.settings.body_timeout, self.collect_body(response)).await;
+        self.discard_if_broken(outcome.unwrap_or_else(|_| Err(Failure::timed_out())))
     }
 
     /// Limits how long a future may stay without bytes from the target.
     ///
     /// # Errors
     /// If it did not end in time; the pooled connections are then given up.
-    pub async fn heard<T>(&self, waiting: impl Future<Output = T>) -> Result<T, Failure> {
+    pub async fn with_read_timeout<T>(
+        &self,
+        waiting: impl Future<Output = T>,
+    ) -> Result<T, Failure> {
         let outcome = timeout(self.settings.read_timeout, waiting).await;
-        self.watch(outcome.map_err(|_| Failure::silence()))
+        self.discard_if_broken(outcome.map_err(|_| Failure::timed_out()))
     }
 
-    async fn read(&self, mut response: Response) -> Result<Bytes, Failure> {
-        let limit = self.settings.body;
+    async fn collect_body(&self, mut response: Response) -> Result<Bytes, Failure> {
+        let limit = self.settings.max_body_bytes;
         let mut body = BytesMut::new();
         loop {
             let next = timeout(self.settings.read_timeout, response.chunk()).await;
@@ -117,7 +120,7 @@
                 Ok(Ok(Some(chunk))) => chunk,
                 Ok(Ok(None)) => return Ok(body.freeze()),
                 Ok(Err(error)) => return Err(Failure::Broken(error.to_string())),
-                Err(_) => return Err(Failure::silence()),
+                Err(_) => return Err(Failure::timed_out()),
             };
             if body.len() + chunk.len() > limit {
                 return Err(Failure::Oversized(limit));
@@ -127,39 +130,39 @@
     }
 
     /// Gives up the pooled connections after a failure on one of them.
-    fn watch<T>(&self, outcome: Result<T, Failure>) -> Result<T, Failure> {
+    fn discard_if_broken<T>(&self, outcome: Result<T, Failure>) -> Result<T, Failure> {
         if matches!(outcome, Err(Failure::Broken(_))) {
-            self.renew();
+            self.discard_connections();
         }
         outcome
     }
 
     fn client(&self) -> Client {
-        let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        if held.since.elapsed() > self.settings.max_connection_age {
-            held.client = build(&self.settings);
-            held.since = Instant::now();
+        let mut connections = self.current.lock().unwrap_or_else(PoisonError::into_inner);
+        if connections.created.elapsed() > self.settings.max_connection_age {
+            connections.client = build_client(&self.settings);
+            connections.created = Instant::now();
         }
-        held.client.clone()
+        connections.client.clone()
     }
 }
 
 /// A client with no connection yet.
-fn build(settings: &Settings) -> Client {
+fn build_client(settings: &Settings) -> Client {
     let builder = Client::builder()
         .no_proxy()
         .redirect(redirect::Policy::none())
         .retry(retry::never())
         .connect_timeout(settings.connect_timeout)
-        .pool_idle_timeout(settings.idle)
+        .pool_idle_timeout(settings.idle_timeout)
         .tcp_nodelay(true)
-        .tcp_keepalive(settings.idle)
-        .tcp_keepalive_interval(settings.idle)
-        .tcp_keepalive_retries(PROBES);
+        .tcp_keepalive(settings.idle_timeout)
+        .tcp_keepalive_interval(settings.idle_timeout)
+        .tcp_keepalive_retries(KEEPALIVE_PROBES);
     // Bytes that the other end never acknowledges would keep a dead connection open for a
     // quarter of an hour; this closes it after about the silence limit.
     #[cfg(target_os = "linux")]
-    let builder = builder.tcp_user_timeout(settings.read_timeout * PROBES);
+    let builder = builder.tcp_user_timeout(settings.read_timeout * KEEPALIVE_PROBES);
     builder
         .build()
         .expect("a client without TLS and proxy has nothing to fail on")
--- a/crates/sesamegap-http/src/serving/guarded.rs
+++ b/crates/sesamegap-http/src/serving/guarded.rs
@@ -7,7 +7,7 @@
 
 /// A body with a guard that is dropped with it; its length stays known.
 #[derive(Debug)]
-struct Held<B, G> {
+struct GuardedBody<B, G> {
     body: Pin<Box<B>>,
     _guard: G,
 }
@@ -18,13 +18,13 @@
     B: Body + Send + 'static,
     G: Send + Unpin + 'static,
 {
-    UnsyncBoxBody::new(Held {
+    UnsyncBoxBody::new(GuardedBody {
         body: Box::pin(body),
         _guard: guard,
     })
 }
 
-impl<B: Body, G: Unpin> Body for Held<B, G> {
+impl<B: Body, G: Unpin> Body for GuardedBody<B, G> {
     type Data = B::Data;
     type Error = B::Error;
 
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -10,11 +10,11 @@
 //! its request ran.
 
 mod activity;
-mod held;
-mod watched;
+mod guarded;
+mod monitored;
 
-pub use activity::{Bounds, Due, RequestGuard};
-pub use held::guard_body;
+pub use activity::{Bounds, Deadline, RequestGuard};
+pub use guarded::guard_body;
 
 use activity::Activity;
 use bytes::Bytes;
@@ -23,6 +23,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
+use monitored::MonitoredStream;
 use std::convert::Infallible;
 use std::error::Error;
 use std::future::{Future, poll_fn};
@@ -33,20 +34,19 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::{sleep, timeout};
-use watched::Watched;
 
 /// Smallest buffer that hyper takes for heads, in bytes.
-const LEAST_HEAD: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// How often a busy connection looks at its bounds again.
 const RECHECK: Duration = Duration::from_secs(5);
 
 /// How often a connection that is to close looks whether it may: a small part of the seconds that a
 /// stop takes, and seldom enough for hundreds of connections on a part of a core.
-const CLOSING_LOOK: Duration = Duration::from_millis(100);
+const CLOSING_RECHECK: Duration = Duration::from_millis(100);
 
 /// Longest time for a close, with the farewell and the caller's own close, whatever the caller does.
-const LAST_BYTES: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a server treats its connections.
 pub trait ConnectionPolicy: Send + Sync {
@@ -73,7 +73,7 @@
     /// Closed by the caller or by an answer that said so, or broken.
     Closed(Option<hyper::Error>),
     /// Closed by the server at a bound.
-    TimedOut(Due),
+    TimedOut(Deadline),
     /// Closed by the server since it stops.
     Stopped,
 }
@@ -83,7 +83,7 @@
 /// Answers to requests that come after that should say `connection: close` themselves.
 pub async fn serve<S, F, A, B>(
     stream: S,
-    terms: &dyn ConnectionPolicy,
+    policy: &dyn ConnectionPolicy,
     answer: F,
     stop: impl Future<Output = ()>,
 ) -> CloseReason
@@ -95,72 +95,72 @@
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     let activity = Activity::new();
-    let watched = Watched::new(stream, Arc::clone(&activity), terms.closing_response());
+    let monitored = MonitoredStream::new(stream, Arc::clone(&activity), policy.closing_response());
     let service = service_fn(|request| {
-        let answered = answer(request, activity.begin());
+        let answered = answer(request, activity.begin_request());
         async move { Ok::<_, Infallible>(answered.await) }
     });
     let mut served = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(terms.max_head_bytes().max(LEAST_HEAD))
-            .serve_connection(TokioIo::new(watched), service)
+            .max_buf_size(policy.max_head_bytes().max(MIN_BUFFER_BYTES))
+            .serve_connection(TokioIo::new(monitored), service)
     );
     let mut stop = pin!(stop);
     let mut stopping = false;
     let ended = loop {
-        let bounds = terms.bounds();
-        let wait = wait(activity.due(bounds), bounds, stopping);
+        let bounds = policy.bounds();
+        let wait = recheck_delay(activity.deadline(bounds), bounds, stopping);
         tokio::select! {
             // A caller that leaves ends the connection, and with it the request on it.
             ended = served.as_mut() => return CloseReason::Closed(ended.err()),
             () = stop.as_mut(), if !stopping => stopping = true,
             () = sleep(wait) => {}
         }
-        let unused = !activity.has_asked() && !terms.closes_unused_on_stop();
+        let unused = !activity.has_received_request() && !policy.closes_unused_on_stop();
         let closes = stopping && !unused;
-        if closes && activity.due(bounds) == Due::Busy {
+        if closes && activity.deadline(bounds) == Deadline::Busy {
             // Its head may have gone out before the stop. Kept after it, the connection would bring
             // a further request late in the time of the stop, and the kill would cut that one.
             served.as_mut().graceful_shutdown();
         }
-        if !closes && !activity.due(bounds).is_over() {
+        if !closes && !activity.deadline(bounds).is_past() {
             continue;
         }
         // Reads what the runtime knows of, which may be the head of a request, and looks for more.
-        activity.part();
-        let looked = poll_fn(|cx| Poll::Ready(served.as_mut().poll(cx))).await;
-        activity.stay();
-        if let Poll::Ready(ended) = looked {
+        activity.start_unread_check();
+        let polled = poll_fn(|cx| Poll::Ready(served.as_mut().poll(cx))).await;
+        activity.stop_unread_check();
+        if let Poll::Ready(ended) = polled {
             return CloseReason::Closed(ended.err());
         }
         if activity.has_unread() {
             continue;
         }
-        let due = activity.due(bounds);
-        if due.is_over() {
-            break CloseReason::TimedOut(due);
+        let deadline = activity.deadline(bounds);
+        if deadline.is_past() {
+            break CloseReason::TimedOut(deadline);
         }
         // The last bytes of an answer may still wait for a slow caller.
-        if closes && matches!(due, Due::Idle(_)) && !activity.has_unsent() {
+        if closes && matches!(deadline, Deadline::Idle(_)) && !activity.has_unsent() {
             break CloseReason::Stopped;
         }
     };
     // From here to the close of the socket nothing else runs.
-    activity.finish();
-    drop(timeout(LAST_BYTES, served).await);
+    activity.close();
+    drop(timeout(CLOSE_TIMEOUT, served).await);
     ended
 }
 
-/// Time until a connection's state is looked at again.
-fn wait(due: Due, bounds: Bounds, stopping: bool) -> Duration {
+/// Time until a connection's state is polled at again.
+fn recheck_delay(deadline: Deadline, bounds: Bounds, stopping: bool) -> Duration {
     // A head may begin while this waits for an idle connection's end, and has less time.
     let recheck = bounds.head / 2;
-    let most = if stopping {
-        recheck.min(CLOSING_LOOK)
+    let longest = if stopping {
+        recheck.min(CLOSING_RECHECK)
     } else {
         recheck
     };
-    due.wait(RECHECK).min(most)
+    deadline.remaining(RECHECK).min(longest)
 }
--- a/crates/sesamegap-http/src/serving/monitored.rs
+++ b/crates/sesamegap-http/src/serving/monitored.rs
@@ -15,31 +15,31 @@
 
 /// Longest wait for a caller to close after the last bytes to it. Closing while its bytes are on
 /// the way would reset the connection, and with it what the caller has not read yet.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Bytes of a caller that are thrown away at once while its close is waited for.
-const SCRAP: usize = 4_096;
+const DISCARD_BUFFER_BYTES: usize = 4_096;
 
 /// A stream that notes when bytes are read, and can be ended between two requests.
 #[derive(Debug)]
-pub struct Watched<S> {
+pub struct MonitoredStream<S> {
     stream: S,
     activity: Arc<Activity>,
     closing_response: Bytes,
     /// Whether there is a closing_response that the caller should get to read.
-    lingers: bool,
-    linger: Option<Pin<Box<Sleep>>>,
+    has_closing_response: bool,
+    linger_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S: AsFd> Watched<S> {
+impl<S: AsFd> MonitoredStream<S> {
     /// Watches a stream, whose caller is sent `closing_response` if it is closed between two requests.
     pub fn new(stream: S, activity: Arc<Activity>, closing_response: Bytes) -> Self {
         Self {
             stream,
             activity,
-            lingers: !closing_response.is_empty(),
+            has_closing_response: !closing_response.is_empty(),
             closing_response,
-            linger: None,
+            linger_timer: None,
         }
     }
 
@@ -53,30 +53,30 @@
     }
 }
 
-impl<S: AsyncRead + AsFd + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + AsFd + Unpin> AsyncRead for MonitoredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.activity.is_over() {
+        if self.activity.is_closed() {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.activity.read();
+            self.activity.record_read();
         }
-        if polled.is_pending() && self.activity.is_parting() {
-            self.activity.found(self.has_unread());
+        if polled.is_pending() && self.activity.checks_unread() {
+            self.activity.set_unread(self.has_unread());
         }
         polled
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Watched<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> MonitoredStream<S> {
     /// Sends what is left of the closing_response.
-    fn take_leave(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn write_closing_response(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.closing_response.has_remaining() {
             let sent = ready!(Pin::new(&mut self.stream).poll_write(cx, &self.closing_response))?;
             self.closing_response.advance(sent);
@@ -86,29 +86,31 @@
 
     /// Waits until the caller has closed, and throws away what it still sends.
     fn linger(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let limit = self.linger.get_or_insert_with(|| Box::pin(sleep(LINGER)));
+        let limit = self
+            .linger_timer
+            .get_or_insert_with(|| Box::pin(sleep(LINGER_TIMEOUT)));
         if limit.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Ok(()));
         }
         loop {
-            let mut scrap = [0; SCRAP];
-            let mut scrap = ReadBuf::new(&mut scrap);
-            ready!(Pin::new(&mut self.stream).poll_read(cx, &mut scrap))?;
-            if scrap.filled().is_empty() {
+            let mut discarded = [0; DISCARD_BUFFER_BYTES];
+            let mut discarded = ReadBuf::new(&mut discarded);
+            ready!(Pin::new(&mut self.stream).poll_read(cx, &mut discarded))?;
+            if discarded.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
         }
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for MonitoredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.activity.wrote(polled.is_ready());
+        self.activity.record_write(polled.is_ready());
         polled
     }
 
@@ -117,14 +119,14 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if !self.activity.is_over() {
+        if !self.activity.is_closed() {
             return Pin::new(&mut self.stream).poll_shutdown(cx);
         }
-        if self.linger.is_none() {
-            ready!(self.take_leave(cx))?;
+        if self.linger_timer.is_none() {
+            ready!(self.write_closing_response(cx))?;
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
         }
-        if !self.lingers {
+        if !self.has_closing_response {
             return Poll::Ready(Ok(()));
         }
         self.linger(cx)
@@ -136,7 +138,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.activity.wrote(polled.is_ready());
+        self.activity.record_write(polled.is_ready());
         polled
     }
 
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -9,10 +9,10 @@
     pub(crate) connect_timeout: Duration,
     pub(crate) read_timeout: Duration,
     pub(crate) max_connection_age: Duration,
-    pub(crate) idle: Duration,
-    pub(crate) whole: Duration,
-    pub(crate) body: usize,
-    pub(crate) event: usize,
+    pub(crate) idle_timeout: Duration,
+    pub(crate) body_timeout: Duration,
+    pub(crate) max_body_bytes: usize,
+    pub(crate) max_event_bytes: usize,
     pub(crate) domain: Option<DomainId>,
 }
 
@@ -28,13 +28,13 @@
     }
 
     /// Largest body taken, in bytes.
-    pub fn body(&self) -> usize {
-        self.body
+    pub fn max_body_bytes(&self) -> usize {
+        self.max_body_bytes
     }
 
     /// Largest event of a stream taken, in bytes.
-    pub fn event(&self) -> usize {
-        self.event
+    pub fn max_event_bytes(&self) -> usize {
+        self.max_event_bytes
     }
 }
 
@@ -44,10 +44,10 @@
             connect_timeout: Duration::from_millis(250),
             read_timeout: Duration::from_millis(400),
             max_connection_age: Duration::from_mins(1),
-            idle: Duration::from_secs(20),
-            whole: Duration::from_secs(30),
-            body: 8 << 20,
-            event: 64 << 10,
+            idle_timeout: Duration::from_secs(20),
+            body_timeout: Duration::from_secs(30),
+            max_body_bytes: 8 << 20,
+            max_event_bytes: 64 << 10,
             domain: None,
         }
     }
@@ -81,29 +81,29 @@
 
     /// Time after which an unused connection is closed.
     #[must_use]
-    pub fn idle(mut self, time: Duration) -> Self {
-        self.0.idle = time;
+    pub fn idle_timeout(mut self, time: Duration) -> Self {
+        self.0.idle_timeout = time;
         self
     }
 
     /// Time to read a whole body, which keeps one that trickles from being read for ever.
     #[must_use]
-    pub fn whole(mut self, time: Duration) -> Self {
-        self.0.whole = time;
+    pub fn body_timeout(mut self, time: Duration) -> Self {
+        self.0.body_timeout = time;
         self
     }
 
     /// Largest body taken, in bytes.
     #[must_use]
-    pub fn body(mut self, bytes: usize) -> Self {
-        self.0.body = bytes;
+    pub fn max_body_bytes(mut self, bytes: usize) -> Self {
+        self.0.max_body_bytes = bytes;
         self
     }
 
     /// Largest event of a stream taken, in bytes.
     #[must_use]
-    pub fn event(mut self, bytes: usize) -> Self {
-        self.0.event = bytes;
+    pub fn max_event_bytes(mut self, bytes: usize) -> Self {
+        self.0.max_event_bytes = bytes;
         self
     }
 
--- a/crates/sesamegap-http/src/sse.rs
+++ b/crates/sesamegap-http/src/sse.rs
@@ -6,21 +6,21 @@
 
 /// Counts the bytes of the event under way.
 #[derive(Debug)]
-pub struct EventMeter {
+pub struct EventSizeLimit {
     limit: usize,
-    event: usize,
-    line: usize,
-    returned: bool,
+    event_bytes: usize,
+    line_bytes: usize,
+    after_cr: bool,
 }
 
-impl EventMeter {
+impl EventSizeLimit {
     /// A meter that allows events of up to `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
-            event: 0,
-            line: 0,
-            returned: false,
+            event_bytes: 0,
+            line_bytes: 0,
+            after_cr: false,
         }
     }
 
@@ -31,21 +31,21 @@
     }
 
     fn count(&mut self, byte: u8) -> bool {
-        // The second half of a line end of two bytes ends no further line.
-        let half = self.returned && byte == b'\n';
-        self.returned = byte == b'\r';
-        if half {
+        // The second completes_crlf of a line end of two bytes ends no further line.
+        let completes_crlf = self.after_cr && byte == b'\n';
+        self.after_cr = byte == b'\r';
+        if completes_crlf {
             return true;
         }
-        self.event += 1;
-        let fits = self.event <= self.limit;
+        self.event_bytes += 1;
+        let fits = self.event_bytes <= self.limit;
         if byte != b'\n' && byte != b'\r' {
-            self.line += 1;
+            self.line_bytes += 1;
         } else {
-            if self.line == 0 {
-                self.event = 0;
+            if self.line_bytes == 0 {
+                self.event_bytes = 0;
             }
-            self.line = 0;
+            self.line_bytes = 0;
         }
         fits
     }
--- a/crates/sesamegap-http/tests/testsuite/main.rs
+++ b/crates/sesamegap-http/tests/testsuite/main.rs
@@ -5,7 +5,7 @@
     reason = "helpers of tests stop where their setting cannot be made"
 )]
 
-mod meter;
 mod pool;
 mod server;
 mod serving;
+mod sse;
--- a/crates/sesamegap-http/tests/testsuite/pool.rs
+++ b/crates/sesamegap-http/tests/testsuite/pool.rs
@@ -36,7 +36,10 @@
 #[tokio::test]
 async fn a_connection_past_its_age_is_replaced() {
     let server = Server::start(HELLO).await;
-    let pool = Pool::new(server.url(), settings().max_connection_age(Duration::ZERO).build());
+    let pool = Pool::new(
+        server.url(),
+        settings().max_connection_age(Duration::ZERO).build(),
+    );
     for _ in 0..3 {
         get(&pool).await.unwrap();
     }
@@ -49,7 +52,7 @@
     let server = Server::start(Manner::Mute).await;
     let pool = Pool::new(server.url(), settings().build());
     for times in 1..=2 {
-        assert_eq!(get(&pool).await, Err(Failure::silence()));
+        assert_eq!(get(&pool).await, Err(Failure::timed_out()));
         assert_eq!(server.connections(), times);
     }
 }
@@ -102,7 +105,7 @@
 async fn an_endless_body_is_cut_off() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n";
     let server = Server::start(Manner::Endless(head, b'x')).await;
-    let pool = Pool::new(server.url(), settings().body(10_000).build());
+    let pool = Pool::new(server.url(), settings().max_body_bytes(10_000).build());
     assert_eq!(get(&pool).await, Err(Failure::Oversized(10_000)));
 }
 
@@ -111,7 +114,10 @@
 async fn a_body_that_takes_too_long_is_given_up() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n";
     let server = Server::start(Manner::Endless(head, b'x')).await;
-    let short = settings().whole(Duration::ZERO).body(usize::MAX).build();
+    let short = settings()
+        .body_timeout(Duration::ZERO)
+        .max_body_bytes(usize::MAX)
+        .build();
     let failure = get(&Pool::new(server.url(), short)).await;
-    assert_eq!(failure, Err(Failure::silence()));
+    assert_eq!(failure, Err(Failure::timed_out()));
 }
--- a/crates/sesamegap-http/tests/testsuite/sse.rs
+++ b/crates/sesamegap-http/tests/testsuite/sse.rs
@@ -1,7 +1,7 @@
 //! The count of an event's bytes against a naive one.
 
 use quickcheck::{Gen, QuickCheck};
-use sesamegap_http::text::EventMeter;
+use sesamegap_http::sse::EventSizeLimit;
 
 /// The longest event of a text, its line ends of whatever kind counted as one byte.
 fn longest(text: &str) -> usize {
@@ -38,7 +38,7 @@
         let text = text(codes);
         let limit = limit % 20;
         let (head, tail) = text.as_bytes().split_at(cut % (text.len() + 1));
-        let mut meter = EventMeter::new(limit);
+        let mut meter = EventSizeLimit::new(limit);
         let allowed = meter.allows(head) && meter.allows(tail);
         allowed == (longest(&text) <= limit)
     }
@@ -50,6 +50,6 @@
 fn a_meter_that_starts_anew_with_each_chunk_is_caught() {
     let text = "aaaa";
     let (head, tail) = text.as_bytes().split_at(2);
-    let forgetful = EventMeter::new(3).allows(head) && EventMeter::new(3).allows(tail);
+    let forgetful = EventSizeLimit::new(3).allows(head) && EventSizeLimit::new(3).allows(tail);
     assert_ne!(forgetful, longest(text) <= 3);
 }
--- a/crates/sesamegap-platform/src/client.rs
+++ b/crates/sesamegap-platform/src/client.rs
@@ -18,7 +18,7 @@
 }
 
 /// Takes a client error as a refusal; of a server error nobody knows what was done before it.
-pub(crate) fn checked(response: Response) -> Result<Response, PlatformError> {
+pub(crate) fn check_status(response: Response) -> Result<Response, PlatformError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -32,9 +32,12 @@
 }
 
 /// Reads one JSON value.
-pub(crate) async fn get<T: DeserializeOwned>(pool: &Pool, path: &str) -> Result<T, PlatformError> {
+pub(crate) async fn get_json<T: DeserializeOwned>(
+    pool: &Pool,
+    path: &str,
+) -> Result<T, PlatformError> {
     let request = pool.request(Method::GET, path);
     let sent = pool.send(request, Duration::ZERO).await?;
-    let body = pool.whole(checked(sent)?).await?;
+    let body = pool.whole(check_status(sent)?).await?;
     serde_json::from_slice(&body).map_err(|e| PlatformError::new(Reason::Unknown, e.to_string()))
 }
--- a/crates/sesamegap-platform/src/log/frame.rs
+++ b/crates/sesamegap-platform/src/log/frame.rs
@@ -77,7 +77,7 @@
 
 /// One record of a page.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Line {
+pub struct RecordFrame {
     /// Its offset.
     pub offset: Offset,
     /// When it was taken, in milliseconds since the Unix epoch.
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PageFrame {
     /// The records.
-    pub records: Vec<Line>,
+    pub records: Vec<RecordFrame>,
     /// Where to read on.
     pub next: Offset,
     /// Offset that the next append will get.
@@ -99,10 +99,10 @@
 
 impl From<PageFrame> for Page {
     fn from(frame: PageFrame) -> Self {
-        let record = |line: Line| Record {
-            offset: line.offset,
-            time_ms: line.time_ms,
-            body: line.body.0,
+        let record = |record: RecordFrame| Record {
+            offset: record.offset,
+            time_ms: record.time_ms,
+            body: record.body.0,
         };
         Self {
             records: frame.records.into_iter().map(record).collect(),
@@ -114,13 +114,13 @@
 
 impl From<Page> for PageFrame {
     fn from(page: Page) -> Self {
-        let line = |record: Record| Line {
+        let frame = |record: Record| RecordFrame {
             offset: record.offset,
             time_ms: record.time_ms,
             body: Body(record.body),
         };
         Self {
-            records: page.records.into_iter().map(line).collect(),
+            records: page.records.into_iter().map(frame).collect(),
             next: page.next,
             end: page.end,
         }
--- a/crates/sesamegap-platform/src/log/http.rs
+++ b/crates/sesamegap-platform/src/log/http.rs
@@ -5,7 +5,7 @@
 
 use super::frame::{Append, Appended, Body, Expired, PageFrame};
 use super::{Log, Page};
-use crate::client::checked;
+use crate::client::check_status;
 use crate::error::{PlatformError, Reason};
 use bytes::Bytes;
 use futures_util::future::{BoxFuture, FutureExt};
@@ -35,9 +35,9 @@
         let path = format!("/streams/{stream}");
         let request = self.pool.request(Method::POST, &path).body(body);
         let sent = self.pool.send(request, Duration::ZERO).await;
-        let response = checked(sent?)?;
+        let response = check_status(sent?)?;
         let answer = self.pool.whole(response).await?;
-        let appended: Appended = codec::decode(&answer).map_err(|e| unreadable(&e))?;
+        let appended: Appended = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
         Ok(appended.offset)
     }
 
@@ -51,20 +51,20 @@
         let request = self.pool.request(Method::GET, &path);
         let sent = self.pool.send(request, wait).await?;
         let gone = sent.status() == StatusCode::GONE;
-        let response = if gone { sent } else { checked(sent)? };
+        let response = if gone { sent } else { check_status(sent)? };
         let answer = self.pool.whole(response).await?;
         if gone {
-            let expired: Expired = codec::decode(&answer).map_err(|e| unreadable(&e))?;
+            let expired: Expired = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
             let detail = format!("{stream} is kept from offset {} on", expired.oldest);
             return Err(PlatformError::new(Reason::Expired(expired.oldest), detail));
         }
-        let frame: PageFrame = codec::decode(&answer).map_err(|e| unreadable(&e))?;
+        let frame: PageFrame = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
         Ok(frame.into())
     }
 }
 
 /// An answer came and is none: what was asked for may have been done.
-fn unreadable(error: &codec::CodecError) -> PlatformError {
+fn invalid_response(error: &codec::CodecError) -> PlatformError {
     PlatformError::new(Reason::Unknown, error.to_string())
 }
 
--- a/crates/sesamegap-platform/src/vms/http.rs
+++ b/crates/sesamegap-platform/src/vms/http.rs
@@ -23,6 +23,6 @@
 
 impl VmList for HttpVms {
     fn list(&self) -> BoxFuture<'_, Result<Vec<VmEntry>, PlatformError>> {
-        client::get(&self.pool, "/vms").boxed()
+        client::get_json(&self.pool, "/vms").boxed()
     }
 }
--- a/crates/sesamegap-platform/src/weights/http.rs
+++ b/crates/sesamegap-platform/src/weights/http.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    async fn ask(&self, model: &ModelId) -> Result<Vec<WeightsVersion>, PlatformError> {
-        client::get(&self.pool, &format!("/models/{model}")).await
+    async fn fetch_versions(&self, model: &ModelId) -> Result<Vec<WeightsVersion>, PlatformError> {
+        client::get_json(&self.pool, &format!("/models/{model}")).await
     }
 }
 
@@ -31,6 +31,6 @@
         &'a self,
         model: &'a ModelId,
     ) -> BoxFuture<'a, Result<Vec<WeightsVersion>, PlatformError>> {
-        self.ask(model).boxed()
+        self.fetch_versions(model).boxed()
     }
 }
--- a/crates/sesamegap-standin/src/store.rs
+++ b/crates/sesamegap-standin/src/store.rs
@@ -49,7 +49,10 @@
 }
 
 #[handler]
-fn held(Data(store): Data<&Arc<StoreStandin>>, Json(asked): Json<HeldPrefixRequest>) -> Json<HeldPrefixResponse> {
+fn held(
+    Data(store): Data<&Arc<StoreStandin>>,
+    Json(asked): Json<HeldPrefixRequest>,
+) -> Json<HeldPrefixResponse> {
     let held = store.lock().held(&asked.keys);
     Json(HeldPrefixResponse { held })
 }
--- a/crates/sesamegap-standin/src/worker.rs
+++ b/crates/sesamegap-standin/src/worker.rs
@@ -108,7 +108,9 @@
 
 #[handler]
 async fn call(Data(worker): Data<&Arc<WorkerStandin>>, request: &Request, body: Body) -> Response {
-    let id = request.header(REQUEST_HEADER).and_then(|id| id.parse().ok());
+    let id = request
+        .header(REQUEST_HEADER)
+        .and_then(|id| id.parse().ok());
     let Some(id): Option<RequestId> = id else {
         return not_run(StatusCode::BAD_REQUEST, String::new());
     };
--- a/crates/sesamegap-standin/tests/testsuite/engine.rs
+++ b/crates/sesamegap-standin/tests/testsuite/engine.rs
@@ -76,7 +76,10 @@
     let deployment = start(plan().between(PATIENCE)).await;
     let addr = deployment.addresses().engines[&"engine-1".parse().unwrap()];
     let from = |domain| {
-        let settings = Settings::builder().read_timeout(SILENCE).domain(domain).build();
+        let settings = Settings::builder()
+            .read_timeout(SILENCE)
+            .domain(domain)
+            .build();
         HttpEngine::new(url(addr), settings)
     };
     assert!(from(near).load().await.is_ok());
--- a/crates/sesamegap-upstream/benches/chunks.rs
+++ b/crates/sesamegap-upstream/benches/chunks.rs
@@ -1,9 +1,9 @@
 //! What one chunk of an answer costs the router, and one pool given up.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use sesamegap_http::text::EventMeter;
+use sesamegap_http::sse::EventSizeLimit;
 use sesamegap_http::{Pool, Settings};
-use sesamegap_upstream::engine::matcher::Matcher;
+use sesamegap_upstream::engine::decoder::ChunkDecoder;
 use sesamegap_upstream::wire::Envelope;
 use sesamegap_wire::engine::Chunk;
 use sesamegap_wire::{RequestId, Seq};
@@ -29,16 +29,16 @@
 fn chunks(c: &mut Criterion) {
     let (request, data) = token();
     c.bench_function("match one chunk", |b| {
-        let matcher = Matcher::new(&request, 0);
-        b.iter(|| matcher.take(black_box(&data)));
+        let decoder = ChunkDecoder::new(&request, 0);
+        b.iter(|| decoder.decode(black_box(&data)));
     });
     let event = format!("data: {data}\n\n");
     c.bench_function("meter one chunk", |b| {
-        let mut meter = EventMeter::new(LIMIT);
+        let mut meter = EventSizeLimit::new(LIMIT);
         b.iter(|| meter.allows(black_box(event.as_bytes())));
     });
     let pool = Pool::new("http://127.0.0.1:1", Settings::default());
-    c.bench_function("give up a pool", |b| b.iter(|| pool.renew()));
+    c.bench_function("give up a pool", |b| b.iter(|| pool.discard_connections()));
 }
 
 criterion_group!(benches, chunks);
--- a/crates/sesamegap-upstream/src/client.rs
+++ b/crates/sesamegap-upstream/src/client.rs
@@ -18,22 +18,22 @@
 }
 
 /// An answer that cannot be understood.
-pub(crate) fn unreadable(detail: impl Into<String>) -> UpstreamError {
+pub(crate) fn invalid_response(detail: impl Into<String>) -> UpstreamError {
     UpstreamError::new(Fault::Broken, Ran::Unknown, detail)
 }
 
 /// Sends a request and reads one JSON value; a status from 400 on tells nothing of what ran.
-pub(crate) async fn ask<T: DeserializeOwned>(
+pub(crate) async fn fetch_json<T: DeserializeOwned>(
     pool: &Pool,
     request: RequestBuilder,
     wait: Duration,
 ) -> Result<T, UpstreamError> {
     let response = pool.send(request, wait).await?;
-    let body = pool.whole(checked(response)?).await?;
-    serde_json::from_slice(&body).map_err(|e| unreadable(e.to_string()))
+    let body = pool.whole(check_status(response)?).await?;
+    serde_json::from_slice(&body).map_err(|e| invalid_response(e.to_string()))
 }
 
-pub(crate) fn checked(response: Response) -> Result<Response, UpstreamError> {
+pub(crate) fn check_status(response: Response) -> Result<Response, UpstreamError> {
     let status = response.status();
     if status.is_success() {
         Ok(response)
--- a/crates/sesamegap-upstream/src/engine/decoder.rs
+++ b/crates/sesamegap-upstream/src/engine/decoder.rs
@@ -4,7 +4,7 @@
 //! parsed, and the chunk is read as one flat object: reading it by its tag would first copy the
 //! whole object, which took more than half of the time.
 
-use crate::client::unreadable;
+use crate::client::invalid_response;
 use crate::error::{Fault, Ran, UpstreamError};
 use serde::Deserialize;
 use sesamegap_wire::engine::Chunk;
@@ -13,28 +13,28 @@
 use std::borrow::Cow;
 
 /// Characters shown of a request id that is not the one asked for.
-const SHOWN: usize = 128;
+const MAX_SHOWN_CHARS: usize = 128;
 
 /// Recognises the events of one attempt.
 #[derive(Debug)]
-pub struct Matcher {
+pub struct ChunkDecoder {
     request: String,
     attempt: u32,
 }
 
 /// An [`Envelope`](crate::wire::Envelope) as it stands on the wire.
 #[derive(Deserialize)]
-struct Seen<'a> {
+struct BorrowedEnvelope<'a> {
     #[serde(borrow)]
     request: Cow<'a, str>,
     attempt: u32,
     #[serde(borrow)]
-    chunk: Flat<'a>,
+    chunk: FlatChunk<'a>,
 }
 
 /// The fields of all kinds of [`Chunk`].
 #[derive(Deserialize)]
-struct Flat<'a> {
+struct FlatChunk<'a> {
     #[serde(borrow)]
     kind: Cow<'a, str>,
     cached: Option<Tokens>,
@@ -43,8 +43,8 @@
     count: Option<Seq>,
 }
 
-impl Flat<'_> {
-    fn chunk(self) -> Option<Chunk> {
+impl FlatChunk<'_> {
+    fn into_chunk(self) -> Option<Chunk> {
         let chunk = match &*self.kind {
             "start" => Chunk::Start {
                 cached: self.cached?,
@@ -61,7 +61,7 @@
     }
 }
 
-impl Matcher {
+impl ChunkDecoder {
     /// Takes the events of this attempt.
     pub fn new(request: &RequestId, attempt: u32) -> Self {
         Self {
@@ -74,15 +74,15 @@
     ///
     /// # Errors
     /// [`Fault::Crossed`] if it belongs to another attempt, [`Fault::Broken`] if it is no event.
-    pub fn take(&self, data: &str) -> Result<Chunk, UpstreamError> {
-        let seen: Seen<'_> =
-            serde_json::from_str(data).map_err(|e| unreadable(format!("no chunk: {e}")))?;
-        if seen.request == self.request && seen.attempt == self.attempt {
-            let chunk = seen.chunk.chunk();
-            return chunk.ok_or_else(|| unreadable("a chunk of no known kind"));
+    pub fn decode(&self, data: &str) -> Result<Chunk, UpstreamError> {
+        let envelope: BorrowedEnvelope<'_> =
+            serde_json::from_str(data).map_err(|e| invalid_response(format!("no chunk: {e}")))?;
+        if envelope.request == self.request && envelope.attempt == self.attempt {
+            let chunk = envelope.chunk.into_chunk();
+            return chunk.ok_or_else(|| invalid_response("a chunk of no known kind"));
         }
-        let shown: String = seen.request.chars().take(SHOWN).collect();
-        let detail = format!("answer to {shown} attempt {}", seen.attempt);
+        let shown: String = envelope.request.chars().take(MAX_SHOWN_CHARS).collect();
+        let detail = format!("answer to {shown} attempt {}", envelope.attempt);
         Err(UpstreamError::new(Fault::Crossed, Ran::Unknown, detail))
     }
 }
--- a/crates/sesamegap-upstream/src/engine/http.rs
+++ b/crates/sesamegap-upstream/src/engine/http.rs
@@ -13,9 +13,9 @@
 //! All bodies are JSON. A refusal is believed only if it names the attempt asked for; any other
 //! answer that is no stream leaves open whether the request ran.
 
-use super::matcher::Matcher;
+use super::decoder::ChunkDecoder;
 use super::{ChunkStream, Engine, chunks};
-use crate::client::{ask, checked, unreadable};
+use crate::client::{check_status, fetch_json, invalid_response};
 use crate::error::{Fault, UpstreamError};
 use crate::wire::Refusal;
 use futures_util::future::{BoxFuture, FutureExt};
@@ -41,16 +41,16 @@
 
     async fn stream(
         &self,
-        ask: RequestBuilder,
+        builder: RequestBuilder,
         request: RequestId,
         attempt: u32,
     ) -> Result<ChunkStream, UpstreamError> {
-        let sent = self.pool.send(ask, Duration::ZERO).await;
+        let sent = self.pool.send(builder, Duration::ZERO).await;
         let response = sent?;
         if response.status().is_success() {
             let pool = self.pool.clone();
-            let matcher = Matcher::new(&request, attempt);
-            return Ok(chunks::stream(pool, response, matcher));
+            let decoder = ChunkDecoder::new(&request, attempt);
+            return Ok(chunks::stream(pool, response, decoder));
         }
         Err(self.refusal(response, &request, attempt).await)
     }
@@ -67,11 +67,11 @@
             Err(failure) => return failure.into(),
         };
         let Ok(refusal) = serde_json::from_slice::<Refusal>(&body) else {
-            return unreadable(format!("status {status} without a refusal"));
+            return invalid_response(format!("status {status} without a refusal"));
         };
-        let error = refusal.about(request, attempt);
+        let error = refusal.into_error_for(request, attempt);
         if error.fault() == Fault::Crossed {
-            self.pool.renew();
+            self.pool.discard_connections();
         }
         error
     }
@@ -83,11 +83,12 @@
 
 impl Engine for HttpEngine {
     fn generate(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ChunkStream, UpstreamError>> {
-        let ask = self
+        let builder = self
             .pool
             .request(Method::POST, "/v1/generate")
             .json(&dispatch);
-        self.stream(ask, dispatch.request, dispatch.attempt).boxed()
+        self.stream(builder, dispatch.request, dispatch.attempt)
+            .boxed()
     }
 
     fn resume<'a>(
@@ -96,8 +97,8 @@
         attempt: u32,
         from: Seq,
     ) -> BoxFuture<'a, Result<ChunkStream, UpstreamError>> {
-        let ask = self.get(&format!("/v1/generate/{request}/{attempt}?from={from}"));
-        self.stream(ask, request.clone(), attempt).boxed()
+        let builder = self.get(&format!("/v1/generate/{request}/{attempt}?from={from}"));
+        self.stream(builder, request.clone(), attempt).boxed()
     }
 
     fn cancel<'a>(
@@ -106,10 +107,10 @@
         attempt: u32,
     ) -> BoxFuture<'a, Result<(), UpstreamError>> {
         let path = format!("/v1/generate/{request}/{attempt}");
-        let ask = self.pool.request(Method::DELETE, &path);
+        let builder = self.pool.request(Method::DELETE, &path);
         async move {
-            let sent = self.pool.send(ask, Duration::ZERO).await;
-            checked(sent?).map(drop)
+            let sent = self.pool.send(builder, Duration::ZERO).await;
+            check_status(sent?).map(drop)
         }
         .boxed()
     }
@@ -120,19 +121,19 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<CacheBatch, UpstreamError>> {
         let path = format!("/v1/events?after={after}&wait={}", wait.as_millis());
-        ask(&self.pool, self.get(&path), wait).boxed()
+        fetch_json(&self.pool, self.get(&path), wait).boxed()
     }
 
     fn listing(&self) -> BoxFuture<'_, Result<Listing, UpstreamError>> {
-        ask(&self.pool, self.get("/v1/listing"), Duration::ZERO).boxed()
+        fetch_json(&self.pool, self.get("/v1/listing"), Duration::ZERO).boxed()
     }
 
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, UpstreamError>> {
-        ask(&self.pool, self.get("/v1/load"), Duration::ZERO).boxed()
+        fetch_json(&self.pool, self.get("/v1/load"), Duration::ZERO).boxed()
     }
 
     fn order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<OrderAnswer, UpstreamError>> {
         let request = self.pool.request(Method::POST, "/v1/order").json(order);
-        ask(&self.pool, request, Duration::ZERO).boxed()
+        fetch_json(&self.pool, request, Duration::ZERO).boxed()
     }
 }
--- a/crates/sesamegap-upstream/src/engine/mod.rs
+++ b/crates/sesamegap-upstream/src/engine/mod.rs
@@ -6,8 +6,8 @@
 //! the engine sends between chunks.
 
 mod chunks;
+pub mod decoder;
 mod http;
-pub mod matcher;
 
 pub use http::HttpEngine;
 
--- a/crates/sesamegap-upstream/src/kv/http.rs
+++ b/crates/sesamegap-upstream/src/kv/http.rs
@@ -1,7 +1,7 @@
 //! The kept-KV store over HTTP: `POST /v1/held` takes keys and answers how many are held.
 
 use super::KvStore;
-use crate::client::ask;
+use crate::client::fetch_json;
 use crate::error::UpstreamError;
 use crate::wire::{HeldPrefixRequest, HeldPrefixResponse};
 use futures_util::future::{BoxFuture, FutureExt};
@@ -26,16 +26,19 @@
 
     async fn count(&self, keys: &[BlockKey]) -> Result<usize, UpstreamError> {
         let keys = keys.to_vec();
-        let asked = HeldPrefixRequest { keys };
-        let request = self.pool.request(Method::POST, "/v1/held").json(&asked);
-        let answer: HeldPrefixResponse = ask(&self.pool, request, Duration::ZERO).await?;
+        let query = HeldPrefixRequest { keys };
+        let request = self.pool.request(Method::POST, "/v1/held").json(&query);
+        let answer: HeldPrefixResponse = fetch_json(&self.pool, request, Duration::ZERO).await?;
         // A store that claims more than was asked for would make the caller index out of bounds.
-        Ok(answer.held.min(asked.keys.len()))
+        Ok(answer.held.min(query.keys.len()))
     }
 }
 
 impl KvStore for HttpStore {
-    fn held_prefix_len<'a>(&'a self, keys: &'a [BlockKey]) -> BoxFuture<'a, Result<usize, UpstreamError>> {
+    fn held_prefix_len<'a>(
+        &'a self,
+        keys: &'a [BlockKey],
+    ) -> BoxFuture<'a, Result<usize, UpstreamError>> {
         self.count(keys).boxed()
     }
 }
--- a/crates/sesamegap-upstream/src/kv/mod.rs
+++ b/crates/sesamegap-upstream/src/kv/mod.rs
@@ -15,5 +15,8 @@
     ///
     /// # Errors
     /// If the store cannot be reached.
-    fn held_prefix_len<'a>(&'a self, keys: &'a [BlockKey]) -> BoxFuture<'a, Result<usize, UpstreamError>>;
+    fn held_prefix_len<'a>(
+        &'a self,
+        keys: &'a [BlockKey],
+    ) -> BoxFuture<'a, Result<usize, UpstreamError>>;
 }
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -6,7 +6,7 @@
 //! status 429 or 503; any other status is the service's own reply.
 
 use super::{Call, PlainService, Reply};
-use crate::client::unreadable;
+use crate::client::invalid_response;
 use crate::error::{Fault, Ran, UpstreamError};
 use crate::wire::{IDEMPOTENCY_KEY_HEADER, RAN_HEADER, REQUEST_HEADER};
 use futures_util::future::{BoxFuture, FutureExt};
@@ -36,13 +36,13 @@
         let request = self.request(call)?;
         let exchange = async {
             let response = self.pool.send(request, limit).await?;
-            self.own(&response, &id)?;
+            self.check_echo(&response, &id)?;
             self.reply(response).await
         };
         let outcome = timeout(limit, exchange).await;
         outcome.unwrap_or_else(|_| {
-            self.pool.renew();
-            Err(Failure::silence().into())
+            self.pool.discard_connections();
+            Err(Failure::timed_out().into())
         })
     }
 
@@ -65,24 +65,24 @@
     }
 
     /// Checks that a reply is the one to this request.
-    fn own(&self, response: &Response, id: &str) -> Result<(), UpstreamError> {
+    fn check_echo(&self, response: &Response, id: &str) -> Result<(), UpstreamError> {
         let echo = header(response.headers(), REQUEST_HEADER);
         if echo.as_deref() == Some(id) {
             return Ok(());
         }
-        self.pool.renew();
-        let whose = echo.map_or("no request".to_owned(), |echo| format!("request {echo}"));
-        let detail = format!("reply to {whose}");
+        self.pool.discard_connections();
+        let echoed = echo.map_or("no request".to_owned(), |echo| format!("request {echo}"));
+        let detail = format!("reply to {echoed}");
         Err(UpstreamError::new(Fault::Crossed, Ran::Unknown, detail))
     }
 
     async fn reply(&self, response: Response) -> Result<Reply, UpstreamError> {
         let status = response.status();
-        let refused = header(response.headers(), RAN_HEADER).as_deref() == Some("no");
+        let not_run = header(response.headers(), RAN_HEADER).as_deref() == Some("no");
         let content_type = header(response.headers(), CONTENT_TYPE.as_str());
         let body = self.pool.whole(response).await?;
-        if refused {
-            return Err(refusal(status));
+        if not_run {
+            return Err(not_run_error(status));
         }
         Ok(Reply {
             status: status.as_u16(),
@@ -92,12 +92,12 @@
     }
 }
 
-fn refusal(status: StatusCode) -> UpstreamError {
+fn not_run_error(status: StatusCode) -> UpstreamError {
     let fault = match status {
         StatusCode::TOO_MANY_REQUESTS => Fault::Busy,
         StatusCode::SERVICE_UNAVAILABLE => Fault::Leaving,
         _ if status.is_client_error() => Fault::Refused,
-        _ => return unreadable(format!("status {status} that claims not to have run")),
+        _ => return invalid_response(format!("status {status} that claims not to have run")),
     };
     UpstreamError::new(fault, Ran::No, format!("status {status}"))
 }
--- a/crates/sesamegap-upstream/src/wire.rs
+++ b/crates/sesamegap-upstream/src/wire.rs
@@ -44,7 +44,7 @@
 
 impl Refusal {
     /// Takes the refusal if it is about the attempt that was asked for.
-    pub fn about(self, request: &RequestId, attempt: u32) -> UpstreamError {
+    pub fn into_error_for(self, request: &RequestId, attempt: u32) -> UpstreamError {
         if self.request == *request && self.attempt == attempt {
             return UpstreamError::new(self.fault, self.ran, self.detail);
         }
--- a/crates/sesamegap-upstream/tests/testsuite/chunks.rs
+++ b/crates/sesamegap-upstream/tests/testsuite/chunks.rs
@@ -1,7 +1,7 @@
 //! Reading events and refusals from arbitrary bytes.
 
 use quickcheck::{Gen, QuickCheck};
-use sesamegap_upstream::engine::matcher::Matcher;
+use sesamegap_upstream::engine::decoder::ChunkDecoder;
 use sesamegap_upstream::wire::{Envelope, Refusal};
 use sesamegap_upstream::{Fault, Ran};
 use sesamegap_wire::engine::Chunk;
@@ -44,7 +44,7 @@
         };
         let data = serde_json::to_string(&envelope).unwrap();
         let asked = (asked.0 % 3, asked.1 % 2);
-        match Matcher::new(&request(asked.0), asked.1).take(&data) {
+        match ChunkDecoder::new(&request(asked.0), asked.1).decode(&data) {
             Ok(taken) => asked == (seq % 3, attempt % 2) && taken == chunk,
             Err(error) => asked != (seq % 3, attempt % 2) && error.fault() == Fault::Crossed,
         }
@@ -68,12 +68,12 @@
         }
         let data = format!("{}{rubbish}", &whole[..at]);
         data == whole
-            || Matcher::new(&request(1), 0)
-                .take(&data)
+            || ChunkDecoder::new(&request(1), 0)
+                .decode(&data)
                 .is_err_and(|e| e.ran() == Ran::Unknown)
     }
     fn rubbish(data: String) -> bool {
-        Matcher::new(&request(1), 0).take(&data).is_err()
+        ChunkDecoder::new(&request(1), 0).decode(&data).is_err()
     }
     cases().quickcheck(spoilt as fn(u8, usize, String) -> bool);
     cases().quickcheck(rubbish as fn(String) -> bool);
@@ -90,7 +90,7 @@
             ran: Ran::No,
             detail: String::new(),
         };
-        let error = refusal.about(&request(seq % 3), attempt % 2);
+        let error = refusal.into_error_for(&request(seq % 3), attempt % 2);
         let own = (seq % 3, attempt % 2) == (1, 0);
         error.ran() == if own { Ran::No } else { Ran::Unknown }
     }
--- a/crates/sesamegap-upstream/tests/testsuite/limits.rs
+++ b/crates/sesamegap-upstream/tests/testsuite/limits.rs
@@ -25,7 +25,7 @@
 const STREAM: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n";
 
 async fn stream_error(text: &'static str) -> UpstreamError {
-    let settings = Settings::builder().event(4096).build();
+    let settings = Settings::builder().max_event_bytes(4096).build();
     let engine = HttpEngine::new(endless(STREAM, text).await, settings);
     let request: RequestId = "vm-1~1~1".parse().unwrap();
     let mut stream = engine.resume(&request, 0, Seq(0)).await.unwrap();
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -22,7 +22,7 @@
 use poem::http::uri::Scheme;
 use poem::web::{LocalAddr, RemoteAddr};
 use rustix::io::ioctl_fionread;
-use sesamegap_http::serving::{self, Bounds, RequestGuard, ConnectionPolicy, guard_body};
+use sesamegap_http::serving::{self, Bounds, ConnectionPolicy, RequestGuard, guard_body};
 use std::io::Result;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd};
