--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// If the body breaks off, goes silent or is too long.
-    pub async fn whole(&self, response: Response) -> Result<Bytes, Failure> {
+    pub async fn read_body(&self, response: Response) -> Result<Bytes, Failure> {
         let outcome = timeout(self.settings.body_timeout, self.collect_body(response)).await;
         self.discard_if_broken(outcome.unwrap_or_else(|_| Err(Failure::timed_out())))
     }
--- a/crates/sesamegap-http/tests/testsuite/pool.rs
+++ b/crates/sesamegap-http/tests/testsuite/pool.rs
@@ -19,7 +19,7 @@
 async fn get(pool: &Pool) -> Result<Bytes, Failure> {
     let request = pool.request(Method::GET, "/");
     let response = pool.send(request, Duration::ZERO).await?;
-    pool.whole(response).await
+    pool.read_body(response).await
 }
 
 #[tokio::test]
--- a/crates/sesamegap-platform/src/client.rs
+++ b/crates/sesamegap-platform/src/client.rs
@@ -38,6 +38,6 @@
 ) -> Result<T, PlatformError> {
     let request = pool.request(Method::GET, path);
     let sent = pool.send(request, Duration::ZERO).await?;
-    let body = pool.whole(check_status(sent)?).await?;
+    let body = pool.read_body(check_status(sent)?).await?;
     serde_json::from_slice(&body).map_err(|e| PlatformError::new(Reason::Unknown, e.to_string()))
 }
--- a/crates/sesamegap-platform/src/log/http.rs
+++ b/crates/sesamegap-platform/src/log/http.rs
@@ -36,7 +36,7 @@
         let request = self.pool.request(Method::POST, &path).body(body);
         let sent = self.pool.send(request, Duration::ZERO).await;
         let response = check_status(sent?)?;
-        let answer = self.pool.whole(response).await?;
+        let answer = self.pool.read_body(response).await?;
         let appended: Appended = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
         Ok(appended.offset)
     }
@@ -52,7 +52,7 @@
         let sent = self.pool.send(request, wait).await?;
         let gone = sent.status() == StatusCode::GONE;
         let response = if gone { sent } else { check_status(sent)? };
-        let answer = self.pool.whole(response).await?;
+        let answer = self.pool.read_body(response).await?;
         if gone {
             let expired: Expired = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
             let detail = format!("{stream} is kept from offset {} on", expired.oldest);
--- a/crates/sesamegap-upstream/src/client.rs
+++ b/crates/sesamegap-upstream/src/client.rs
@@ -29,7 +29,7 @@
     wait: Duration,
 ) -> Result<T, UpstreamError> {
     let response = pool.send(request, wait).await?;
-    let body = pool.whole(check_status(response)?).await?;
+    let body = pool.read_body(check_status(response)?).await?;
     serde_json::from_slice(&body).map_err(|e| invalid_response(e.to_string()))
 }
 
--- a/crates/sesamegap-upstream/src/engine/http.rs
+++ b/crates/sesamegap-upstream/src/engine/http.rs
@@ -62,7 +62,7 @@
         attempt: u32,
     ) -> UpstreamError {
         let status = response.status();
-        let body = match self.pool.whole(response).await {
+        let body = match self.pool.read_body(response).await {
             Ok(body) => body,
             Err(failure) => return failure.into(),
         };
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -80,7 +80,7 @@
         let status = response.status();
         let not_run = header(response.headers(), RAN_HEADER).as_deref() == Some("no");
         let content_type = header(response.headers(), CONTENT_TYPE.as_str());
-        let body = self.pool.whole(response).await?;
+        let body = self.pool.read_body(response).await?;
         if not_run {
             return Err(not_run_error(status));
         }
