--- a/crates/sesamegap-http/src/failure.rs
+++ b/crates/sesamegap-http/src/failure.rs
@@ -1,23 +1,23 @@
-//! Why an exchange failed, as far as one end of it can tell.
+//! Why an HTTP exchange failed, as far as the client can tell.
 
 use std::error::Error;
 use std::fmt;
 
-/// An exchange that brought no whole answer.
+/// An exchange that did not return a complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection was made, so nothing was written.
+    /// No connection was established, so nothing was sent.
     Unreached(String),
-    /// Something may have been written, and no whole answer came.
+    /// The request may have been sent, and no complete response arrived.
     Broken(String),
-    /// The answer was longer than this many bytes.
+    /// The response exceeded this many bytes.
     Oversized(usize),
 }
 
 impl Failure {
-    /// Tells a connection never made from one that broke.
+    /// Distinguishes a connection that was never established from one that broke.
     ///
-    /// A request that could not even be built was not written either.
+    /// A request that could not be built was not sent either.
     pub fn from_send_error(error: &reqwest::Error) -> Self {
         let message = error_chain(error);
         if error.is_connect() || error.is_builder() {
@@ -27,13 +27,14 @@
         }
     }
 
-    /// A wait that reached its limit on an open connection.
+    /// A read that timed out on an open connection.
     pub fn timed_out() -> Self {
-        Self::Broken("the connection went silent".to_owned())
+        Self::Broken("read on an open connection timed out".to_owned())
     }
 }
 
-/// The error and its sources in one line, since the outermost one alone tells little.
+/// Joins the error and its sources into one line; the outermost message alone rarely names the
+/// cause.
 fn error_chain(error: &reqwest::Error) -> String {
     let mut message = error.to_string();
     let mut source = error.source();
@@ -49,8 +50,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreached(message) => write!(f, "no connection: {message}"),
-            Self::Broken(message) => write!(f, "no whole answer: {message}"),
-            Self::Oversized(limit) => write!(f, "answer longer than {limit} bytes"),
+            Self::Broken(message) => write!(f, "no complete response: {message}"),
+            Self::Oversized(limit) => write!(f, "response longer than {limit} bytes"),
         }
     }
 }
--- a/crates/sesamegap-http/src/lib.rs
+++ b/crates/sesamegap-http/src/lib.rs
@@ -1,13 +1,12 @@
-//! Connections to platform and upstreams that are given up when they go mute.
+//! HTTP connections: a client pool for the platform and the upstreams, and a server for callers.
 //!
-//! A connection can go silent for good while new ones to the same address work. Whoever then waits
-//! on it, or takes it from a pool, waits in vain. So each target has a [`Pool`] of its own, whose
-//! connections are dropped after a maximum age and as soon as one of them misbehaved, and every
-//! wait for bytes has a limit. What is read is bounded, whatever the other side sends.
+//! An established connection can stop delivering data for good while new connections to the same
+//! address work. So each target has its own [`Pool`], which replaces its connections after a
+//! maximum age and as soon as one of them breaks, and every read has a timeout. Responses are
+//! limited in size, whatever the target sends.
 //!
-//! [`Failure`] keeps apart what callers must keep apart: nothing was sent, or something may have
-//! been. Redirects are not followed and nothing is retried here, since either would write a
-//! request twice.
+//! [`Failure`] distinguishes requests that were not sent from those that may have been. Redirects
+//! are not followed and nothing is retried here, since either would send a request twice.
 
 pub mod failure;
 pub mod pool;
--- a/crates/sesamegap-http/src/pool.rs
+++ b/crates/sesamegap-http/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one target.
+//! A pool of connections to one target.
 
 use crate::failure::Failure;
 use crate::settings::Settings;
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Header by which a caller names its failure domain.
+/// Header that carries the sender's failure domain.
 pub const DOMAIN_HEADER: &str = "sesamegap-domain";
 
-/// Probes that may go unanswered before the kernel closes an idle connection.
+/// Unanswered keepalive probes after which the kernel closes an idle connection.
 const KEEPALIVE_PROBES: u32 = 3;
 
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     created: Instant,
 }
 
-/// The connections to one target, replaced when they are old or one of them misbehaved.
+/// A pool of connections to one target, replaced at a maximum age and after a broken exchange.
 #[derive(Debug, Clone)]
 pub struct Pool {
     base: String,
@@ -30,7 +30,7 @@
 }
 
 impl Pool {
-    /// A pool for a target given as `http://IP:PORT`; nothing is connected yet.
+    /// Creates a pool for the target `http://IP:PORT` without connecting to it.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         let base = base.into();
         let connections = Connections {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The limits.
+    /// Returns the timeouts and size limits.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Starts a request to a path of the target, on connections young enough.
+    /// Builds a request to a path of the target, on connections below the maximum age.
     pub fn request(&self, method: Method, path: &str) -> RequestBuilder {
         let request = self
             .client()
@@ -60,10 +60,11 @@
         }
     }
 
-    /// Gives up all pooled connections; what is in flight on them is left alone.
+    /// Discards all pooled connections without aborting the requests in flight on them.
     ///
-    /// When one connection went mute or crossed answers, whatever did that to it may have done it
-    /// to its neighbours. Requests sent on those would be noticed only after the silence limit.
+    /// Whatever made one connection stall or deliver another request's response may affect the
+    /// other connections too, and a request sent on one of those would fail only after the read
+    /// timeout.
     pub fn discard_connections(&self) {
         let fresh = Connections {
             client: build_client(&self.settings),
@@ -72,10 +73,10 @@
         *self.current.lock().unwrap_or_else(PoisonError::into_inner) = fresh;
     }
 
-    /// Sends a request and waits for the head of the answer, at most the silence limit plus `extra`.
+    /// Sends a request and waits for the response head, at most the read timeout plus `extra`.
     ///
     /// # Errors
-    /// [`Failure::Unreached`] only if no connection was made.
+    /// [`Failure::Unreached`] only if nothing was sent.
     pub async fn send(
         &self,
         request: RequestBuilder,
@@ -90,19 +91,19 @@
         self.discard_if_broken(outcome)
     }
 
-    /// Reads a whole body, within the limits on silence, time and size.
+    /// Reads a complete body within the read timeout, the body timeout and the size limit.
     ///
     /// # Errors
-    /// If the body breaks off, goes silent or is too long.
+    /// If the body is truncated, exceeds a timeout or is too large.
     pub async fn read_body(&self, response: Response) -> Result<Bytes, Failure> {
         let outcome = timeout(self.settings.body_timeout, self.collect_body(response)).await;
         self.discard_if_broken(outcome.unwrap_or_else(|_| Err(Failure::timed_out())))
     }
 
-    /// Limits how long a future may stay without bytes from the target.
+    /// Waits for a future that reads from the target, at most the read timeout.
     ///
     /// # Errors
-    /// If it did not end in time; the pooled connections are then given up.
+    /// If the timeout expires; the pooled connections are then discarded.
     pub async fn with_read_timeout<T>(
         &self,
         waiting: impl Future<Output = T>,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Gives up the pooled connections after a failure on one of them.
+    /// Discards the pooled connections if the exchange broke.
     fn discard_if_broken<T>(&self, outcome: Result<T, Failure>) -> Result<T, Failure> {
         if matches!(outcome, Err(Failure::Broken(_))) {
             self.discard_connections();
@@ -147,7 +148,7 @@
     }
 }
 
-/// A client with no connection yet.
+/// Builds a client that never retries, follows no redirect and uses no proxy.
 fn build_client(settings: &Settings) -> Client {
     let builder = Client::builder()
         .no_proxy()
@@ -159,11 +160,11 @@
         .tcp_keepalive(settings.idle_timeout)
         .tcp_keepalive_interval(settings.idle_timeout)
         .tcp_keepalive_retries(KEEPALIVE_PROBES);
-    // Bytes that the other end never acknowledges would keep a dead connection open for a
-    // quarter of an hour; this closes it after about the silence limit.
+    // Without this, unacknowledged data keeps a dead connection open for about 15 minutes; with
+    // it, the kernel closes the connection after a few read timeouts.
     #[cfg(target_os = "linux")]
     let builder = builder.tcp_user_timeout(settings.read_timeout * KEEPALIVE_PROBES);
     builder
         .build()
-        .expect("a client without TLS and proxy has nothing to fail on")
+        .expect("building a client without TLS and proxy cannot fail")
 }
--- a/crates/sesamegap-http/src/serving/activity.rs
+++ b/crates/sesamegap-http/src/serving/activity.rs
@@ -1,28 +1,28 @@
-//! What a caller's connection is doing, for bounds on idle ones and slow heads.
+//! Activity of a caller's connection, for timeouts on idle connections and slow request heads.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// No head has begun.
+/// Marks that no head is being received.
 const NO_HEAD: u64 = u64::MAX;
 
-/// Bounds on how long a caller may take.
+/// Timeouts for a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// For the head of a request.
+    /// For receiving a request head.
     pub head: Duration,
     /// Between two requests.
     pub idle: Duration,
 }
 
-/// State of one connection, its times in microseconds since it was opened.
+/// State of one connection; times are in microseconds since it was opened.
 #[derive(Debug)]
 pub struct Activity {
     opened: Instant,
     requests: AtomicUsize,
-    has_request: AtomicBool,
+    received_request: AtomicBool,
     idle_since: AtomicU64,
     head_since: AtomicU64,
     checks_unread: AtomicBool,
@@ -31,24 +31,24 @@
     closed: AtomicBool,
 }
 
-/// Which bound a connection reaches next.
+/// The timeout that applies to a connection now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deadline {
-    /// A request is being worked on.
+    /// None, since a request is in progress.
     Busy,
-    /// The connection is idle until this moment.
+    /// The connection is idle and times out at this instant.
     Idle(Instant),
-    /// A head is being sent, until this moment.
+    /// A request head is being received and times out at this instant.
     Head(Instant),
 }
 
 impl Activity {
-    /// A connection that was just opened.
+    /// Starts the record of a newly opened connection.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             opened: Instant::now(),
             requests: AtomicUsize::new(0),
-            has_request: AtomicBool::new(false),
+            received_request: AtomicBool::new(false),
             idle_since: AtomicU64::new(0),
             head_since: AtomicU64::new(NO_HEAD),
             checks_unread: AtomicBool::new(false),
@@ -58,15 +58,15 @@
         })
     }
 
-    /// A request was read; it lasts until the guard is dropped.
+    /// Records a request, which is in progress until the guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        self.has_request.store(true, Ordering::Relaxed);
+        self.received_request.store(true, Ordering::Relaxed);
         self.head_since.store(NO_HEAD, Ordering::Relaxed);
         RequestGuard(Arc::clone(self))
     }
 
-    /// The bound that applies now.
+    /// Returns the timeout that applies now.
     pub fn deadline(&self, bounds: Bounds) -> Deadline {
         if self.requests.load(Ordering::Relaxed) > 0 {
             return Deadline::Busy;
@@ -78,17 +78,17 @@
         Deadline::Idle(self.instant(self.idle_since.load(Ordering::Relaxed)) + bounds.idle)
     }
 
-    /// Whether any request came on the connection.
+    /// Whether the connection has received any request.
     pub(super) fn has_received_request(&self) -> bool {
-        self.has_request.load(Ordering::Relaxed)
+        self.received_request.load(Ordering::Relaxed)
     }
 
-    /// Has the stream look for unread bytes whenever it finds none ready.
+    /// Makes the stream check the socket for unread bytes whenever a read is pending.
     pub(super) fn start_unread_check(&self) {
         self.checks_unread.store(true, Ordering::Relaxed);
     }
 
-    /// Goes back to reading without that look.
+    /// Ends these checks.
     pub(super) fn stop_unread_check(&self) {
         self.checks_unread.store(false, Ordering::Relaxed);
     }
@@ -97,7 +97,7 @@
         self.checks_unread.load(Ordering::Relaxed)
     }
 
-    /// Notes whether bytes lie in the socket that were not read.
+    /// Records whether the socket holds unread bytes.
     pub(super) fn set_unread(&self, unread: bool) {
         self.unread.store(unread, Ordering::Relaxed);
     }
@@ -106,12 +106,12 @@
         self.unread.load(Ordering::Relaxed)
     }
 
-    /// Bytes accepted out, or did not since the caller has no room for them.
+    /// Records whether the socket accepted a write or its send buffer was full.
     ///
-    /// An answer may be done for the server long before a slow caller has got all of it.
+    /// A response may be complete for the server long before a slow caller has received all of it.
     pub(super) fn record_write(&self, accepted: bool) {
         self.unsent.store(!accepted, Ordering::Relaxed);
-        // An answer under way needs no clock, which would be read at each event of a stream.
+        // Skips reading the clock for every event of a streamed response.
         if accepted && self.requests.load(Ordering::Relaxed) == 0 {
             self.idle_since.store(self.now(), Ordering::Relaxed);
         }
@@ -121,7 +121,7 @@
         self.unsent.load(Ordering::Relaxed)
     }
 
-    /// Ends the connection: nothing more is read from it.
+    /// Marks the connection as closed: nothing more is read from it.
     pub(super) fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
@@ -130,13 +130,13 @@
         self.closed.load(Ordering::Relaxed)
     }
 
-    /// Bytes were read.
+    /// Records that bytes were read.
     pub(super) fn record_read(&self) {
         self.unread.store(false, Ordering::Relaxed);
         if self.requests.load(Ordering::Relaxed) > 0 {
             return;
         }
-        // Only the first bytes of a head start its time.
+        // Only the first bytes of a head start its timeout.
         if self.head_since.load(Ordering::Relaxed) == NO_HEAD {
             self.head_since.store(self.now(), Ordering::Relaxed);
         }
@@ -152,7 +152,7 @@
 }
 
 impl Deadline {
-    /// How long until the bound is reached; `recheck` while none applies.
+    /// Time until the timeout; `recheck` while none applies.
     pub fn remaining(self, recheck: Duration) -> Duration {
         match self {
             Self::Busy => recheck,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Whether the bound is reached.
+    /// Whether the timeout has expired.
     pub fn is_past(self) -> bool {
         match self {
             Self::Busy => false,
@@ -169,7 +169,7 @@
     }
 }
 
-/// A request on the connection.
+/// Marks a request as in progress on its connection until dropped.
 #[derive(Debug)]
 pub struct RequestGuard(Arc<Activity>);
 
--- a/crates/sesamegap-http/src/serving/guarded.rs
+++ b/crates/sesamegap-http/src/serving/guarded.rs
@@ -1,18 +1,18 @@
-//! Bodies that keep something until they are sent.
+//! Response bodies that own a guard.
 
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body with a guard that is dropped with it; its length stays known.
+/// A body with a guard that is dropped with it; forwards the size hint of the inner body.
 #[derive(Debug)]
 struct GuardedBody<B, G> {
     body: Pin<Box<B>>,
     _guard: G,
 }
 
-/// A body that keeps something until it is dropped.
+/// Wraps a body so that `guard` is dropped when the body is.
 pub fn guard_body<B, G>(body: B, guard: G) -> UnsyncBoxBody<B::Data, B::Error>
 where
     B: Body + Send + 'static,
--- a/crates/sesamegap-http/src/serving/mod.rs
+++ b/crates/sesamegap-http/src/serving/mod.rs
@@ -1,13 +1,15 @@
-//! Serves a caller's connection, and closes it without losing a request.
+//! Serves a caller's connection and closes it without losing a request.
 //!
-//! A server closes connections that are idle: at a bound, and when it stops. A request may come at
-//! that very moment. One that lies in the socket is read and answered before the connection is
-//! closed, which the usual graceful shutdown of a server does not do: it closes what it believes
-//! idle, and a busy or paused process learns late what its sockets hold. A head that has begun has
-//! its time to end, and an answer that is done reaches its caller first. For a request that is still on the way there is the farewell: an
-//! answer sent with the close, which says that nothing sent after it is run (status 408, RFC 9110
-//! section 15.5.9). Without it such a caller sees a closed connection, and cannot tell whether
-//! its request ran.
+//! A server closes idle connections after a timeout and when it stops, and a request may arrive at
+//! that moment. A request already in the socket's receive buffer is read and answered before the
+//! connection is closed. The usual graceful shutdown of a server does not do this: it closes the
+//! connections it believes idle, and a busy or paused process learns late what its sockets hold.
+//! A partly received head may still be completed within its timeout, and a finished response is
+//! delivered first.
+//!
+//! For a request that is still in transit, the server sends a closing response (status 408, RFC
+//! 9110 section 15.5.9), which says that nothing sent after it is run. Without it the caller only
+//! sees a closed connection and cannot tell whether its request ran.
 
 mod activity;
 mod guarded;
@@ -35,52 +37,53 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::{sleep, timeout};
 
-/// Smallest buffer that hyper takes for heads, in bytes.
+/// Smallest head buffer that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// How often a busy connection looks at its bounds again.
+/// How often the timeouts of a busy connection are checked again.
 const RECHECK: Duration = Duration::from_secs(5);
 
-/// How often a connection that is to close looks whether it may: a small part of the seconds that a
-/// stop takes, and seldom enough for hundreds of connections on a part of a core.
+/// How often a connection is checked for whether it can close once the server stops: short compared
+/// with the seconds that a stop takes, and rare enough for hundreds of connections on a fraction of
+/// a core.
 const CLOSING_RECHECK: Duration = Duration::from_millis(100);
 
-/// Longest time for a close, with the farewell and the caller's own close, whatever the caller does.
+/// Longest time for a close, including the closing response and the wait for the caller's close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a server treats its connections.
+/// Timeouts, limits and shutdown rules of a server's connections.
 pub trait ConnectionPolicy: Send + Sync {
-    /// Bounds in force now; they may change while a connection is open.
+    /// Current timeouts; they may change while a connection is open.
     fn bounds(&self) -> Bounds;
 
-    /// Longest head, in bytes, of a connection that opens now.
+    /// Largest request head, in bytes, for a connection that opens now.
     fn max_head_bytes(&self) -> usize;
 
-    /// What a connection closed between two requests is sent; nothing if empty.
+    /// Bytes sent when the server closes a connection between two requests; empty for none.
     fn closing_response(&self) -> Bytes {
         Bytes::new()
     }
 
-    /// Whether a stop also closes connections on which no request has come yet.
+    /// Whether a stop also closes connections that have not received a request yet.
     fn closes_unused_on_stop(&self) -> bool {
         false
     }
 }
 
-/// How a connection ended.
+/// Why a connection was closed.
 #[derive(Debug)]
 pub enum CloseReason {
-    /// Closed by the caller or by an answer that said so, or broken.
+    /// Closed by the caller or by a response with `connection: close`, or broken.
     Closed(Option<hyper::Error>),
-    /// Closed by the server at a bound.
+    /// Closed by the server at a timeout.
     TimedOut(Deadline),
-    /// Closed by the server since it stops.
+    /// Closed by the server because it stops.
     Stopped,
 }
 
 /// Serves a connection until either end closes it; `stop` resolves when the server stops.
 ///
-/// Answers to requests that come after that should say `connection: close` themselves.
+/// Responses to later requests should set `connection: close` themselves.
 pub async fn serve<S, F, A, B>(
     stream: S,
     policy: &dyn ConnectionPolicy,
@@ -113,7 +116,7 @@
         let bounds = policy.bounds();
         let wait = recheck_delay(activity.deadline(bounds), bounds, stopping);
         tokio::select! {
-            // A caller that leaves ends the connection, and with it the request on it.
+            // A disconnect of the caller also cancels its request in progress.
             ended = served.as_mut() => return CloseReason::Closed(ended.err()),
             () = stop.as_mut(), if !stopping => stopping = true,
             () = sleep(wait) => {}
@@ -121,14 +124,16 @@
         let unused = !activity.has_received_request() && !policy.closes_unused_on_stop();
         let closes = stopping && !unused;
         if closes && activity.deadline(bounds) == Deadline::Busy {
-            // Its head may have gone out before the stop. Kept after it, the connection would bring
-            // a further request late in the time of the stop, and the kill would cut that one.
+            // The response head may have been sent before the stop, without `connection: close`. A
+            // connection kept alive could deliver another request late in the stop, which the
+            // process's kill would then abort.
             served.as_mut().graceful_shutdown();
         }
         if !closes && !activity.deadline(bounds).is_past() {
             continue;
         }
-        // Reads what the runtime knows of, which may be the head of a request, and looks for more.
+        // Processes the bytes that the runtime knows of, which may hold a request head, and checks
+        // the socket for more.
         activity.start_unread_check();
         let polled = poll_fn(|cx| Poll::Ready(served.as_mut().poll(cx))).await;
         activity.stop_unread_check();
@@ -142,20 +147,20 @@
         if deadline.is_past() {
             break CloseReason::TimedOut(deadline);
         }
-        // The last bytes of an answer may still wait for a slow caller.
+        // The end of a response may still be unsent because the caller reads slowly.
         if closes && matches!(deadline, Deadline::Idle(_)) && !activity.has_unsent() {
             break CloseReason::Stopped;
         }
     };
-    // From here to the close of the socket nothing else runs.
+    // From here on the connection only closes; no request is read or run.
     activity.close();
     drop(timeout(CLOSE_TIMEOUT, served).await);
     ended
 }
 
-/// Time until a connection's state is polled at again.
+/// Time until the connection's state is checked again.
 fn recheck_delay(deadline: Deadline, bounds: Bounds, stopping: bool) -> Duration {
-    // A head may begin while this waits for an idle connection's end, and has less time.
+    // A head may start while this waits for the idle timeout, and the head timeout may be shorter.
     let recheck = bounds.head / 2;
     let longest = if stopping {
         recheck.min(CLOSING_RECHECK)
--- a/crates/sesamegap-http/src/serving/monitored.rs
+++ b/crates/sesamegap-http/src/serving/monitored.rs
@@ -1,4 +1,4 @@
-//! A caller's stream that notes what comes, and takes leave before it closes.
+//! A caller's stream that records reads and writes, and closes with a last response.
 
 use super::activity::Activity;
 use bytes::{Buf, Bytes};
@@ -13,26 +13,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Sleep, sleep};
 
-/// Longest wait for a caller to close after the last bytes to it. Closing while its bytes are on
-/// the way would reset the connection, and with it what the caller has not read yet.
+/// Longest wait for the caller to close after the last bytes were sent to it. Closing while bytes
+/// from the caller are in transit would reset the connection, and the caller would lose what it has
+/// not read yet.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bytes of a caller that are thrown away at once while its close is waited for.
+/// Size of the buffer for bytes that are discarded while waiting for the caller's close.
 const DISCARD_BUFFER_BYTES: usize = 4_096;
 
-/// A stream that notes when bytes are read, and can be ended between two requests.
+/// A stream that records reads and writes, and can be closed between two requests.
 #[derive(Debug)]
 pub struct MonitoredStream<S> {
     stream: S,
     activity: Arc<Activity>,
     closing_response: Bytes,
-    /// Whether there is a closing_response that the caller should get to read.
+    /// Whether there is a closing response, which the caller needs time to read.
     has_closing_response: bool,
     linger_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S: AsFd> MonitoredStream<S> {
-    /// Watches a stream, whose caller is sent `closing_response` if it is closed between two requests.
+    /// Wraps a stream; its caller is sent `closing_response` if it is closed between two requests.
     pub fn new(stream: S, activity: Arc<Activity>, closing_response: Bytes) -> Self {
         Self {
             stream,
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Whether bytes lie in the socket.
+    /// Whether the socket's receive buffer holds unread bytes.
     ///
-    /// Asked of the kernel and not of the runtime, which learns of them only after its next look at
-    /// all sockets: a process that stood still has requests that it does not know of.
+    /// Asks the kernel rather than the runtime, which learns of them only at its next poll of all
+    /// sockets: a process that was paused has requests that the runtime does not know of yet.
     fn has_unread(&self) -> bool {
-        // An error means a broken socket, from which nothing can be read.
+        // Nothing can be read from a socket on which this call fails.
         ioctl_fionread(&self.stream).is_ok_and(|count| count > 0)
     }
 }
@@ -75,7 +76,7 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> MonitoredStream<S> {
-    /// Sends what is left of the closing_response.
+    /// Sends the rest of the closing response.
     fn write_closing_response(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.closing_response.has_remaining() {
             let sent = ready!(Pin::new(&mut self.stream).poll_write(cx, &self.closing_response))?;
@@ -84,7 +85,7 @@
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    /// Waits until the caller has closed, and throws away what it still sends.
+    /// Waits for the caller's close, discarding what it still sends.
     fn linger(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let limit = self
             .linger_timer
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -1,9 +1,9 @@
-//! Limits of a client towards one target.
+//! Timeouts and size limits of a client of one target.
 
 use sesamegap_wire::DomainId;
 use std::time::Duration;
 
-/// Limits of a client towards one target.
+/// Timeouts and size limits of a client of one target.
 #[derive(Debug, Clone)]
 pub struct Settings {
     pub(crate) connect_timeout: Duration,
@@ -17,22 +17,22 @@
 }
 
 impl Settings {
-    /// Starts from the defaults.
+    /// Returns a builder with the default settings.
     pub fn builder() -> Builder {
         Builder(Self::default())
     }
 
-    /// Longest wait for the next bytes of an answer.
+    /// Longest wait for the next bytes of a response.
     pub fn read_timeout(&self) -> Duration {
         self.read_timeout
     }
 
-    /// Largest body taken, in bytes.
+    /// Largest accepted body, in bytes.
     pub fn max_body_bytes(&self) -> usize {
         self.max_body_bytes
     }
 
-    /// Largest event of a stream taken, in bytes.
+    /// Largest accepted event of a stream, in bytes.
     pub fn max_event_bytes(&self) -> usize {
         self.max_event_bytes
     }
@@ -58,14 +58,14 @@
 pub struct Builder(Settings);
 
 impl Builder {
-    /// Time to open a connection.
+    /// Longest time to establish a connection.
     #[must_use]
     pub fn connect_timeout(mut self, time: Duration) -> Self {
         self.0.connect_timeout = time;
         self
     }
 
-    /// Longest wait for the next bytes of an answer.
+    /// Longest wait for the next bytes of a response.
     #[must_use]
     pub fn read_timeout(mut self, time: Duration) -> Self {
         self.0.read_timeout = time;
@@ -79,42 +79,42 @@
         self
     }
 
-    /// Time after which an unused connection is closed.
+    /// Time after which an unused connection is closed; also the interval of TCP keepalive probes.
     #[must_use]
     pub fn idle_timeout(mut self, time: Duration) -> Self {
         self.0.idle_timeout = time;
         self
     }
 
-    /// Time to read a whole body, which keeps one that trickles from being read for ever.
+    /// Longest time to read a complete body, so that one sent very slowly still ends.
     #[must_use]
     pub fn body_timeout(mut self, time: Duration) -> Self {
         self.0.body_timeout = time;
         self
     }
 
-    /// Largest body taken, in bytes.
+    /// Largest accepted body, in bytes.
     #[must_use]
     pub fn max_body_bytes(mut self, bytes: usize) -> Self {
         self.0.max_body_bytes = bytes;
         self
     }
 
-    /// Largest event of a stream taken, in bytes.
+    /// Largest accepted event of a stream, in bytes.
     #[must_use]
     pub fn max_event_bytes(mut self, bytes: usize) -> Self {
         self.0.max_event_bytes = bytes;
         self
     }
 
-    /// Failure domain of the caller, told to the target.
+    /// Failure domain of this client, sent to the target in a header.
     #[must_use]
     pub fn domain(mut self, domain: DomainId) -> Self {
         self.0.domain = Some(domain);
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> Settings {
         self.0
     }
--- a/crates/sesamegap-http/src/sse.rs
+++ b/crates/sesamegap-http/src/sse.rs
@@ -1,10 +1,10 @@
-//! Bounds on the events of a stream.
+//! Size limit on server-sent events.
 //!
-//! A parser of server-sent events keeps a line until it ends, and an event until its empty line.
-//! An upstream that never ends either would fill the router's memory, so the bytes are counted
-//! before they reach the parser.
+//! A parser of server-sent events buffers a line until its line ending, and an event until the
+//! empty line after it. An upstream that never sends either would exhaust the router's memory, so
+//! the bytes are counted before they reach the parser.
 
-/// Counts the bytes of the event under way.
+/// Counts the bytes of the current event against a limit.
 #[derive(Debug)]
 pub struct EventSizeLimit {
     limit: usize,
@@ -14,7 +14,7 @@
 }
 
 impl EventSizeLimit {
-    /// A meter that allows events of up to `limit` bytes.
+    /// Allows events of up to `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -24,14 +24,14 @@
         }
     }
 
-    /// Counts more bytes and tells whether every event still keeps to the limit.
+    /// Counts more bytes and returns whether every event is still within the limit.
     #[must_use]
     pub fn allows(&mut self, bytes: &[u8]) -> bool {
         bytes.iter().all(|&byte| self.count(byte))
     }
 
     fn count(&mut self, byte: u8) -> bool {
-        // The second completes_crlf of a line end of two bytes ends no further line.
+        // The `\n` of a `\r\n` pair does not end another line.
         let completes_crlf = self.after_cr && byte == b'\n';
         self.after_cr = byte == b'\r';
         if completes_crlf {
--- a/crates/sesamegap-http/tests/testsuite/main.rs
+++ b/crates/sesamegap-http/tests/testsuite/main.rs
@@ -1,8 +1,8 @@
-//! The pool against servers that misbehave, and the bounds on what is read.
+//! The pool with faulty servers, limits on responses, and the close of callers' connections.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests stop where their setting cannot be made"
+    reason = "test helpers panic if their setup fails"
 )]
 
 mod pool;
--- a/crates/sesamegap-http/tests/testsuite/server.rs
+++ b/crates/sesamegap-http/tests/testsuite/server.rs
@@ -1,4 +1,4 @@
-//! A server that answers every request with the same bytes and counts its connections.
+//! A server that handles every request in the same way and counts requests and connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What is done with each request.
+/// How the server handles each request.
 #[derive(Debug, Clone, Copy)]
-pub enum Manner {
+pub enum Behavior {
     /// Writes this and keeps the connection.
     Answer(&'static str),
-    /// Writes this and then the same byte for ever.
+    /// Writes this and then repeats a byte endlessly.
     Endless(&'static str, u8),
     /// Writes nothing and keeps the connection.
-    Mute,
+    NoAnswer,
     /// Closes the connection.
     Close,
-    /// Writes this to the first request on a connection, and closes it at the second.
+    /// Answers the first request on a connection with this and closes it at the second.
     AnswerOnce(&'static str),
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Server {
-    pub async fn start(manner: Manner) -> Self {
+    pub async fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Self {
             addr: listener.local_addr().unwrap(),
@@ -41,7 +41,7 @@
         tokio::spawn(async move {
             while let Ok((tcp, _)) = listener.accept().await {
                 connections.fetch_add(1, Ordering::AcqRel);
-                tokio::spawn(serve(tcp, manner, Arc::clone(&requests)));
+                tokio::spawn(serve(tcp, behavior, Arc::clone(&requests)));
             }
         });
         server
@@ -60,7 +60,7 @@
     }
 }
 
-async fn serve(mut tcp: TcpStream, manner: Manner, requests: Arc<AtomicUsize>) {
+async fn serve(mut tcp: TcpStream, behavior: Behavior, requests: Arc<AtomicUsize>) {
     let mut head = Vec::new();
     let mut answered = false;
     while let Ok(byte) = tcp.read_u8().await {
@@ -70,16 +70,16 @@
         }
         head.clear();
         requests.fetch_add(1, Ordering::AcqRel);
-        match manner {
-            Manner::Answer(text) => drop(tcp.write_all(text.as_bytes()).await),
-            Manner::Endless(text, byte) => {
+        match behavior {
+            Behavior::Answer(text) => drop(tcp.write_all(text.as_bytes()).await),
+            Behavior::Endless(text, byte) => {
                 drop(tcp.write_all(text.as_bytes()).await);
                 while tcp.write_all(&[byte; 1024]).await.is_ok() {}
             }
-            Manner::Mute => {}
-            Manner::Close => return,
-            Manner::AnswerOnce(_) if answered => return,
-            Manner::AnswerOnce(text) => {
+            Behavior::NoAnswer => {}
+            Behavior::Close => return,
+            Behavior::AnswerOnce(_) if answered => return,
+            Behavior::AnswerOnce(text) => {
                 answered = true;
                 drop(tcp.write_all(text.as_bytes()).await);
             }
--- a/crates/sesamegap-http/tests/testsuite/serving.rs
+++ b/crates/sesamegap-http/tests/testsuite/serving.rs
@@ -1,4 +1,4 @@
-//! Callers' connections and their ends.
+//! The close of callers' connections.
 
 use bytes::Bytes;
 use http::Response;
@@ -10,17 +10,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// A wait that ends only if something hangs.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout that expires only if something hangs.
+const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Far more than the sockets of a connection hold.
-const LARGE: usize = 32 << 20;
+/// Body size far above the socket buffers of a connection.
+const LARGE_BODY_BYTES: usize = 32 << 20;
 
-struct Short {
+struct IdlePolicy {
     idle: Duration,
 }
 
-impl ConnectionPolicy for Short {
+impl ConnectionPolicy for IdlePolicy {
     fn bounds(&self) -> Bounds {
         Bounds {
             head: Duration::from_secs(10),
@@ -37,8 +37,8 @@
     }
 }
 
-/// A caller that has asked for a large answer and does not read, and the server's end.
-async fn caller() -> (std::net::TcpStream, TcpStream) {
+/// Connects a caller that has sent a request and reads nothing; returns it and the server's stream.
+async fn connect_caller() -> (std::net::TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let mut caller = std::net::TcpStream::connect(at).unwrap();
@@ -49,38 +49,38 @@
     (caller, stream)
 }
 
-async fn large(
+async fn answer_large(
     _request: http::Request<hyper::body::Incoming>,
-    busy: serving::RequestGuard,
+    guard: serving::RequestGuard,
 ) -> Response<UnsyncBoxBody<Bytes, std::convert::Infallible>> {
-    let body = Full::new(Bytes::from(vec![b'x'; LARGE]));
-    Response::new(guard_body(body, busy))
+    let body = Full::new(Bytes::from(vec![b'x'; LARGE_BODY_BYTES]));
+    Response::new(guard_body(body, guard))
 }
 
-/// A caller asks for a large answer and does not read it. The answer was handed over whole, so the
-/// connection counts as idle; waiting for its last bytes to go would hold it, and a place among
-/// the connections, for good.
+/// A caller requests a large response and does not read it. The body was handed to hyper at once,
+/// so the connection counts as idle. Waiting until all bytes are sent would keep the connection,
+/// and its share of the connection limit, forever.
 #[tokio::test]
-async fn a_caller_that_does_not_read_cannot_hold_a_closed_connection() {
-    let (caller, stream) = caller().await;
-    let terms = Short {
+async fn a_caller_that_does_not_read_cannot_delay_the_idle_close() {
+    let (caller, stream) = connect_caller().await;
+    let policy = IdlePolicy {
         idle: Duration::from_millis(100),
     };
-    let served = serving::serve(stream, &terms, large, std::future::pending());
-    let ended = timeout(PATIENCE, served)
+    let served = serving::serve(stream, &policy, answer_large, std::future::pending());
+    let ended = timeout(HANG_TIMEOUT, served)
         .await
         .expect("the connection ends");
     assert!(matches!(ended, CloseReason::TimedOut(_)), "{ended:?}");
     drop(caller);
 }
 
-/// A caller on a slow line reads a large answer while the server stops. For the server the answer
-/// is done, and the connection idle; closing it would cut the answer in its last part.
+/// A slow caller reads a large response while the server stops. For the server the response is
+/// complete and the connection idle; closing it then would truncate the response.
 #[tokio::test]
 async fn a_stop_waits_for_the_last_bytes_to_a_slow_caller() {
-    let (mut caller, stream) = caller().await;
-    let terms = Short { idle: PATIENCE };
-    // The caller begins to read only after the server has looked several times.
+    let (mut caller, stream) = connect_caller().await;
+    let policy = IdlePolicy { idle: HANG_TIMEOUT };
+    // The caller starts reading only after the server has checked the connection several times.
     let read = tokio::task::spawn_blocking(move || {
         std::thread::sleep(Duration::from_millis(500));
         let mut got = Vec::new();
@@ -89,7 +89,7 @@
         let body = &got[head.unwrap() + 4..];
         body.iter().take_while(|byte| **byte == b'x').count()
     });
-    let ended = serving::serve(stream, &terms, large, std::future::ready(())).await;
+    let ended = serving::serve(stream, &policy, answer_large, std::future::ready(())).await;
     assert!(matches!(ended, CloseReason::Stopped), "{ended:?}");
-    assert_eq!(read.await.unwrap(), LARGE);
+    assert_eq!(read.await.unwrap(), LARGE_BODY_BYTES);
 }
--- a/crates/sesamegap-http/tests/testsuite/sse.rs
+++ b/crates/sesamegap-http/tests/testsuite/sse.rs
@@ -1,9 +1,9 @@
-//! The count of an event's bytes against a naive one.
+//! Compares the event size limit with a naive count.
 
 use quickcheck::{Gen, QuickCheck};
 use sesamegap_http::sse::EventSizeLimit;
 
-/// The longest event of a text, its line ends of whatever kind counted as one byte.
+/// Size of the longest event of a text, with every kind of line ending counted as one byte.
 fn longest(text: &str) -> usize {
     let text = text.replace("\r\n", "\n").replace('\r', "\n");
     let mut longest = 0;
@@ -26,30 +26,30 @@
         .tests(cases)
 }
 
-/// A text of few different characters, so that line ends of all kinds meet.
+/// Builds a text from three characters, so that all kinds of line endings occur next to each other.
 fn text(codes: Vec<u8>) -> String {
     let letter = |code: u8| ['a', '\n', '\r'][usize::from(code % 3)];
     codes.into_iter().map(letter).collect()
 }
 
 #[test]
-fn the_meter_agrees_with_counting_by_lines() {
+fn size_limit_agrees_with_counting_by_lines() {
     fn agrees(codes: Vec<u8>, cut: usize, limit: usize) -> bool {
         let text = text(codes);
         let limit = limit % 20;
         let (head, tail) = text.as_bytes().split_at(cut % (text.len() + 1));
-        let mut meter = EventSizeLimit::new(limit);
-        let allowed = meter.allows(head) && meter.allows(tail);
+        let mut size_limit = EventSizeLimit::new(limit);
+        let allowed = size_limit.allows(head) && size_limit.allows(tail);
         allowed == (longest(&text) <= limit)
     }
     cases().quickcheck(agrees as fn(Vec<u8>, usize, usize) -> bool);
 }
 
-/// The same test must catch a meter that forgets its count where a chunk ends.
+/// Checks that the comparison above detects a limit that resets its count at each chunk.
 #[test]
-fn a_meter_that_starts_anew_with_each_chunk_is_caught() {
+fn reset_at_each_chunk_is_detected() {
     let text = "aaaa";
     let (head, tail) = text.as_bytes().split_at(2);
-    let forgetful = EventSizeLimit::new(3).allows(head) && EventSizeLimit::new(3).allows(tail);
-    assert_ne!(forgetful, longest(text) <= 3);
+    let resetting = EventSizeLimit::new(3).allows(head) && EventSizeLimit::new(3).allows(tail);
+    assert_ne!(resetting, longest(text) <= 3);
 }
