--- a/crates/sesamegap-upstream/benches/chunks.rs
+++ b/crates/sesamegap-upstream/benches/chunks.rs
@@ -1,4 +1,4 @@
-//! What one chunk of an answer costs the router, and one pool given up.
+//! Cost per chunk of a response, and of discarding a pool's connections.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use sesamegap_http::sse::EventSizeLimit;
@@ -9,7 +9,7 @@
 use sesamegap_wire::{RequestId, Seq};
 use std::hint::black_box;
 
-/// Allows any event of these benchmarks.
+/// Size limit above any event of these benchmarks.
 const LIMIT: usize = 64 << 10;
 
 fn token() -> (RequestId, String) {
@@ -34,8 +34,8 @@
     });
     let event = format!("data: {data}\n\n");
     c.bench_function("meter one chunk", |b| {
-        let mut meter = EventSizeLimit::new(LIMIT);
-        b.iter(|| meter.allows(black_box(event.as_bytes())));
+        let mut size_limit = EventSizeLimit::new(LIMIT);
+        b.iter(|| size_limit.allows(black_box(event.as_bytes())));
     });
     let pool = Pool::new("http://127.0.0.1:1", Settings::default());
     c.bench_function("give up a pool", |b| b.iter(|| pool.discard_connections()));
--- a/crates/sesamegap-upstream/src/client.rs
+++ b/crates/sesamegap-upstream/src/client.rs
@@ -1,4 +1,4 @@
-//! What the clients of the upstreams share.
+//! Shared code of the upstream clients.
 
 use crate::error::{Fault, Ran, UpstreamError};
 use reqwest::{RequestBuilder, Response};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl From<Failure> for UpstreamError {
-    /// Says that nothing ran only if no connection was made.
+    /// Reports [`Ran::No`] only if nothing was sent.
     fn from(failure: Failure) -> Self {
         let (fault, ran) = match failure {
             Failure::Unreached(_) => (Fault::Unreached, Ran::No),
@@ -17,12 +17,12 @@
     }
 }
 
-/// An answer that cannot be understood.
+/// An error for a response that cannot be decoded.
 pub(crate) fn invalid_response(detail: impl Into<String>) -> UpstreamError {
     UpstreamError::new(Fault::Broken, Ran::Unknown, detail)
 }
 
-/// Sends a request and reads one JSON value; a status from 400 on tells nothing of what ran.
+/// Sends a request and decodes one JSON value.
 pub(crate) async fn fetch_json<T: DeserializeOwned>(
     pool: &Pool,
     request: RequestBuilder,
@@ -33,6 +33,7 @@
     serde_json::from_slice(&body).map_err(|e| invalid_response(e.to_string()))
 }
 
+/// Rejects a response without a success status, which leaves unknown whether the request ran.
 pub(crate) fn check_status(response: Response) -> Result<Response, UpstreamError> {
     let status = response.status();
     if status.is_success() {
--- a/crates/sesamegap-upstream/src/engine/chunks.rs
+++ b/crates/sesamegap-upstream/src/engine/chunks.rs
@@ -1,8 +1,8 @@
-//! The chunks of one answer, read from one connection.
+//! The stream of chunks of one response, read from one connection.
 //!
-//! Each event is matched to the attempt before it is handed on. An answer to another attempt means
-//! that the two ends of the connection disagree about what was asked, so neither this connection
-//! nor its neighbours are used again. A stream ends well only with [`Chunk::End`].
+//! Each event is checked to belong to the attempt before it is passed on. An event of another
+//! attempt means that the two ends of the connection disagree about the request in progress, so the
+//! pool discards this connection and all others. A stream is complete only with [`Chunk::End`].
 
 use super::ChunkStream;
 use super::decoder::ChunkDecoder;
@@ -18,21 +18,22 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time in which the end of a body follows the last event, so that its connection can be kept.
+/// Longest wait for the end of the body after the last event, so that the connection can be reused.
 const BODY_END_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The chunks of one attempt's answer.
+/// Returns the chunks of one attempt's response.
 pub(super) fn stream(pool: Pool, response: Response, decoder: ChunkDecoder) -> ChunkStream {
     let stream = try_stream! {
         let bytes = limit_event_size(response, pool.settings().max_event_bytes());
         let mut events = Box::pin(bytes.eventsource());
         loop {
             let event = pool.with_read_timeout(events.next()).await?;
-            let event = event.ok_or_else(|| broken_stream(&pool, "the stream ended before the answer"))?;
+            let event = event
+                .ok_or_else(|| broken_stream(&pool, "the stream ended before its last chunk"))?;
             let event = event.map_err(|e| broken_stream(&pool, &e.to_string()))?;
             let chunk = decoder.decode(&event.data).inspect_err(|_| pool.discard_connections())?;
             if let Chunk::End { .. } = chunk {
-                // A body read to its end leaves the connection fit for the next request.
+                // A connection can be reused only if its body was read to the end.
                 let _closed = timeout(BODY_END_TIMEOUT, events.next()).await;
                 yield chunk;
                 break;
@@ -48,7 +49,7 @@
     Failure::Broken(message.to_owned()).into()
 }
 
-/// The bytes of a body, ended with an error where one event grows too long.
+/// Returns the bytes of a body, ending with an error if an event exceeds the size limit.
 fn limit_event_size(
     response: Response,
     limit: usize,
--- a/crates/sesamegap-upstream/src/engine/decoder.rs
+++ b/crates/sesamegap-upstream/src/engine/decoder.rs
@@ -1,8 +1,8 @@
-//! Reading one event of an answer.
+//! Decoding of one event of a response stream.
 //!
-//! Every token of every answer passes here. So the request is compared as text instead of being
-//! parsed, and the chunk is read as one flat object: reading it by its tag would first copy the
-//! whole object, which took more than half of the time.
+//! This runs for every token of every response. So the request id is compared as text instead of
+//! being parsed, and the chunk is deserialized as one flat object: deserializing it as a tagged
+//! enum buffers the whole object first, which took more than half of the time.
 
 use crate::client::invalid_response;
 use crate::error::{Fault, Ran, UpstreamError};
@@ -12,17 +12,17 @@
 use smol_str::SmolStr;
 use std::borrow::Cow;
 
-/// Characters shown of a request id that is not the one asked for.
+/// Characters of a mismatched request id that are included in the error.
 const MAX_SHOWN_CHARS: usize = 128;
 
-/// Recognises the events of one attempt.
+/// Decodes the events of one attempt.
 #[derive(Debug)]
 pub struct ChunkDecoder {
     request: String,
     attempt: u32,
 }
 
-/// An [`Envelope`](crate::wire::Envelope) as it stands on the wire.
+/// An [`Envelope`](crate::wire::Envelope) that borrows from the event's data.
 #[derive(Deserialize)]
 struct BorrowedEnvelope<'a> {
     #[serde(borrow)]
@@ -32,7 +32,7 @@
     chunk: FlatChunk<'a>,
 }
 
-/// The fields of all kinds of [`Chunk`].
+/// The fields of all variants of [`Chunk`].
 #[derive(Deserialize)]
 struct FlatChunk<'a> {
     #[serde(borrow)]
@@ -62,7 +62,7 @@
 }
 
 impl ChunkDecoder {
-    /// Takes the events of this attempt.
+    /// Creates a decoder for the events of this attempt.
     pub fn new(request: &RequestId, attempt: u32) -> Self {
         Self {
             request: request.to_string(),
@@ -70,19 +70,21 @@
         }
     }
 
-    /// Reads one event and checks whose answer it belongs to.
+    /// Decodes one event and checks that it belongs to this attempt.
     ///
     /// # Errors
-    /// [`Fault::Crossed`] if it belongs to another attempt, [`Fault::Broken`] if it is no event.
+    /// [`Fault::Crossed`] if it belongs to another attempt, [`Fault::Broken`] if it is invalid.
     pub fn decode(&self, data: &str) -> Result<Chunk, UpstreamError> {
-        let envelope: BorrowedEnvelope<'_> =
-            serde_json::from_str(data).map_err(|e| invalid_response(format!("no chunk: {e}")))?;
+        let envelope: BorrowedEnvelope<'_> = serde_json::from_str(data)
+            .map_err(|e| invalid_response(format!("invalid chunk: {e}")))?;
         if envelope.request == self.request && envelope.attempt == self.attempt {
             let chunk = envelope.chunk.into_chunk();
-            return chunk.ok_or_else(|| invalid_response("a chunk of no known kind"));
+            return chunk.ok_or_else(|| {
+                invalid_response("chunk of an unknown kind or with a missing field")
+            });
         }
         let shown: String = envelope.request.chars().take(MAX_SHOWN_CHARS).collect();
-        let detail = format!("answer to {shown} attempt {}", envelope.attempt);
+        let detail = format!("response to request {shown} attempt {}", envelope.attempt);
         Err(UpstreamError::new(Fault::Crossed, Ran::Unknown, detail))
     }
 }
--- a/crates/sesamegap-upstream/src/engine/http.rs
+++ b/crates/sesamegap-upstream/src/engine/http.rs
@@ -1,17 +1,17 @@
-//! A model engine over HTTP, its answers as server-sent events.
+//! HTTP client of a model engine, which streams responses as server-sent events.
 //!
-//! | request | answer |
+//! | request | response |
 //! |---|---|
 //! | `POST /v1/generate` with a [`Dispatch`] | 200 and events of [`Envelope`](crate::wire::Envelope), or a [`Refusal`] |
-//! | `GET /v1/generate/{request}/{attempt}?from=SEQ` | the same, from that place on |
+//! | `GET /v1/generate/{request}/{attempt}?from=SEQ` | the same, starting at that sequence number |
 //! | `DELETE /v1/generate/{request}/{attempt}` | 204 |
 //! | `GET /v1/events?after=N&wait=MILLISECONDS` | a [`CacheBatch`] |
 //! | `GET /v1/listing` | a [`Listing`] |
 //! | `GET /v1/load` | a [`LoadReport`] |
 //! | `POST /v1/order` with an [`Order`] | an [`OrderAnswer`] |
 //!
-//! All bodies are JSON. A refusal is believed only if it names the attempt asked for; any other
-//! answer that is no stream leaves open whether the request ran.
+//! All bodies are JSON. A refusal counts only if it names the attempt; any other response that is
+//! not a stream leaves unknown whether the request ran.
 
 use super::decoder::ChunkDecoder;
 use super::{ChunkStream, Engine, chunks};
@@ -32,7 +32,7 @@
 }
 
 impl HttpEngine {
-    /// A client for an engine at `http://IP:PORT`.
+    /// Creates a client of the engine at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
--- a/crates/sesamegap-upstream/src/engine/mod.rs
+++ b/crates/sesamegap-upstream/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! A model engine as the router sees it.
+//! Client interface of a model engine.
 //!
-//! A dispatch names the incarnation that the decision relied on; an engine of another incarnation
-//! refuses it without running it. Each chunk of an answer names its request and its place, so that
-//! a doubled, dropped, reordered or crossed one is noticed. Silence is bounded by heartbeats that
-//! the engine sends between chunks.
+//! A dispatch names the incarnation on which the routing decision relied; an engine with another
+//! incarnation rejects it without running it. Each chunk of a response names its request and its
+//! sequence number, so that duplicated, lost, reordered or misdelivered chunks are detected. The
+//! engine sends heartbeats between chunks, so that a read timeout detects a stalled stream.
 
 mod chunks;
 pub mod decoder;
@@ -21,22 +21,23 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The chunks of an answer, each already matched to its request.
+/// The chunks of a response, each checked to belong to its request.
 pub type ChunkStream = BoxStream<'static, Result<Chunk, UpstreamError>>;
 
 /// A client of one model engine.
 pub trait Engine: Send + Sync + fmt::Debug {
-    /// Sends a request and returns its answer's stream once the engine has taken it.
+    /// Sends a request and returns its response stream once the engine has accepted it.
     ///
     /// # Errors
-    /// [`Ran::No`](crate::Ran::No) only if nothing was written or the engine said that it did
-    /// not run the request.
+    /// [`Ran::No`](crate::Ran::No) only if nothing was sent or the engine reported that it did not
+    /// run the request.
     fn generate(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ChunkStream, UpstreamError>>;
 
-    /// Takes up a stream again, on a new connection, with the first chunk not yet received.
+    /// Resumes a stream at chunk `from`, on a new connection.
     ///
     /// # Errors
-    /// [`Fault::Forgotten`](crate::error::Fault::Forgotten) if the engine restarted or dropped it.
+    /// [`Fault::Forgotten`](crate::error::Fault::Forgotten) if the engine no longer
+    /// keeps the stream, for instance after a restart.
     fn resume<'a>(
         &'a self,
         request: &'a RequestId,
@@ -44,17 +45,17 @@
         from: Seq,
     ) -> BoxFuture<'a, Result<ChunkStream, UpstreamError>>;
 
-    /// Stops a request that nobody waits for any longer.
+    /// Cancels a request whose response is no longer needed.
     ///
     /// # Errors
-    /// If the engine cannot be reached; it stops by itself at its own limits.
+    /// If the engine cannot be reached; the request then ends at the engine's own limits.
     fn cancel<'a>(
         &'a self,
         request: &'a RequestId,
         attempt: u32,
     ) -> BoxFuture<'a, Result<(), UpstreamError>>;
 
-    /// Reads cache events after a number, waiting up to `wait` for one.
+    /// Reads the cache events after number `after`, waiting up to `wait` for one.
     ///
     /// # Errors
     /// If the engine cannot be reached.
@@ -64,21 +65,21 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<CacheBatch, UpstreamError>>;
 
-    /// Lists all blocks held.
+    /// Lists all cached blocks.
     ///
     /// # Errors
     /// If the engine cannot be reached.
     fn listing(&self) -> BoxFuture<'_, Result<Listing, UpstreamError>>;
 
-    /// Reads the engine's report of itself.
+    /// Reads the engine's load report.
     ///
     /// # Errors
     /// If the engine cannot be reached.
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, UpstreamError>>;
 
-    /// Orders the engine into a state.
+    /// Sends an order that sets the engine's state.
     ///
     /// # Errors
-    /// If no answer came; the order may have been taken all the same.
+    /// If no response arrived; the order may have taken effect nevertheless.
     fn order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<OrderAnswer, UpstreamError>>;
 }
--- a/crates/sesamegap-upstream/src/error.rs
+++ b/crates/sesamegap-upstream/src/error.rs
@@ -1,16 +1,16 @@
-//! The one error of this crate, which says whether the work may have run.
+//! The error type of this crate, which states whether the request may have run.
 
 use serde::{Deserialize, Serialize};
 use std::error::Error;
 use std::fmt;
 
-/// Whether a request that failed was run.
+/// Whether a failed request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Certainly not: nothing was written, or the upstream itself said so.
+    /// It did not run: nothing was sent, or the upstream said so.
     No,
-    /// Nobody can tell.
+    /// It may have run.
     Unknown,
 }
 
@@ -23,27 +23,28 @@
     }
 }
 
-/// What went wrong with an upstream.
+/// Why a call to an upstream failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// No connection.
+    /// No connection was established.
     Unreached,
-    /// The connection went mute or broke after something was written.
+    /// The connection timed out or broke after the request may have been sent, or the response was
+    /// invalid.
     Broken,
-    /// The engine has another incarnation than the dispatch named.
+    /// The engine's incarnation is not the one named in the dispatch.
     Incarnation,
-    /// The engine holds other weights than asked for.
+    /// The engine holds other weights than requested.
     Weights,
-    /// The upstream is leaving and takes no new work.
+    /// The upstream is leaving and accepts no new requests.
     Leaving,
-    /// The upstream is full.
+    /// The upstream is at capacity.
     Busy,
-    /// The upstream knows nothing of the request, or holds it no longer.
+    /// The upstream does not know the request, or no longer keeps it.
     Forgotten,
-    /// The answer names another request; its connection must not be used again.
+    /// The response belongs to another request or attempt; its connection must not be reused.
     Crossed,
-    /// The upstream refused the request itself.
+    /// The upstream rejected the request itself, or the request could not be built.
     Refused,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl UpstreamError {
-    /// Records what went wrong, whether the work may have run, and the cause in words.
+    /// Creates an error from its kind, whether the request may have run, and a description.
     pub fn new(fault: Fault, ran: Ran, detail: impl Into<String>) -> Self {
         Self {
             fault,
@@ -65,12 +66,12 @@
         }
     }
 
-    /// What went wrong.
+    /// Why the call failed.
     pub fn fault(&self) -> Fault {
         self.fault
     }
 
-    /// Whether the work may have run.
+    /// Whether the request may have run.
     pub fn ran(&self) -> Ran {
         self.ran
     }
--- a/crates/sesamegap-upstream/src/kv/http.rs
+++ b/crates/sesamegap-upstream/src/kv/http.rs
@@ -1,4 +1,4 @@
-//! The kept-KV store over HTTP: `POST /v1/held` takes keys and answers how many are held.
+//! HTTP client of the kept-KV store: `POST /v1/held` takes keys and returns how many are held.
 
 use super::KvStore;
 use crate::client::fetch_json;
@@ -17,7 +17,7 @@
 }
 
 impl HttpStore {
-    /// A client for a store at `http://IP:PORT`.
+    /// Creates a client of the store at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
@@ -29,7 +29,7 @@
         let query = HeldPrefixRequest { keys };
         let request = self.pool.request(Method::POST, "/v1/held").json(&query);
         let answer: HeldPrefixResponse = fetch_json(&self.pool, request, Duration::ZERO).await?;
-        // A store that claims more than was asked for would make the caller index out of bounds.
+        // A count above the number of keys would make the caller index out of bounds.
         Ok(answer.held.min(query.keys.len()))
     }
 }
--- a/crates/sesamegap-upstream/src/kv/mod.rs
+++ b/crates/sesamegap-upstream/src/kv/mod.rs
@@ -1,4 +1,4 @@
-//! The kept-KV store, which holds cache blocks that engines have evicted.
+//! Client interface of the kept-KV store, which holds cache blocks that engines have evicted.
 
 mod http;
 
@@ -11,7 +11,7 @@
 
 /// A client of the kept-KV store.
 pub trait KvStore: Send + Sync + fmt::Debug {
-    /// How many of the keys, from the first on without a gap, the store holds.
+    /// Returns how many consecutive keys the store holds, starting with the first.
     ///
     /// # Errors
     /// If the store cannot be reached.
--- a/crates/sesamegap-upstream/src/lib.rs
+++ b/crates/sesamegap-upstream/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of sesamegap's upstreams: engines, kept-KV store, plain services.
+//! Clients of sesamegap's upstreams: engines, kept-KV store and plain services.
 //!
-//! Decisions and streams see only the traits here. What an engine of another maker speaks is the
-//! matter of another implementation, never of a decision.
+//! The routing code uses only the traits of this crate. Another engine's protocol needs another
+//! implementation of [`Engine`] and no change to routing.
 
 mod client;
 pub mod engine;
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -1,9 +1,9 @@
-//! A worker of a plain service over HTTP.
+//! HTTP client of a plain service's worker.
 //!
-//! The call goes through as it is, with two headers added: [`REQUEST_HEADER`] names the request, which the
-//! worker echoes, and [`IDEMPOTENCY_KEY_HEADER`] carries the idempotency key. A reply without the echo, or with that
-//! of another request, is discarded. A worker that did not run the call says so with [`RAN_HEADER`] and
-//! status 429 or 503; any other status is the service's own reply.
+//! The call is forwarded unchanged with two added headers: [`REQUEST_HEADER`] carries the request
+//! id, which the worker echoes, and [`IDEMPOTENCY_KEY_HEADER`] the idempotency key. A reply without
+//! the echo, or with another id, is discarded. A worker that did not run the call sets
+//! [`RAN_HEADER`] and status 429 or 503; any other status is the service's own reply.
 
 use super::{Call, PlainService, Reply};
 use crate::client::invalid_response;
@@ -23,7 +23,7 @@
 }
 
 impl HttpWorker {
-    /// A client for a worker at `http://IP:PORT`.
+    /// Creates a client of the worker at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
@@ -64,7 +64,7 @@
         Ok(request)
     }
 
-    /// Checks that a reply is the one to this request.
+    /// Checks that the reply echoes this request's id.
     fn check_echo(&self, response: &Response, id: &str) -> Result<(), UpstreamError> {
         let echo = header(response.headers(), REQUEST_HEADER);
         if echo.as_deref() == Some(id) {
@@ -97,7 +97,11 @@
         StatusCode::TOO_MANY_REQUESTS => Fault::Busy,
         StatusCode::SERVICE_UNAVAILABLE => Fault::Leaving,
         _ if status.is_client_error() => Fault::Refused,
-        _ => return invalid_response(format!("status {status} that claims not to have run")),
+        _ => {
+            return invalid_response(format!(
+                "status {status} with a header that claims the call did not run"
+            ));
+        }
     };
     UpstreamError::new(fault, Ran::No, format!("status {status}"))
 }
--- a/crates/sesamegap-upstream/src/service/mod.rs
+++ b/crates/sesamegap-upstream/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A worker of a plain service.
+//! Client interface of a plain service's worker.
 
 mod http;
 
@@ -15,7 +15,7 @@
 /// One call to a plain service.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The request, echoed by the worker so that a crossed reply is noticed.
+    /// The request id, echoed by the worker so that a reply to another request is detected.
     pub request: RequestId,
     /// HTTP method.
     pub method: SmolStr,
@@ -27,7 +27,7 @@
     pub body: Bytes,
     /// Idempotency key, passed on to the worker.
     pub idempotency_key: Option<SmolStr>,
-    /// Time for the whole call.
+    /// Timeout of the whole call.
     pub timeout: Duration,
 }
 
@@ -38,15 +38,15 @@
     pub status: u16,
     /// Content type of the body.
     pub content_type: Option<SmolStr>,
-    /// Body, whole.
+    /// Complete body.
     pub body: Bytes,
 }
 
 /// A client of one worker of a plain service.
 pub trait PlainService: Send + Sync + fmt::Debug {
-    /// Makes a call and returns the whole reply.
+    /// Makes a call and returns the complete reply.
     ///
     /// # Errors
-    /// [`Ran::No`](crate::Ran::No) only if nothing was written or the worker said so.
+    /// [`Ran::No`](crate::Ran::No) only if nothing was sent or the worker said so.
     fn call(&self, call: Call) -> BoxFuture<'_, Result<Reply, UpstreamError>>;
 }
--- a/crates/sesamegap-upstream/src/wire.rs
+++ b/crates/sesamegap-upstream/src/wire.rs
@@ -1,22 +1,22 @@
-//! What clients and upstreams write to each other, beside the messages of `sesamegap-wire`.
+//! Messages between clients and upstreams, in addition to those of `sesamegap-wire`.
 //!
-//! An engine answers a dispatch with server-sent events, the data of each an [`Envelope`] in JSON.
-//! Whatever it says of a request names the request and the attempt, a [`Refusal`] too: one that
-//! arrives on the wrong connection must not make a router believe that its own request never ran.
+//! An engine answers a dispatch with server-sent events, each carrying an [`Envelope`] as JSON.
+//! Every message names its request and attempt, including a [`Refusal`]: a refusal delivered on the
+//! wrong connection must not make a router believe that its own request did not run.
 
 use crate::error::{Fault, Ran, UpstreamError};
 use serde::{Deserialize, Serialize};
 use sesamegap_wire::engine::Chunk;
 use sesamegap_wire::{BlockKey, RequestId};
 
-/// Header by which a plain service's worker echoes the request.
+/// Header that carries the request id, which a plain service's worker echoes.
 pub const REQUEST_HEADER: &str = "sesamegap-request";
-/// Header by which a plain service's worker says that it did not run the call.
+/// Header by which a plain service's worker reports that it did not run the call.
 pub const RAN_HEADER: &str = "sesamegap-ran";
 /// Header that carries the idempotency key to a plain service's worker.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// One event of an answer's stream and the attempt it belongs to.
+/// One event of a response stream, with the attempt it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The request.
@@ -27,7 +27,7 @@
     pub chunk: Chunk,
 }
 
-/// What an engine says when it does not run a request.
+/// An engine's rejection of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The request.
@@ -36,14 +36,14 @@
     pub attempt: u32,
     /// Why.
     pub fault: Fault,
-    /// Whether the engine ran it all the same.
+    /// Whether the engine may have run it.
     pub ran: Ran,
-    /// The cause in words.
+    /// Description of the cause.
     pub detail: String,
 }
 
 impl Refusal {
-    /// Takes the refusal if it is about the attempt that was asked for.
+    /// Converts the refusal into an error, [`Fault::Crossed`] if it is for another attempt.
     pub fn into_error_for(self, request: &RequestId, attempt: u32) -> UpstreamError {
         if self.request == *request && self.attempt == attempt {
             return UpstreamError::new(self.fault, self.ran, self.detail);
@@ -53,16 +53,16 @@
     }
 }
 
-/// Keys asked of a kept-KV store.
+/// A query for the blocks that a kept-KV store holds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeldPrefixRequest {
     /// The keys, outermost prefix first.
     pub keys: Vec<BlockKey>,
 }
 
-/// How many of the keys a kept-KV store holds.
+/// How many of the queried keys a kept-KV store holds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeldPrefixResponse {
-    /// Count from the first key on, without a gap.
+    /// Number of consecutive keys held, starting with the first.
     pub held: usize,
 }
--- a/crates/sesamegap-upstream/tests/testsuite/chunks.rs
+++ b/crates/sesamegap-upstream/tests/testsuite/chunks.rs
@@ -1,4 +1,4 @@
-//! Reading events and refusals from arbitrary bytes.
+//! Decoding of events and refusals, valid and corrupted.
 
 use quickcheck::{Gen, QuickCheck};
 use sesamegap_upstream::engine::decoder::ChunkDecoder;
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_chunk_is_taken_only_by_its_own_attempt() {
-    fn own(kind: u8, seq: u64, attempt: u32, asked: (u64, u32)) -> bool {
+fn a_chunk_is_accepted_only_by_its_own_attempt() {
+    fn accepted_by_own_attempt(kind: u8, seq: u64, attempt: u32, asked: (u64, u32)) -> bool {
         let chunk = chunk(kind, seq);
         let envelope = Envelope {
             request: request(seq % 3),
@@ -45,44 +45,44 @@
         let data = serde_json::to_string(&envelope).unwrap();
         let asked = (asked.0 % 3, asked.1 % 2);
         match ChunkDecoder::new(&request(asked.0), asked.1).decode(&data) {
-            Ok(taken) => asked == (seq % 3, attempt % 2) && taken == chunk,
+            Ok(decoded) => asked == (seq % 3, attempt % 2) && decoded == chunk,
             Err(error) => asked != (seq % 3, attempt % 2) && error.fault() == Fault::Crossed,
         }
     }
-    cases().quickcheck(own as fn(u8, u64, u32, (u64, u32)) -> bool);
+    cases().quickcheck(accepted_by_own_attempt as fn(u8, u64, u32, (u64, u32)) -> bool);
 }
 
-/// An upstream sends rubbish, or something on the way cuts or spoils what it sent.
+/// An upstream sends garbage, or its data is truncated or corrupted in transit.
 #[test]
-fn spoilt_data_is_an_error_and_never_a_panic() {
-    fn spoilt(kind: u8, cut: usize, rubbish: String) -> bool {
+fn corrupted_data_is_an_error_and_not_a_panic() {
+    fn corrupted(kind: u8, cut: usize, garbage: String) -> bool {
         let envelope = Envelope {
             request: request(1),
             attempt: 0,
             chunk: chunk(kind, 5),
         };
-        let whole = serde_json::to_string(&envelope).unwrap();
-        let mut at = cut % whole.len();
-        while !whole.is_char_boundary(at) {
+        let json = serde_json::to_string(&envelope).unwrap();
+        let mut at = cut % json.len();
+        while !json.is_char_boundary(at) {
             at -= 1;
         }
-        let data = format!("{}{rubbish}", &whole[..at]);
-        data == whole
+        let data = format!("{}{garbage}", &json[..at]);
+        data == json
             || ChunkDecoder::new(&request(1), 0)
                 .decode(&data)
                 .is_err_and(|e| e.ran() == Ran::Unknown)
     }
-    fn rubbish(data: String) -> bool {
+    fn garbage(data: String) -> bool {
         ChunkDecoder::new(&request(1), 0).decode(&data).is_err()
     }
-    cases().quickcheck(spoilt as fn(u8, usize, String) -> bool);
-    cases().quickcheck(rubbish as fn(String) -> bool);
+    cases().quickcheck(corrupted as fn(u8, usize, String) -> bool);
+    cases().quickcheck(garbage as fn(String) -> bool);
 }
 
-/// A refusal of one request, believed of another, would be a false promise that it did not run.
+/// A refusal applied to another request would wrongly report that this one did not run.
 #[test]
-fn a_refusal_counts_for_its_own_attempt_alone() {
-    fn about(seq: u64, attempt: u32) -> bool {
+fn a_refusal_applies_only_to_its_own_attempt() {
+    fn applies_to_own_attempt(seq: u64, attempt: u32) -> bool {
         let refusal = Refusal {
             request: request(1),
             attempt: 0,
@@ -94,5 +94,5 @@
         let own = (seq % 3, attempt % 2) == (1, 0);
         error.ran() == if own { Ran::No } else { Ran::Unknown }
     }
-    cases().quickcheck(about as fn(u64, u32) -> bool);
+    cases().quickcheck(applies_to_own_attempt as fn(u64, u32) -> bool);
 }
--- a/crates/sesamegap-upstream/tests/testsuite/main.rs
+++ b/crates/sesamegap-upstream/tests/testsuite/main.rs
@@ -1,12 +1,12 @@
-//! What an upstream may send, and what is made of it.
+//! Handling of valid and invalid responses of upstreams.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "helpers of tests stop where their setting cannot be made"
+    reason = "test helpers panic if their setup fails"
 )]
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "properties own their arguments"
+    reason = "quickcheck properties take their arguments by value"
 )]
 
 mod chunks;
