--- a/crates/sesamegap-platform/src/client.rs
+++ b/crates/sesamegap-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! What the clients of the platform share.
+//! Shared code of the platform clients.
 
 use crate::error::{PlatformError, Reason};
 use reqwest::{Method, Response};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl From<Failure> for PlatformError {
-    /// Keeps apart a call that was never made and one that may have taken effect.
+    /// Distinguishes a call that was not sent from one that may have taken effect.
     fn from(failure: Failure) -> Self {
         let reason = match failure {
             Failure::Unreached(_) => Reason::Unreached,
@@ -17,7 +17,8 @@
     }
 }
 
-/// Takes a client error as a refusal; of a server error nobody knows what was done before it.
+/// Maps a 4xx status to [`Reason::Refused`]; any other error may have occurred after the call took
+/// effect.
 pub(crate) fn check_status(response: Response) -> Result<Response, PlatformError> {
     let status = response.status();
     if status.is_success() {
@@ -31,7 +32,7 @@
     Err(PlatformError::new(reason, format!("status {status}")))
 }
 
-/// Reads one JSON value.
+/// Requests a path and decodes one JSON value.
 pub(crate) async fn get_json<T: DeserializeOwned>(
     pool: &Pool,
     path: &str,
--- a/crates/sesamegap-platform/src/error.rs
+++ b/crates/sesamegap-platform/src/error.rs
@@ -1,23 +1,23 @@
-//! The one error of this crate.
+//! The error type of this crate.
 
 use sesamegap_wire::Offset;
 use std::error::Error;
 use std::fmt;
 
-/// Why the platform did not do what was asked.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Nothing was sent, so nothing took effect.
+    /// Nothing was sent, so the call had no effect.
     Unreached,
-    /// Sent, but no usable answer came: it may have taken effect.
+    /// No usable response arrived; the call may have taken effect.
     Unknown,
-    /// The platform refused; nothing took effect.
+    /// The platform rejected the call, which had no effect.
     Refused,
-    /// The records asked for were dropped by retention; this is the oldest one kept.
+    /// Retention has dropped the requested records; this is the oldest offset kept.
     Expired(Offset),
 }
 
-/// A call to the platform that failed.
+/// A failed call to the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformError {
     reason: Reason,
@@ -25,7 +25,7 @@
 }
 
 impl PlatformError {
-    /// Records why a call failed, with the cause in words.
+    /// Creates an error from the reason and a description of the cause.
     pub fn new(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -38,7 +38,7 @@
         self.reason
     }
 
-    /// Whether the call may have taken effect all the same.
+    /// Whether the call may have taken effect despite the error.
     pub fn is_unknown(&self) -> bool {
         self.reason == Reason::Unknown
     }
@@ -47,8 +47,8 @@
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let why = match self.reason {
-            Reason::Unreached => "platform not reached",
-            Reason::Unknown => "platform's answer lost",
+            Reason::Unreached => "platform unreachable",
+            Reason::Unknown => "no usable response from the platform",
             Reason::Refused => "refused by the platform",
             Reason::Expired(_) => "records expired",
         };
--- a/crates/sesamegap-platform/src/lib.rs
+++ b/crates/sesamegap-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the platform gives sesamegap: log, VM list and weight store.
+//! Clients of the platform services: log, VM list and weight store.
 //!
-//! Each is met through a trait, so that decisions and tests know nothing of its protocol, and
-//! through a client that speaks HTTP. Another platform needs another client, nothing else.
+//! Each service has a trait, which hides its protocol from the other crates and from tests, and an
+//! HTTP client that implements it. Another platform only needs other implementations.
 
 mod client;
 pub mod error;
--- a/crates/sesamegap-platform/src/log/frame.rs
+++ b/crates/sesamegap-platform/src/log/frame.rs
@@ -1,9 +1,9 @@
-//! What a log client and a log service write to each other, as `MessagePack`.
+//! Messages between a log client and the log service, encoded as `MessagePack`.
 //!
-//! `POST /streams/{name}` takes an [`Append`] and answers an [`Appended`]; the records are taken all
-//! or none. `GET /streams/{name}?from=OFFSET&wait=MILLISECONDS` answers a [`PageFrame`]. Where retention
-//! has dropped the offset asked for, the answer is status 410 with an [`Expired`]. Any other status
-//! of the client's error range says that nothing was taken; of a server's error nobody knows.
+//! `POST /streams/{name}` takes an [`Append`] and returns an [`Appended`]; the append is atomic.
+//! `GET /streams/{name}?from=OFFSET&wait=MILLISECONDS` returns a [`PageFrame`], or status 410 with
+//! an [`Expired`] if retention has dropped the requested offset. Any other 4xx status means that
+//! the call had no effect; after a 5xx status it may have taken effect.
 
 use super::{Page, Record};
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 use sesamegap_wire::Offset;
 use std::fmt;
 
-/// A record's body, written as one run of bytes.
+/// A record's body, encoded as a byte string.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Body(pub Bytes);
 
@@ -54,24 +54,24 @@
     }
 }
 
-/// Records to append, all or none.
+/// Records to append atomically.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Append {
     /// The records' bodies.
     pub records: Vec<Body>,
 }
 
-/// Records that were appended.
+/// Confirmation of an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Appended {
-    /// Offset of the first one.
+    /// Offset of the first record.
     pub offset: Offset,
 }
 
-/// Records asked for that are kept no longer.
+/// Rejection of a read at an offset that retention has dropped.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Expired {
-    /// Oldest offset still kept.
+    /// Oldest offset kept.
     pub oldest: Offset,
 }
 
@@ -80,18 +80,18 @@
 pub struct RecordFrame {
     /// Its offset.
     pub offset: Offset,
-    /// When it was taken, in milliseconds since the Unix epoch.
+    /// When the log accepted it, in milliseconds since the Unix epoch.
     pub time_ms: u64,
     /// Its body.
     pub body: Body,
 }
 
-/// A run of records as written on the wire.
+/// Consecutive records as encoded on the wire.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PageFrame {
     /// The records.
     pub records: Vec<RecordFrame>,
-    /// Where to read on.
+    /// Offset at which to continue reading.
     pub next: Offset,
     /// Offset that the next append will get.
     pub end: Offset,
--- a/crates/sesamegap-platform/src/log/http.rs
+++ b/crates/sesamegap-platform/src/log/http.rs
@@ -1,7 +1,7 @@
-//! The log over HTTP, in the frames of [`frame`](super::frame).
+//! HTTP client of the log, with the messages of [`frame`](super::frame).
 //!
-//! An append is written once. If its answer does not come, nobody knows whether it took effect, and
-//! the error says so; the writer reads on and looks for the id that it put into its record.
+//! An append is sent once. If its response is lost, the error reports that the append may have
+//! taken effect; the writer reads the stream and looks for the id that it put into its record.
 
 use super::frame::{Append, Appended, Body, Expired, PageFrame};
 use super::{Log, Page};
@@ -21,7 +21,7 @@
 }
 
 impl HttpLog {
-    /// A client for a log at `http://IP:PORT`.
+    /// Creates a client of the log at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
@@ -50,20 +50,20 @@
         let path = format!("/streams/{stream}?from={from}&wait={}", wait.as_millis());
         let request = self.pool.request(Method::GET, &path);
         let sent = self.pool.send(request, wait).await?;
-        let gone = sent.status() == StatusCode::GONE;
-        let response = if gone { sent } else { check_status(sent)? };
+        let expired = sent.status() == StatusCode::GONE;
+        let response = if expired { sent } else { check_status(sent)? };
         let answer = self.pool.read_body(response).await?;
-        if gone {
-            let expired: Expired = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
-            let detail = format!("{stream} is kept from offset {} on", expired.oldest);
-            return Err(PlatformError::new(Reason::Expired(expired.oldest), detail));
+        if expired {
+            let body: Expired = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
+            let detail = format!("the oldest offset kept of {stream} is {}", body.oldest);
+            return Err(PlatformError::new(Reason::Expired(body.oldest), detail));
         }
         let frame: PageFrame = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
         Ok(frame.into())
     }
 }
 
-/// An answer came and is none: what was asked for may have been done.
+/// An error for a response that cannot be decoded; the call may have taken effect.
 fn invalid_response(error: &codec::CodecError) -> PlatformError {
     PlatformError::new(Reason::Unknown, error.to_string())
 }
--- a/crates/sesamegap-platform/src/log/mod.rs
+++ b/crates/sesamegap-platform/src/log/mod.rs
@@ -1,9 +1,9 @@
 //! The platform's append-only log.
 //!
-//! The log is the one place where processes agree: whoever's record has the lower offset came
-//! first. It is slow (several hundred appends a second in all), has outages, drops old records,
-//! and an append whose answer was lost may still have taken effect. So each record carries an id
-//! of its writer's choosing, and readers treat a second one with the same id as the first.
+//! The log gives all processes one order of events: the record with the lower offset came first. It
+//! is slow (several hundred appends a second in total), has outages and drops old records, and an
+//! append whose response was lost may still have taken effect. So each record carries an id chosen
+//! by its writer, and readers treat another record with the same id as a duplicate.
 
 pub mod frame;
 mod http;
@@ -21,20 +21,20 @@
 /// One record of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Position in the stream, rising by one.
+    /// Position in the stream; consecutive records differ by one.
     pub offset: Offset,
-    /// When the log took it, in milliseconds since the Unix epoch by the log's clock.
+    /// When the log accepted it, in milliseconds since the Unix epoch by the log's clock.
     pub time_ms: u64,
-    /// What was appended.
+    /// The appended bytes.
     pub body: Bytes,
 }
 
-/// A run of records read from a stream.
+/// Consecutive records read from a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// Records in order of offset.
     pub records: Vec<Record>,
-    /// Where to read on.
+    /// Offset at which to continue reading.
     pub next: Offset,
     /// Offset that the next append would get when this page was read.
     pub end: Offset,
@@ -42,7 +42,7 @@
 
 /// A log service with named streams.
 pub trait Log: Send + Sync + fmt::Debug {
-    /// Appends records at the end of a stream, all or none, and returns the first one's offset.
+    /// Appends records to a stream atomically and returns the offset of the first one.
     ///
     /// # Errors
     /// With [`Reason::Unknown`](crate::Reason::Unknown) the records may have been appended.
@@ -52,10 +52,11 @@
         records: Vec<Bytes>,
     ) -> BoxFuture<'a, Result<Offset, PlatformError>>;
 
-    /// Reads from an offset on, waiting up to `wait` if there is nothing yet.
+    /// Reads records from an offset on, waiting up to `wait` if there are none yet.
     ///
     /// # Errors
-    /// With [`Reason::Expired`](crate::Reason::Expired) the offset is older than what is kept.
+    /// With [`Reason::Expired`](crate::Reason::Expired) the offset is below the oldest one
+    /// kept.
     fn read<'a>(
         &'a self,
         stream: &'a StreamId,
--- a/crates/sesamegap-platform/src/log/streams.rs
+++ b/crates/sesamegap-platform/src/log/streams.rs
@@ -1,4 +1,4 @@
-//! The streams of the log that sesamegap reads and writes.
+//! Names of the log streams that sesamegap reads and writes.
 
 use sesamegap_wire::StreamId;
 
@@ -6,7 +6,7 @@
     name.parse().expect("a constant stream name is valid")
 }
 
-/// Changes of settings and their snapshots.
+/// Settings changes and snapshots.
 pub fn settings() -> StreamId {
     stream("settings")
 }
--- a/crates/sesamegap-platform/src/vms/http.rs
+++ b/crates/sesamegap-platform/src/vms/http.rs
@@ -1,4 +1,4 @@
-//! The VM list over HTTP: `GET /vms` answers a JSON list of [`VmEntry`].
+//! HTTP client of the VM list: `GET /vms` returns a JSON array of [`VmEntry`].
 
 use super::{VmEntry, VmList};
 use crate::client;
@@ -13,7 +13,7 @@
 }
 
 impl HttpVms {
-    /// A client for a list at `http://IP:PORT`.
+    /// Creates a client of the list at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
--- a/crates/sesamegap-platform/src/vms/mod.rs
+++ b/crates/sesamegap-platform/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind the world.
+//! The platform's list of VMs, which lags behind their actual state.
 
 mod http;
 
@@ -41,34 +41,34 @@
     },
 }
 
-/// Whether a VM stays.
+/// Lifecycle state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
     /// In use.
     Live,
-    /// About to go; it must get no new work.
+    /// About to be removed; it must get no new requests.
     Leaving,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// What runs there.
+    /// What runs on the VM.
     pub role: VmRole,
-    /// Where it listens; for an entry VM, its router.
+    /// Address at which it listens; for an entry VM, that of its router.
     pub addr: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the VM.
     pub domain: DomainId,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: VmState,
 }
 
 /// The list of live and leaving VMs.
 pub trait VmList: Send + Sync + fmt::Debug {
-    /// Reads the list as the platform knows it now.
+    /// Reads the platform's current list.
     ///
     /// # Errors
-    /// If the platform cannot be reached or its answer is not a list.
+    /// If the platform cannot be reached or its response is not a list.
     fn list(&self) -> BoxFuture<'_, Result<Vec<VmEntry>, PlatformError>>;
 }
--- a/crates/sesamegap-platform/src/weights/http.rs
+++ b/crates/sesamegap-platform/src/weights/http.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP: `GET /models/{model}` answers a JSON list of versions.
+//! HTTP client of the weight store: `GET /models/{model}` returns a JSON array of versions.
 
 use super::WeightStore;
 use crate::client;
@@ -14,7 +14,7 @@
 }
 
 impl HttpWeights {
-    /// A client for a store at `http://IP:PORT`.
+    /// Creates a client of the store at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
--- a/crates/sesamegap-platform/src/weights/mod.rs
+++ b/crates/sesamegap-platform/src/weights/mod.rs
@@ -9,12 +9,12 @@
 use sesamegap_wire::{ModelId, WeightsVersion};
 use std::fmt;
 
-/// Which weights there are to load.
+/// A client of the store of model weights.
 pub trait WeightStore: Send + Sync + fmt::Debug {
-    /// The versions of a model that engines can load, rising.
+    /// Returns the versions of a model that engines can load, in ascending order.
     ///
     /// # Errors
-    /// If the store cannot be reached or knows no such model.
+    /// If the store cannot be reached or does not have the model.
     fn versions<'a>(
         &'a self,
         model: &'a ModelId,
--- a/crates/sesamegap-platform/tests/testsuite/frames.rs
+++ b/crates/sesamegap-platform/tests/testsuite/frames.rs
@@ -1,4 +1,4 @@
-//! The log's frames, from records and from arbitrary bytes.
+//! Encoding of the log's messages, and decoding of valid and corrupted bytes.
 
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
@@ -30,19 +30,19 @@
 }
 
 #[test]
-fn a_page_survives_the_wire() {
-    fn survives(bodies: Vec<Vec<u8>>, from: u64) -> bool {
+fn a_page_round_trips() {
+    fn round_trips(bodies: Vec<Vec<u8>>, from: u64) -> bool {
         let page = page(bodies, from);
         let bytes = codec::encode(&PageFrame::from(page.clone())).unwrap();
         let back: PageFrame = codec::decode(&bytes).unwrap();
         Page::from(back) == page
     }
-    cases().quickcheck(survives as fn(Vec<Vec<u8>>, u64) -> bool);
+    cases().quickcheck(round_trips as fn(Vec<Vec<u8>>, u64) -> bool);
 }
 
 #[test]
-fn a_batch_survives_the_wire() {
-    fn survives(bodies: Vec<Vec<u8>>) -> bool {
+fn an_append_round_trips() {
+    fn round_trips(bodies: Vec<Vec<u8>>) -> bool {
         let records: Vec<_> = bodies.into_iter().map(|b| Body(b.into())).collect();
         let sent = Append {
             records: records.clone(),
@@ -50,30 +50,30 @@
         let bytes = codec::encode(&sent).unwrap();
         codec::decode::<Append>(&bytes).unwrap().records == records
     }
-    cases().quickcheck(survives as fn(Vec<Vec<u8>>) -> bool);
+    cases().quickcheck(round_trips as fn(Vec<Vec<u8>>) -> bool);
 }
 
-/// The platform, or something on the way to it, sends rubbish.
+/// The platform sends garbage, or its data is corrupted in transit.
 #[test]
-fn any_bytes_are_read_without_a_panic() {
-    fn read(bytes: &[u8]) {
+fn arbitrary_bytes_are_decoded_without_a_panic() {
+    fn decode_all(bytes: &[u8]) {
         drop(codec::decode::<PageFrame>(bytes));
         drop(codec::decode::<Append>(bytes));
         drop(codec::decode::<Appended>(bytes));
         drop(codec::decode::<Expired>(bytes));
     }
-    fn rubbish(bytes: Vec<u8>) -> bool {
-        read(&bytes);
+    fn garbage(bytes: Vec<u8>) -> bool {
+        decode_all(&bytes);
         true
     }
-    fn spoilt(bodies: Vec<Vec<u8>>, at: usize, byte: u8, cut: usize) -> bool {
+    fn corrupted(bodies: Vec<Vec<u8>>, at: usize, byte: u8, cut: usize) -> bool {
         let mut bytes = codec::encode(&PageFrame::from(page(bodies, 3))).unwrap();
         let at = at % bytes.len();
         bytes[at] = byte;
         bytes.truncate(1 + cut % bytes.len());
-        read(&bytes);
+        decode_all(&bytes);
         true
     }
-    cases().quickcheck(rubbish as fn(Vec<u8>) -> bool);
-    cases().quickcheck(spoilt as fn(Vec<Vec<u8>>, usize, u8, usize) -> bool);
+    cases().quickcheck(garbage as fn(Vec<u8>) -> bool);
+    cases().quickcheck(corrupted as fn(Vec<Vec<u8>>, usize, u8, usize) -> bool);
 }
--- a/crates/sesamegap-platform/tests/testsuite/main.rs
+++ b/crates/sesamegap-platform/tests/testsuite/main.rs
@@ -1,8 +1,8 @@
-//! What the platform may send, and what is made of it.
+//! Encoding and decoding of the platform's messages.
 
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "properties own their arguments"
+    reason = "quickcheck properties take their arguments by value"
 )]
 
 mod frames;
