--- a/crates/sesamegap-http/src/failure.rs
+++ b/crates/sesamegap-http/src/failure.rs
@@ -27,9 +27,9 @@
         }
     }
 
-    /// A read that timed out on an open connection.
+    /// An exchange that timed out on an open connection.
     pub fn timed_out() -> Self {
-        Self::Broken("read on an open connection timed out".to_owned())
+        Self::Broken("timed out on an open connection".to_owned())
     }
 }
 
--- a/crates/sesamegap-http/src/lib.rs
+++ b/crates/sesamegap-http/src/lib.rs
@@ -16,4 +16,4 @@
 
 pub use failure::Failure;
 pub use pool::Pool;
-pub use settings::{Builder, Settings};
+pub use settings::{Settings, SettingsBuilder};
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -18,8 +18,8 @@
 
 impl Settings {
     /// Returns a builder with the default settings.
-    pub fn builder() -> Builder {
-        Builder(Self::default())
+    pub fn builder() -> SettingsBuilder {
+        SettingsBuilder(Self::default())
     }
 
     /// Longest wait for the next bytes of a response.
@@ -55,9 +55,9 @@
 
 /// Builds [`Settings`].
 #[derive(Debug)]
-pub struct Builder(Settings);
+pub struct SettingsBuilder(Settings);
 
-impl Builder {
+impl SettingsBuilder {
     /// Longest time to establish a connection.
     #[must_use]
     pub fn connect_timeout(mut self, time: Duration) -> Self {
--- a/crates/sesamegap-http/tests/testsuite/pool.rs
+++ b/crates/sesamegap-http/tests/testsuite/pool.rs
@@ -3,14 +3,14 @@
 use crate::server::{Behavior, Server};
 use bytes::Bytes;
 use reqwest::Method;
-use sesamegap_http::{Builder, Failure, Pool, Settings};
+use sesamegap_http::{Failure, Pool, Settings, SettingsBuilder};
 use std::time::Duration;
 use tokio::net::TcpListener;
 
 const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
 const HELLO: Behavior = Behavior::Answer(ANSWER);
 
-fn settings() -> Builder {
+fn settings() -> SettingsBuilder {
     Settings::builder()
         .read_timeout(Duration::from_secs(1))
         .connect_timeout(Duration::from_secs(20))
