--- a/crates/sesamegap-entry/src/intake/connection.rs
+++ b/crates/sesamegap-entry/src/intake/connection.rs
@@ -4,7 +4,7 @@
 use crate::catalogue::Limits;
 use crate::core::{Core, Phase};
 use crate::telemetry::events;
-use sesamegap_http::serving::{self, Bounds, Ended, Terms};
+use sesamegap_http::serving::{self, Bounds, CloseReason, ConnectionPolicy};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -24,7 +24,7 @@
         .map_or(DEFAULT_LIMITS, |catalogue| catalogue.limits())
 }
 
-impl Terms for Core {
+impl ConnectionPolicy for Core {
     fn bounds(&self) -> Bounds {
         let limits = limits(self);
         Bounds {
@@ -33,7 +33,7 @@
         }
     }
 
-    fn longest_head(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         limits(self).head
     }
 }
@@ -48,12 +48,12 @@
     let closing = super::wait_for_phase(&mut phases, Phase::Closing);
     let handle = |request, busy| request::handle(Arc::clone(&core), request, busy);
     match serving::serve(stream, core.as_ref(), handle, closing).await {
-        Ended::Closed(Some(error)) => {
+        CloseReason::Closed(Some(error)) => {
             debug!(event = events::CALLER_CONNECTION, %error, "connection closed with an error");
         }
-        Ended::Bound(due) => {
+        CloseReason::TimedOut(due) => {
             debug!(event = events::CALLER_CONNECTION, bound = ?due, "connection closed at a time limit");
         }
-        Ended::Closed(None) | Ended::Stopped => {}
+        CloseReason::Closed(None) | CloseReason::Stopped => {}
     }
 }
--- a/crates/sesamegap-entry/src/intake/request.rs
+++ b/crates/sesamegap-entry/src/intake/request.rs
@@ -12,7 +12,7 @@
 use http::{Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
-use sesamegap_http::serving::{Busy, hold};
+use sesamegap_http::serving::{RequestGuard, guard_body};
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -25,7 +25,11 @@
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Handles a request; `busy` is held until the response body is dropped.
-pub async fn handle(core: Arc<Core>, request: Request<Incoming>, busy: Busy) -> Response<Body> {
+pub async fn handle(
+    core: Arc<Core>,
+    request: Request<Incoming>,
+    busy: RequestGuard,
+) -> Response<Body> {
     let received = receive(&core, request).await;
     let id = match &received {
         Ok(job) => job.head.id.clone(),
@@ -52,7 +56,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    response.map(|body| hold(body, (busy, active)))
+    response.map(|body| guard_body(body, (busy, active)))
 }
 
 /// A request that was refused before it was placed.
--- a/crates/sesamegap-http/src/failure.rs
+++ b/crates/sesamegap-http/src/failure.rs
@@ -1,56 +1,57 @@
-//! Why an exchange failed, as far as one end of it can tell.
+//! Why an HTTP exchange failed, as far as the client can tell.
 
 use std::error::Error;
 use std::fmt;
 
-/// An exchange that brought no whole answer.
+/// An exchange that did not return a complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection was made, so nothing was written.
+    /// No connection was established, so nothing was sent.
     Unreached(String),
-    /// Something may have been written, and no whole answer came.
+    /// The request may have been sent, and no complete response arrived.
     Broken(String),
-    /// The answer was longer than this many bytes.
+    /// The response exceeded this many bytes.
     Oversized(usize),
 }
 
 impl Failure {
-    /// Tells a connection never made from one that broke.
+    /// Distinguishes a connection that was never established from one that broke.
     ///
-    /// A request that could not even be built was not written either.
-    pub fn of_sending(error: &reqwest::Error) -> Self {
-        let words = with_sources(error);
+    /// A request that could not be built was not sent either.
+    pub fn from_send_error(error: &reqwest::Error) -> Self {
+        let message = error_chain(error);
         if error.is_connect() || error.is_builder() {
-            Self::Unreached(words)
+            Self::Unreached(message)
         } else {
-            Self::Broken(words)
+            Self::Broken(message)
         }
     }
 
-    /// A wait that reached its limit on an open connection.
-    pub fn silence() -> Self {
-        Self::Broken("the connection went silent".to_owned())
+    /// An exchange that timed out on an open connection.
+    pub fn timed_out() -> Self {
+        Self::Broken("timed out on an open connection".to_owned())
     }
 }
 
-/// The error and its sources in one line, since the outermost one alone tells little.
-fn with_sources(error: &reqwest::Error) -> String {
-    let mut words = error.to_string();
+/// Joins the error and its sources into one line; the outermost message alone rarely names the
+/// cause.
+fn error_chain(error: &reqwest::Error) -> String {
+    let mut message = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
-        words.push_str(": ");
-        words.push_str(&cause.to_string());
+        message.push_str(": ");
+        message.push_str(&cause.to_string());
         source = cause.source();
     }
-    words
+    message
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreached(words) => write!(f, "no connection: {words}"),
-            Self::Broken(words) => write!(f, "no whole answer: {words}"),
-            Self::Oversized(limit) => write!(f, "answer longer than {limit} bytes"),
+            Self::Unreached(message) => write!(f, "no connection: {message}"),
+            Self::Broken(message) => write!(f, "no complete response: {message}"),
+            Self::Oversized(limit) => write!(f, "response longer than {limit} bytes"),
         }
     }
 }
--- a/crates/sesamegap-http/src/serving/activity.rs
+++ b/crates/sesamegap-http/src/serving/activity.rs
@@ -1,104 +1,104 @@
-//! What a caller's connection is doing, for bounds on idle ones and slow heads.
+//! Activity of a caller's connection, for timeouts on idle connections and slow request heads.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// No head has begun.
-const NONE: u64 = u64::MAX;
+/// Marks that no head is being received.
+const NO_HEAD: u64 = u64::MAX;
 
-/// Bounds on how long a caller may take.
+/// Timeouts for a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// For the head of a request.
+    /// For receiving a request head.
     pub head: Duration,
     /// Between two requests.
     pub idle: Duration,
 }
 
-/// State of one connection, its times in microseconds since it was opened.
+/// State of one connection; times are in microseconds since it was opened.
 #[derive(Debug)]
 pub struct Activity {
     opened: Instant,
     requests: AtomicUsize,
-    asked: AtomicBool,
+    received_request: AtomicBool,
     idle_since: AtomicU64,
     head_since: AtomicU64,
-    parting: AtomicBool,
+    checks_unread: AtomicBool,
     unread: AtomicBool,
     unsent: AtomicBool,
-    over: AtomicBool,
+    closed: AtomicBool,
 }
 
-/// Which bound a connection reaches next.
+/// The timeout that applies to a connection now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Due {
-    /// A request is being worked on.
+pub enum Deadline {
+    /// None, since a request is in progress.
     Busy,
-    /// The connection is idle until this moment.
+    /// The connection is idle and times out at this instant.
     Idle(Instant),
-    /// A head is being sent, until this moment.
+    /// A request head is being received and times out at this instant.
     Head(Instant),
 }
 
 impl Activity {
-    /// A connection that was just opened.
+    /// Starts the record of a newly opened connection.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             opened: Instant::now(),
             requests: AtomicUsize::new(0),
-            asked: AtomicBool::new(false),
+            received_request: AtomicBool::new(false),
             idle_since: AtomicU64::new(0),
-            head_since: AtomicU64::new(NONE),
-            parting: AtomicBool::new(false),
+            head_since: AtomicU64::new(NO_HEAD),
+            checks_unread: AtomicBool::new(false),
             unread: AtomicBool::new(false),
             unsent: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            closed: AtomicBool::new(false),
         })
     }
 
-    /// A request was read; it lasts until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> Busy {
+    /// Records a request, which is in progress until the guard is dropped.
+    pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        self.asked.store(true, Ordering::Relaxed);
-        self.head_since.store(NONE, Ordering::Relaxed);
-        Busy(Arc::clone(self))
+        self.received_request.store(true, Ordering::Relaxed);
+        self.head_since.store(NO_HEAD, Ordering::Relaxed);
+        RequestGuard(Arc::clone(self))
     }
 
-    /// The bound that applies now.
-    pub fn due(&self, bounds: Bounds) -> Due {
+    /// Returns the timeout that applies now.
+    pub fn deadline(&self, bounds: Bounds) -> Deadline {
         if self.requests.load(Ordering::Relaxed) > 0 {
-            return Due::Busy;
+            return Deadline::Busy;
         }
         let head = self.head_since.load(Ordering::Relaxed);
-        if head != NONE {
-            return Due::Head(self.at(head) + bounds.head);
+        if head != NO_HEAD {
+            return Deadline::Head(self.instant(head) + bounds.head);
         }
-        Due::Idle(self.at(self.idle_since.load(Ordering::Relaxed)) + bounds.idle)
+        Deadline::Idle(self.instant(self.idle_since.load(Ordering::Relaxed)) + bounds.idle)
     }
 
-    /// Whether any request came on the connection.
-    pub(super) fn has_asked(&self) -> bool {
-        self.asked.load(Ordering::Relaxed)
+    /// Whether the connection has received any request.
+    pub(super) fn has_received_request(&self) -> bool {
+        self.received_request.load(Ordering::Relaxed)
     }
 
-    /// Has the stream look for unread bytes whenever it finds none ready.
-    pub(super) fn part(&self) {
-        self.parting.store(true, Ordering::Relaxed);
+    /// Makes the stream check the socket for unread bytes whenever a read is pending.
+    pub(super) fn start_unread_check(&self) {
+        self.checks_unread.store(true, Ordering::Relaxed);
     }
 
-    /// Goes back to reading without that look.
-    pub(super) fn stay(&self) {
-        self.parting.store(false, Ordering::Relaxed);
+    /// Ends these checks.
+    pub(super) fn stop_unread_check(&self) {
+        self.checks_unread.store(false, Ordering::Relaxed);
     }
 
-    pub(super) fn is_parting(&self) -> bool {
-        self.parting.load(Ordering::Relaxed)
+    pub(super) fn checks_unread(&self) -> bool {
+        self.checks_unread.load(Ordering::Relaxed)
     }
 
-    /// Notes whether bytes lie in the socket that were not read.
-    pub(super) fn found(&self, unread: bool) {
+    /// Records whether the socket holds unread bytes.
+    pub(super) fn set_unread(&self, unread: bool) {
         self.unread.store(unread, Ordering::Relaxed);
     }
 
@@ -106,13 +106,13 @@
         self.unread.load(Ordering::Relaxed)
     }
 
-    /// Bytes went out, or did not since the caller has no room for them.
+    /// Records whether the socket accepted a write or its send buffer was full.
     ///
-    /// An answer may be done for the server long before a slow caller has got all of it.
-    pub(super) fn wrote(&self, went: bool) {
-        self.unsent.store(!went, Ordering::Relaxed);
-        // An answer under way needs no clock, which would be read at each event of a stream.
-        if went && self.requests.load(Ordering::Relaxed) == 0 {
+    /// A response may be complete for the server long before a slow caller has received all of it.
+    pub(super) fn record_write(&self, accepted: bool) {
+        self.unsent.store(!accepted, Ordering::Relaxed);
+        // Skips reading the clock for every event of a streamed response.
+        if accepted && self.requests.load(Ordering::Relaxed) == 0 {
             self.idle_since.store(self.now(), Ordering::Relaxed);
         }
     }
@@ -121,47 +121,47 @@
         self.unsent.load(Ordering::Relaxed)
     }
 
-    /// Ends the connection: nothing more is read from it.
-    pub(super) fn finish(&self) {
-        self.over.store(true, Ordering::Relaxed);
+    /// Marks the connection as closed: nothing more is read from it.
+    pub(super) fn close(&self) {
+        self.closed.store(true, Ordering::Relaxed);
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    pub(super) fn is_closed(&self) -> bool {
+        self.closed.load(Ordering::Relaxed)
     }
 
-    /// Bytes were read.
-    pub(super) fn read(&self) {
+    /// Records that bytes were read.
+    pub(super) fn record_read(&self) {
         self.unread.store(false, Ordering::Relaxed);
         if self.requests.load(Ordering::Relaxed) > 0 {
             return;
         }
-        // Only the first bytes of a head start its time.
-        if self.head_since.load(Ordering::Relaxed) == NONE {
+        // Only the first bytes of a head start its timeout.
+        if self.head_since.load(Ordering::Relaxed) == NO_HEAD {
             self.head_since.store(self.now(), Ordering::Relaxed);
         }
     }
 
     fn now(&self) -> u64 {
-        u64::try_from(self.opened.elapsed().as_micros()).unwrap_or(NONE - 1)
+        u64::try_from(self.opened.elapsed().as_micros()).unwrap_or(NO_HEAD - 1)
     }
 
-    fn at(&self, micros: u64) -> Instant {
+    fn instant(&self, micros: u64) -> Instant {
         self.opened + Duration::from_micros(micros)
     }
 }
 
-impl Due {
-    /// How long until the bound is reached; `recheck` while none applies.
-    pub fn wait(self, recheck: Duration) -> Duration {
+impl Deadline {
+    /// Time until the timeout; `recheck` while none applies.
+    pub fn remaining(self, recheck: Duration) -> Duration {
         match self {
             Self::Busy => recheck,
             Self::Idle(at) | Self::Head(at) => at.saturating_duration_since(Instant::now()),
         }
     }
 
-    /// Whether the bound is reached.
-    pub fn is_over(self) -> bool {
+    /// Whether the timeout has expired.
+    pub fn is_past(self) -> bool {
         match self {
             Self::Busy => false,
             Self::Idle(at) | Self::Head(at) => Instant::now() >= at,
@@ -169,15 +169,15 @@
     }
 }
 
-/// A request on the connection.
+/// Marks a request as in progress on its connection until dropped.
 #[derive(Debug)]
-pub struct Busy(Arc<Activity>);
+pub struct RequestGuard(Arc<Activity>);
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let now = self.0.now();
         self.0.idle_since.store(now, Ordering::Relaxed);
-        self.0.head_since.store(NONE, Ordering::Relaxed);
+        self.0.head_since.store(NO_HEAD, Ordering::Relaxed);
         self.0.requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/sesamegap-http/src/serving/held.rs
+++ b/crates/sesamegap-http/src/serving/guarded.rs
@@ -1,30 +1,30 @@
-//! Bodies that keep something until they are sent.
+//! Response bodies that own a guard.
 
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body with a guard that is dropped with it; its length stays known.
+/// A body with a guard that is dropped with it; forwards the size hint of the inner body.
 #[derive(Debug)]
-struct Held<B, G> {
+struct GuardedBody<B, G> {
     body: Pin<Box<B>>,
     _guard: G,
 }
 
-/// A body that keeps something until it is dropped.
-pub fn hold<B, G>(body: B, guard: G) -> UnsyncBoxBody<B::Data, B::Error>
+/// Wraps a body so that `guard` is dropped when the body is.
+pub fn guard_body<B, G>(body: B, guard: G) -> UnsyncBoxBody<B::Data, B::Error>
 where
     B: Body + Send + 'static,
     G: Send + Unpin + 'static,
 {
-    UnsyncBoxBody::new(Held {
+    UnsyncBoxBody::new(GuardedBody {
         body: Box::pin(body),
         _guard: guard,
     })
 }
 
-impl<B: Body, G: Unpin> Body for Held<B, G> {
+impl<B: Body, G: Unpin> Body for GuardedBody<B, G> {
     type Data = B::Data;
     type Error = B::Error;
 
--- a/crates/sesamegap-http/src/settings.rs
+++ b/crates/sesamegap-http/src/settings.rs
@@ -1,53 +1,53 @@
-//! Limits of a client towards one target.
+//! Timeouts and size limits of a client of one target.
 
 use sesamegap_wire::DomainId;
 use std::time::Duration;
 
-/// Limits of a client towards one target.
+/// Timeouts and size limits of a client of one target.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    pub(crate) connect: Duration,
-    pub(crate) silence: Duration,
-    pub(crate) age: Duration,
-    pub(crate) idle: Duration,
-    pub(crate) whole: Duration,
-    pub(crate) body: usize,
-    pub(crate) event: usize,
+    pub(crate) connect_timeout: Duration,
+    pub(crate) read_timeout: Duration,
+    pub(crate) max_connection_age: Duration,
+    pub(crate) idle_timeout: Duration,
+    pub(crate) body_timeout: Duration,
+    pub(crate) max_body_bytes: usize,
+    pub(crate) max_event_bytes: usize,
     pub(crate) domain: Option<DomainId>,
 }
 
 impl Settings {
-    /// Starts from the defaults.
-    pub fn builder() -> Builder {
-        Builder(Self::default())
+    /// Returns a builder with the default settings.
+    pub fn builder() -> SettingsBuilder {
+        SettingsBuilder(Self::default())
     }
 
-    /// Longest wait for the next bytes of an answer.
-    pub fn silence(&self) -> Duration {
-        self.silence
+    /// Longest wait for the next bytes of a response.
+    pub fn read_timeout(&self) -> Duration {
+        self.read_timeout
     }
 
-    /// Largest body taken, in bytes.
-    pub fn body(&self) -> usize {
-        self.body
+    /// Largest accepted body, in bytes.
+    pub fn max_body_bytes(&self) -> usize {
+        self.max_body_bytes
     }
 
-    /// Largest event of a stream taken, in bytes.
-    pub fn event(&self) -> usize {
-        self.event
+    /// Largest accepted event of a stream, in bytes.
+    pub fn max_event_bytes(&self) -> usize {
+        self.max_event_bytes
     }
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(250),
-            silence: Duration::from_millis(400),
-            age: Duration::from_mins(1),
-            idle: Duration::from_secs(20),
-            whole: Duration::from_secs(30),
-            body: 8 << 20,
-            event: 64 << 10,
+            connect_timeout: Duration::from_millis(250),
+            read_timeout: Duration::from_millis(400),
+            max_connection_age: Duration::from_mins(1),
+            idle_timeout: Duration::from_secs(20),
+            body_timeout: Duration::from_secs(30),
+            max_body_bytes: 8 << 20,
+            max_event_bytes: 64 << 10,
             domain: None,
         }
     }
@@ -55,66 +55,66 @@
 
 /// Builds [`Settings`].
 #[derive(Debug)]
-pub struct Builder(Settings);
+pub struct SettingsBuilder(Settings);
 
-impl Builder {
-    /// Time to open a connection.
+impl SettingsBuilder {
+    /// Longest time to establish a connection.
     #[must_use]
-    pub fn connect(mut self, time: Duration) -> Self {
-        self.0.connect = time;
+    pub fn connect_timeout(mut self, time: Duration) -> Self {
+        self.0.connect_timeout = time;
         self
     }
 
-    /// Longest wait for the next bytes of an answer.
+    /// Longest wait for the next bytes of a response.
     #[must_use]
-    pub fn silence(mut self, time: Duration) -> Self {
-        self.0.silence = time;
+    pub fn read_timeout(mut self, time: Duration) -> Self {
+        self.0.read_timeout = time;
         self
     }
 
     /// Age at which the connections are replaced by new ones.
     #[must_use]
-    pub fn age(mut self, time: Duration) -> Self {
-        self.0.age = time;
+    pub fn max_connection_age(mut self, time: Duration) -> Self {
+        self.0.max_connection_age = time;
         self
     }
 
-    /// Time after which an unused connection is closed.
+    /// Time after which an unused connection is closed; also the interval of TCP keepalive probes.
     #[must_use]
-    pub fn idle(mut self, time: Duration) -> Self {
-        self.0.idle = time;
+    pub fn idle_timeout(mut self, time: Duration) -> Self {
+        self.0.idle_timeout = time;
         self
     }
 
-    /// Time to read a whole body, which keeps one that trickles from being read for ever.
+    /// Longest time to read a complete body, so that one sent very slowly still ends.
     #[must_use]
-    pub fn whole(mut self, time: Duration) -> Self {
-        self.0.whole = time;
+    pub fn body_timeout(mut self, time: Duration) -> Self {
+        self.0.body_timeout = time;
         self
     }
 
-    /// Largest body taken, in bytes.
+    /// Largest accepted body, in bytes.
     #[must_use]
-    pub fn body(mut self, bytes: usize) -> Self {
-        self.0.body = bytes;
+    pub fn max_body_bytes(mut self, bytes: usize) -> Self {
+        self.0.max_body_bytes = bytes;
         self
     }
 
-    /// Largest event of a stream taken, in bytes.
+    /// Largest accepted event of a stream, in bytes.
     #[must_use]
-    pub fn event(mut self, bytes: usize) -> Self {
-        self.0.event = bytes;
+    pub fn max_event_bytes(mut self, bytes: usize) -> Self {
+        self.0.max_event_bytes = bytes;
         self
     }
 
-    /// Failure domain of the caller, told to the target.
+    /// Failure domain of this client, sent to the target in a header.
     #[must_use]
     pub fn domain(mut self, domain: DomainId) -> Self {
         self.0.domain = Some(domain);
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> Settings {
         self.0
     }
--- a/crates/sesamegap-platform/src/log/http.rs
+++ b/crates/sesamegap-platform/src/log/http.rs
@@ -1,11 +1,11 @@
-//! The log over HTTP, in the frames of [`frame`](super::frame).
+//! HTTP client of the log, with the messages of [`frame`](super::frame).
 //!
-//! An append is written once. If its answer does not come, nobody knows whether it took effect, and
-//! the error says so; the writer reads on and looks for the id that it put into its record.
+//! An append is sent once. If its response is lost, the error reports that the append may have
+//! taken effect; the writer reads the stream and looks for the id that it put into its record.
 
 use super::frame::{Append, Appended, Body, Expired, PageFrame};
 use super::{Log, Page};
-use crate::client::checked;
+use crate::client::check_status;
 use crate::error::{PlatformError, Reason};
 use bytes::Bytes;
 use futures_util::future::{BoxFuture, FutureExt};
@@ -21,7 +21,7 @@
 }
 
 impl HttpLog {
-    /// A client for a log at `http://IP:PORT`.
+    /// Creates a client of the log at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
@@ -35,9 +35,9 @@
         let path = format!("/streams/{stream}");
         let request = self.pool.request(Method::POST, &path).body(body);
         let sent = self.pool.send(request, Duration::ZERO).await;
-        let response = checked(sent?)?;
-        let answer = self.pool.whole(response).await?;
-        let appended: Appended = codec::decode(&answer).map_err(|e| unreadable(&e))?;
+        let response = check_status(sent?)?;
+        let answer = self.pool.read_body(response).await?;
+        let appended: Appended = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
         Ok(appended.offset)
     }
 
@@ -50,21 +50,21 @@
         let path = format!("/streams/{stream}?from={from}&wait={}", wait.as_millis());
         let request = self.pool.request(Method::GET, &path);
         let sent = self.pool.send(request, wait).await?;
-        let gone = sent.status() == StatusCode::GONE;
-        let response = if gone { sent } else { checked(sent)? };
-        let answer = self.pool.whole(response).await?;
-        if gone {
-            let expired: Expired = codec::decode(&answer).map_err(|e| unreadable(&e))?;
-            let detail = format!("{stream} is kept from offset {} on", expired.oldest);
-            return Err(PlatformError::new(Reason::Expired(expired.oldest), detail));
+        let expired = sent.status() == StatusCode::GONE;
+        let response = if expired { sent } else { check_status(sent)? };
+        let answer = self.pool.read_body(response).await?;
+        if expired {
+            let body: Expired = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
+            let detail = format!("the oldest offset kept of {stream} is {}", body.oldest);
+            return Err(PlatformError::new(Reason::Expired(body.oldest), detail));
         }
-        let frame: PageFrame = codec::decode(&answer).map_err(|e| unreadable(&e))?;
+        let frame: PageFrame = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
         Ok(frame.into())
     }
 }
 
-/// An answer came and is none: what was asked for may have been done.
-fn unreadable(error: &codec::CodecError) -> PlatformError {
+/// An error for a response that cannot be decoded; the call may have taken effect.
+fn invalid_response(error: &codec::CodecError) -> PlatformError {
     PlatformError::new(Reason::Unknown, error.to_string())
 }
 
--- a/crates/sesamegap-platform/src/weights/http.rs
+++ b/crates/sesamegap-platform/src/weights/http.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP: `GET /models/{model}` answers a JSON list of versions.
+//! HTTP client of the weight store: `GET /models/{model}` returns a JSON array of versions.
 
 use super::WeightStore;
 use crate::client;
@@ -14,15 +14,15 @@
 }
 
 impl HttpWeights {
-    /// A client for a store at `http://IP:PORT`.
+    /// Creates a client of the store at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
         }
     }
 
-    async fn ask(&self, model: &ModelId) -> Result<Vec<WeightsVersion>, PlatformError> {
-        client::get(&self.pool, &format!("/models/{model}")).await
+    async fn fetch_versions(&self, model: &ModelId) -> Result<Vec<WeightsVersion>, PlatformError> {
+        client::get_json(&self.pool, &format!("/models/{model}")).await
     }
 }
 
@@ -31,6 +31,6 @@
         &'a self,
         model: &'a ModelId,
     ) -> BoxFuture<'a, Result<Vec<WeightsVersion>, PlatformError>> {
-        self.ask(model).boxed()
+        self.fetch_versions(model).boxed()
     }
 }
--- a/crates/sesamegap-standin/tests/testsuite/support.rs
+++ b/crates/sesamegap-standin/tests/testsuite/support.rs
@@ -52,8 +52,8 @@
 
 pub fn settings() -> Settings {
     Settings::builder()
-        .silence(SILENCE)
-        .connect(PATIENCE)
+        .read_timeout(SILENCE)
+        .connect_timeout(PATIENCE)
         .build()
 }
 
--- a/crates/sesamegap-upstream/src/kv/http.rs
+++ b/crates/sesamegap-upstream/src/kv/http.rs
@@ -1,9 +1,9 @@
-//! The kept-KV store over HTTP: `POST /v1/held` takes keys and answers how many are held.
+//! HTTP client of the kept-KV store: `POST /v1/held` takes keys and returns how many are held.
 
 use super::KvStore;
-use crate::client::ask;
+use crate::client::fetch_json;
 use crate::error::UpstreamError;
-use crate::wire::{Asked, Held};
+use crate::wire::{HeldPrefixRequest, HeldPrefixResponse};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::Method;
 use sesamegap_http::{Pool, Settings};
@@ -17,7 +17,7 @@
 }
 
 impl HttpStore {
-    /// A client for a store at `http://IP:PORT`.
+    /// Creates a client of the store at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
@@ -26,16 +26,19 @@
 
     async fn count(&self, keys: &[BlockKey]) -> Result<usize, UpstreamError> {
         let keys = keys.to_vec();
-        let asked = Asked { keys };
-        let request = self.pool.request(Method::POST, "/v1/held").json(&asked);
-        let answer: Held = ask(&self.pool, request, Duration::ZERO).await?;
-        // A store that claims more than was asked for would make the caller index out of bounds.
-        Ok(answer.held.min(asked.keys.len()))
+        let query = HeldPrefixRequest { keys };
+        let request = self.pool.request(Method::POST, "/v1/held").json(&query);
+        let answer: HeldPrefixResponse = fetch_json(&self.pool, request, Duration::ZERO).await?;
+        // A count above the number of keys would make the caller index out of bounds.
+        Ok(answer.held.min(query.keys.len()))
     }
 }
 
 impl KvStore for HttpStore {
-    fn held<'a>(&'a self, keys: &'a [BlockKey]) -> BoxFuture<'a, Result<usize, UpstreamError>> {
+    fn held_prefix_len<'a>(
+        &'a self,
+        keys: &'a [BlockKey],
+    ) -> BoxFuture<'a, Result<usize, UpstreamError>> {
         self.count(keys).boxed()
     }
 }
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -1,14 +1,14 @@
-//! A worker of a plain service over HTTP.
+//! HTTP client of a plain service's worker.
 //!
-//! The call goes through as it is, with two headers added: [`REQUEST`] names the request, which the
-//! worker echoes, and [`KEY`] carries the idempotency key. A reply without the echo, or with that
-//! of another request, is discarded. A worker that did not run the call says so with [`RAN`] and
-//! status 429 or 503; any other status is the service's own reply.
+//! The call is forwarded unchanged with two added headers: [`REQUEST_HEADER`] carries the request
+//! id, which the worker echoes, and [`IDEMPOTENCY_KEY_HEADER`] the idempotency key. A reply without
+//! the echo, or with another id, is discarded. A worker that did not run the call sets
+//! [`RAN_HEADER`] and status 429 or 503; any other status is the service's own reply.
 
 use super::{Call, PlainService, Reply};
-use crate::client::unreadable;
+use crate::client::invalid_response;
 use crate::error::{Fault, Ran, UpstreamError};
-use crate::wire::{KEY, RAN, REQUEST};
+use crate::wire::{IDEMPOTENCY_KEY_HEADER, RAN_HEADER, REQUEST_HEADER};
 use futures_util::future::{BoxFuture, FutureExt};
 use reqwest::header::{CONTENT_TYPE, HeaderMap};
 use reqwest::{Method, RequestBuilder, Response, StatusCode};
@@ -23,7 +23,7 @@
 }
 
 impl HttpWorker {
-    /// A client for a worker at `http://IP:PORT`.
+    /// Creates a client of the worker at `http://IP:PORT`.
     pub fn new(base: impl Into<String>, settings: Settings) -> Self {
         Self {
             pool: Pool::new(base, settings),
@@ -36,13 +36,13 @@
         let request = self.request(call)?;
         let exchange = async {
             let response = self.pool.send(request, limit).await?;
-            self.own(&response, &id)?;
+            self.check_echo(&response, &id)?;
             self.reply(response).await
         };
         let outcome = timeout(limit, exchange).await;
         outcome.unwrap_or_else(|_| {
-            self.pool.renew();
-            Err(Failure::silence().into())
+            self.pool.discard_connections();
+            Err(Failure::timed_out().into())
         })
     }
 
@@ -53,51 +53,55 @@
         let mut request = self
             .pool
             .request(method, &format!("/{path}"))
-            .header(REQUEST, call.request.to_string())
+            .header(REQUEST_HEADER, call.request.to_string())
             .body(call.body);
-        if let Some(content) = &call.content {
-            request = request.header(CONTENT_TYPE, content.as_str());
+        if let Some(content_type) = &call.content_type {
+            request = request.header(CONTENT_TYPE, content_type.as_str());
         }
-        if let Some(key) = &call.key {
-            request = request.header(KEY, key.as_str());
+        if let Some(key) = &call.idempotency_key {
+            request = request.header(IDEMPOTENCY_KEY_HEADER, key.as_str());
         }
         Ok(request)
     }
 
-    /// Checks that a reply is the one to this request.
-    fn own(&self, response: &Response, id: &str) -> Result<(), UpstreamError> {
-        let echo = header(response.headers(), REQUEST);
+    /// Checks that the reply echoes this request's id.
+    fn check_echo(&self, response: &Response, id: &str) -> Result<(), UpstreamError> {
+        let echo = header(response.headers(), REQUEST_HEADER);
         if echo.as_deref() == Some(id) {
             return Ok(());
         }
-        self.pool.renew();
-        let whose = echo.map_or("no request".to_owned(), |echo| format!("request {echo}"));
-        let detail = format!("reply to {whose}");
+        self.pool.discard_connections();
+        let echoed = echo.map_or("no request".to_owned(), |echo| format!("request {echo}"));
+        let detail = format!("reply to {echoed}");
         Err(UpstreamError::new(Fault::Crossed, Ran::Unknown, detail))
     }
 
     async fn reply(&self, response: Response) -> Result<Reply, UpstreamError> {
         let status = response.status();
-        let refused = header(response.headers(), RAN).as_deref() == Some("no");
-        let content = header(response.headers(), CONTENT_TYPE.as_str());
-        let body = self.pool.whole(response).await?;
-        if refused {
-            return Err(refusal(status));
+        let not_run = header(response.headers(), RAN_HEADER).as_deref() == Some("no");
+        let content_type = header(response.headers(), CONTENT_TYPE.as_str());
+        let body = self.pool.read_body(response).await?;
+        if not_run {
+            return Err(not_run_error(status));
         }
         Ok(Reply {
             status: status.as_u16(),
-            content,
+            content_type,
             body,
         })
     }
 }
 
-fn refusal(status: StatusCode) -> UpstreamError {
+fn not_run_error(status: StatusCode) -> UpstreamError {
     let fault = match status {
         StatusCode::TOO_MANY_REQUESTS => Fault::Busy,
         StatusCode::SERVICE_UNAVAILABLE => Fault::Leaving,
         _ if status.is_client_error() => Fault::Refused,
-        _ => return unreadable(format!("status {status} that claims not to have run")),
+        _ => {
+            return invalid_response(format!(
+                "status {status} with a header that claims the call did not run"
+            ));
+        }
     };
     UpstreamError::new(fault, Ran::No, format!("status {status}"))
 }
--- a/crates/sesamegap/src/router/callers/services.rs
+++ b/crates/sesamegap/src/router/callers/services.rs
@@ -102,9 +102,9 @@
         request: placeholder(core),
         method: outline.method.into(),
         path: path.to_owned(),
-        content: outline.content.map(SmolStr::from),
+        content_type: outline.content.map(SmolStr::from),
         body,
-        key: None,
+        idempotency_key: None,
         timeout: spec.timeout,
     };
     let job = ServiceJob {
--- a/crates/sesamegap/src/router/door.rs
+++ b/crates/sesamegap/src/router/door.rs
@@ -22,7 +22,7 @@
 use poem::http::uri::Scheme;
 use poem::web::{LocalAddr, RemoteAddr};
 use rustix::io::ioctl_fionread;
-use sesamegap_http::serving::{self, Bounds, Busy, Terms, hold};
+use sesamegap_http::serving::{self, Bounds, ConnectionPolicy, RequestGuard, guard_body};
 use std::io::Result;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -149,7 +149,7 @@
     };
     let terms = RouterTerms;
     let ended = serving::serve(line, &terms, answer, close.cancelled()).await;
-    if let serving::Ended::Closed(Some(error)) = ended {
+    if let serving::CloseReason::Closed(Some(error)) = ended {
         tracing::debug!(event = events::CALLER_GONE.number, %error, %caller, "connection ended early");
     }
 }
@@ -159,7 +159,7 @@
     core: Arc<Core>,
     app: App,
     request: Request<Incoming>,
-    busy: Busy,
+    busy: RequestGuard,
     (local, caller): (SocketAddr, SocketAddr),
 ) -> Response<impl Body<Data = Bytes, Error = std::io::Error>> {
     let request = poem::Request::from((
@@ -176,14 +176,14 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    response.map(|body| hold(body, busy))
+    response.map(|body| guard_body(body, busy))
 }
 
 /// How callers' connections are treated.
 #[derive(Debug)]
 struct RouterTerms;
 
-impl Terms for RouterTerms {
+impl ConnectionPolicy for RouterTerms {
     fn bounds(&self) -> Bounds {
         Bounds {
             head: IDLE,
@@ -191,12 +191,12 @@
         }
     }
 
-    fn longest_head(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         LONGEST_HEAD
     }
 
     /// The answer to a request that is on its way while its connection is closed.
-    fn farewell(&self) -> Bytes {
+    fn closing_response(&self) -> Bytes {
         let message =
             "the connection was idle and is closed; what came after its last answer was not run";
         let error = ApiError::not_run(StatusCode::REQUEST_TIMEOUT, "closing", message);
@@ -207,7 +207,7 @@
         ))
     }
 
-    fn closes_unused(&self) -> bool {
+    fn closes_unused_on_stop(&self) -> bool {
         true
     }
 }
--- a/crates/sesamegap/src/router/fleet/connect.rs
+++ b/crates/sesamegap/src/router/fleet/connect.rs
@@ -26,9 +26,9 @@
 /// Limits on connections to platform and upstreams.
 pub fn http_settings(config: &ProcessConfig) -> Settings {
     Settings::builder()
-        .connect(config.timing.connect)
-        .silence(config.timing.silence)
-        .age(config.timing.age)
+        .connect_timeout(config.timing.connect)
+        .read_timeout(config.timing.silence)
+        .max_connection_age(config.timing.age)
         .domain(config.domain.clone())
         .build()
 }
