--- a/crates/sesamegap-http/src/failure.rs
+++ b/crates/sesamegap-http/src/failure.rs
@@ -27,9 +27,9 @@
         }
     }
 
-    /// An exchange that timed out on an open connection.
+    /// An exchange that the connection went silent.
     pub fn timed_out() -> Self {
-        Self::Broken("timed out on an open connection".to_owned())
+        Self::Broken("the connection went silent".to_owned())
     }
 }
 
@@ -50,8 +50,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreached(message) => write!(f, "no connection: {message}"),
-            Self::Broken(message) => write!(f, "no complete response: {message}"),
-            Self::Oversized(limit) => write!(f, "response longer than {limit} bytes"),
+            Self::Broken(message) => write!(f, "no whole answer: {message}"),
+            Self::Oversized(limit) => write!(f, "answer longer than {limit} bytes"),
         }
     }
 }
--- a/crates/sesamegap-platform/src/error.rs
+++ b/crates/sesamegap-platform/src/error.rs
@@ -47,8 +47,8 @@
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let why = match self.reason {
-            Reason::Unreached => "platform unreachable",
-            Reason::Unknown => "no usable response from the platform",
+            Reason::Unreached => "platform not reached",
+            Reason::Unknown => "platform's answer lost",
             Reason::Refused => "refused by the platform",
             Reason::Expired(_) => "records expired",
         };
--- a/crates/sesamegap-platform/src/log/http.rs
+++ b/crates/sesamegap-platform/src/log/http.rs
@@ -55,7 +55,7 @@
         let answer = self.pool.read_body(response).await?;
         if expired {
             let body: Expired = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
-            let detail = format!("the oldest offset kept of {stream} is {}", body.oldest);
+            let detail = format!("{stream} is kept from offset {} on", body.oldest);
             return Err(PlatformError::new(Reason::Expired(body.oldest), detail));
         }
         let frame: PageFrame = codec::decode(&answer).map_err(|e| invalid_response(&e))?;
--- a/crates/sesamegap-upstream/src/engine/chunks.rs
+++ b/crates/sesamegap-upstream/src/engine/chunks.rs
@@ -29,7 +29,7 @@
         loop {
             let event = pool.with_read_timeout(events.next()).await?;
             let event = event
-                .ok_or_else(|| broken_stream(&pool, "the stream ended before its last chunk"))?;
+                .ok_or_else(|| broken_stream(&pool, "the stream ended before the answer"))?;
             let event = event.map_err(|e| broken_stream(&pool, &e.to_string()))?;
             let chunk = decoder.decode(&event.data).inspect_err(|_| pool.discard_connections())?;
             if let Chunk::End { .. } = chunk {
--- a/crates/sesamegap-upstream/src/engine/decoder.rs
+++ b/crates/sesamegap-upstream/src/engine/decoder.rs
@@ -75,16 +75,14 @@
     /// # Errors
     /// [`Fault::Crossed`] if it belongs to another attempt, [`Fault::Broken`] if it is invalid.
     pub fn decode(&self, data: &str) -> Result<Chunk, UpstreamError> {
-        let envelope: BorrowedEnvelope<'_> = serde_json::from_str(data)
-            .map_err(|e| invalid_response(format!("invalid chunk: {e}")))?;
+        let envelope: BorrowedEnvelope<'_> =
+            serde_json::from_str(data).map_err(|e| invalid_response(format!("no chunk: {e}")))?;
         if envelope.request == self.request && envelope.attempt == self.attempt {
             let chunk = envelope.chunk.into_chunk();
-            return chunk.ok_or_else(|| {
-                invalid_response("chunk of an unknown kind or with a missing field")
-            });
+            return chunk.ok_or_else(|| invalid_response("a chunk of no known kind"));
         }
         let shown: String = envelope.request.chars().take(MAX_SHOWN_CHARS).collect();
-        let detail = format!("response to request {shown} attempt {}", envelope.attempt);
+        let detail = format!("answer to {shown} attempt {}", envelope.attempt);
         Err(UpstreamError::new(Fault::Crossed, Ran::Unknown, detail))
     }
 }
--- a/crates/sesamegap-upstream/src/service/http.rs
+++ b/crates/sesamegap-upstream/src/service/http.rs
@@ -98,9 +98,7 @@
         StatusCode::SERVICE_UNAVAILABLE => Fault::Leaving,
         _ if status.is_client_error() => Fault::Refused,
         _ => {
-            return invalid_response(format!(
-                "status {status} with a header that claims the call did not run"
-            ));
+            return invalid_response(format!("status {status} that claims not to have run"));
         }
     };
     UpstreamError::new(fault, Ran::No, format!("status {status}"))
