--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -50,6 +50,7 @@
     /// Number of the prompt in the query.
     pub number: u64,
     /// The engine for the prompt, if any engine of the shard takes it.
+    #[serde(rename = "found")]
     pub chosen: Option<ChosenEngine>,
 }
 
