--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -55,7 +55,7 @@
     pub metrics: Metrics,
     /// Logging controls.
     pub logging: Logging,
-    /// Wakes the weight rollout when a weights version was named.
+    /// Wakes the roll of weights when a weights version was named.
     pub weights_named: Notify,
     /// Requests in progress.
     pub active: Arc<ActiveRequests>,
--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -48,7 +48,7 @@
     /// When the engine last served the whole shared prefix, as reported by the shard's owner.
     pub(super) served: Option<Moment>,
     /// Set if the owner of the engine's shard knows the request.
-    pub(super) asked: Option<TrackedPrompt>,
+    pub(super) tracked_prompt: Option<TrackedPrompt>,
 }
 
 impl Flight {
@@ -69,12 +69,12 @@
 
     /// Address of the VM that placed the request or was notified of it, if there is one.
     pub fn owner(&self) -> Option<SocketAddr> {
-        self.asked.as_ref().map(TrackedPrompt::owner)
+        self.tracked_prompt.as_ref().map(TrackedPrompt::owner)
     }
 
     /// Records that the owner of the engine's shard knows the request.
-    pub fn set_owner(&mut self, asked: TrackedPrompt) {
-        self.asked = Some(asked);
+    pub fn set_owner(&mut self, tracked_prompt: TrackedPrompt) {
+        self.tracked_prompt = Some(tracked_prompt);
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.shared.running += 1;
             upstream.shared.unread += self.unread;
@@ -112,11 +112,11 @@
     pub fn record_received(&mut self, now: Moment) {
         let unread = std::mem::take(&mut self.unread);
         self.on_way = None;
-        let shared = self.asked.as_ref().filter(|_| unread > 0);
-        if let Some(asked) = shared {
-            asked.report_read();
+        let shared = self.tracked_prompt.as_ref().filter(|_| unread > 0);
+        if let Some(tracked_prompt) = shared {
+            tracked_prompt.report_read();
         }
-        let shared = if self.asked.is_some() { unread } else { 0 };
+        let shared = if self.tracked_prompt.is_some() { unread } else { 0 };
         let mut fleet = self.fleet.lock();
         let version = self.weights.map_or(0, |version| version.0);
         for prefix in self.prefixes.drain(..) {
@@ -195,7 +195,7 @@
         if let Some(upstream) = fleet.in_life(&self.id, self.life) {
             upstream.running = upstream.running.saturating_sub(1);
             upstream.unread = upstream.unread.saturating_sub(self.unread);
-            if self.asked.is_some() {
+            if self.tracked_prompt.is_some() {
                 let shared = &mut upstream.shared;
                 shared.running = shared.running.saturating_sub(1);
                 shared.unread = shared.unread.saturating_sub(self.unread);
--- a/crates/sesamegap-entry/src/fleet/selection.rs
+++ b/crates/sesamegap-entry/src/fleet/selection.rs
@@ -136,7 +136,7 @@
         &self,
         selection: &Selection<'_>,
         found: ChosenEngine,
-        asked: TrackedPrompt,
+        tracked_prompt: TrackedPrompt,
         now: Moment,
     ) -> Option<Flight> {
         let mut flight = {
@@ -162,7 +162,7 @@
             flight.served = served;
             flight
         };
-        flight.set_owner(asked);
+        flight.set_owner(tracked_prompt);
         Some(flight)
     }
 
@@ -194,7 +194,7 @@
             seed: upstream.seed,
             life: upstream.life,
             served: None,
-            asked: None,
+            tracked_prompt: None,
             prefixes: selection
                 .shape
                 .map_or_else(Vec::new, |shape| shape.prompt.prefixes.clone()),
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -122,7 +122,7 @@
         entry.leaving = self.belief.is_leaving();
         for weights in &mut entry.weights {
             let held = self.entry.weights.iter().find(|w| w.model == weights.model);
-            // Answers and the rollout report new weights before the next heartbeat does.
+            // Answers and the roll report new weights before the next heartbeat does.
             if let Some(held) = held {
                 reloaded |= weights.version > held.version;
                 weights.version = weights.version.max(held.version);
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -5,8 +5,8 @@
 //! and readings of the store. The content of a lost datagram is recovered from the next one, from an upstream's own
 //! response, or by reading the store.
 //!
-//! A weight rollout pauses half of the engines almost at once, and all VMs must know. With an HTTP request for each
-//! engine and peer, 84 VMs and 140 engines kept the VM that runs the rollout busy for seconds, and it never gave an
+//! A roll of weights takes half of the engines out almost at once, and all VMs must know. With an HTTP request for each
+//! engine and peer, 84 VMs and 140 engines kept the VM that carries out the roll busy for seconds, and it never gave an
 //! order to any engine.
 
 use super::loads::UpstreamLoad;
@@ -82,8 +82,8 @@
 }
 
 /// Encodes a message to or from the owner of a shard, if it can be sent.
-pub fn encode_placing(say: PlacementMessage) -> Option<Vec<u8>> {
-    Datagram::Placing(say).encode()
+pub fn encode_placing(message: PlacementMessage) -> Option<Vec<u8>> {
+    Datagram::Placing(message).encode()
 }
 
 /// Encodes a quarantine message, if it can be sent.
@@ -122,8 +122,8 @@
             )
             .await;
         }
-        for (owner, words) in core.placement_client.take_reports() {
-            core.placement_client.send(words, owner).await;
+        for (owner, reports) in core.placement_client.take_reports() {
+            core.placement_client.send(reports, owner).await;
         }
         let loads = own_loads(&core);
         let peers = core.peers.addrs_by_status().alive;
@@ -247,8 +247,8 @@
                 core.placement_client
                     .complete_query(answer.number, answer.chosen);
             }
-            Ok(Datagram::Placing(PlacementMessage::Reports(words))) => {
-                placing::apply_reports(&core, from, &words);
+            Ok(Datagram::Placing(PlacementMessage::Reports(reports))) => {
+                placing::apply_reports(&core, from, &reports);
             }
             Ok(Datagram::Quarantine(message)) => quarantine::receive(&core, from, message).await,
             Err(error) => {
--- a/crates/sesamegap-entry/src/peers/loads.rs
+++ b/crates/sesamegap-entry/src/peers/loads.rs
@@ -23,6 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
     /// Key of the upstream's incarnation, the same on all VMs.
+    #[serde(rename = "life")]
     pub key: u64,
     /// Requests in progress at the upstream.
     pub running: u32,
--- a/crates/sesamegap-entry/src/peers/message.rs
+++ b/crates/sesamegap-entry/src/peers/message.rs
@@ -20,6 +20,7 @@
     /// The sender.
     pub me: MemberUpdate,
     /// Its updates on other VMs.
+    #[serde(rename = "news")]
     pub updates: Vec<MemberUpdate>,
     /// Revision of its document.
     pub revision: Revision,
@@ -33,6 +34,7 @@
     /// The sender.
     pub me: MemberUpdate,
     /// Its updates on other VMs.
+    #[serde(rename = "news")]
     pub updates: Vec<MemberUpdate>,
     /// Revision of its document.
     pub revision: Revision,
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -226,7 +226,7 @@
             .as_ref()
             .is_some_and(|id| *id != flight.id);
     if replaced {
-        // Another instance has the address, so the intended one is gone for good. The fleet table drops it only
+        // Another instance has the address, so the intended one is gone for good. The fleet list drops it only
         // after missed heartbeats.
         broadcast_engine_update(core, EngineUpdate::gone(flight.id.clone(), flight.born));
         return NotRun::Refused;
--- a/crates/sesamegap-entry/src/relay/loss.rs
+++ b/crates/sesamegap-entry/src/relay/loss.rs
@@ -75,7 +75,7 @@
         self.loss.request
     }
 
-    /// Reports that the upstream went silent. Whether its process ended follows from the fleet table, so that an
+    /// Reports that the upstream went silent. Whether its process ended follows from the fleet list, so that an
     /// upstream which is only slow is not blamed for a crash.
     pub fn report_silence(self, core: &Core) {
         core.quarantine.record_unconfirmed_loss(self.loss);
@@ -106,7 +106,7 @@
         );
         match process {
             ProcessState::Gone => core.quarantine.record_crash(loss),
-            // It may have restarted at once or be partitioned; the fleet table decides.
+            // It may have restarted at once or be partitioned; the fleet list decides.
             ProcessState::Running | ProcessState::Unreachable => {
                 core.quarantine.record_unconfirmed_loss(loss.clone());
             }
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -309,7 +309,7 @@
                 }
                 Err(_) if stream.weights_expired() => return Err(WEIGHTS_EXPIRED.to_owned()),
                 Err(_) if Instant::now() < self.silence_deadline(stream, silent_since) => continue,
-                Err(_) if Self::is_heard_elsewhere(stream, silent_since) => {
+                Err(_) if Self::is_active_on_other_connections(stream, silent_since) => {
                     return Err(
                         "stream went silent while its upstream sent on other connections"
                             .to_owned(),
@@ -359,18 +359,18 @@
         {
             return self.job.deadline;
         }
-        let heard_elsewhere = Self::is_heard_elsewhere(stream, silent_since);
-        let tolerated = timeouts::stream(stream.event_received, heard_elsewhere);
+        let active_on_other_connections = Self::is_active_on_other_connections(stream, silent_since);
+        let tolerated = timeouts::stream(stream.event_received, active_on_other_connections);
         self.job.deadline.min(silent_since + tolerated)
     }
 
     /// Whether bytes arrived from the upstream on another connection since.
-    fn is_heard_elsewhere(stream: &UpstreamStream, silent_since: Instant) -> bool {
+    fn is_active_on_other_connections(stream: &UpstreamStream, silent_since: Instant) -> bool {
         let silent = clock::now().since(stream.flight.last_received());
         silent + Duration::from_millis(1) < silent_since.elapsed()
     }
 
-    /// Resumes a stream that broke off at another upstream.
+    /// Resumes, at another upstream, a stream that broke off.
     async fn resume(&mut self, stream: UpstreamStream, why: &str) -> Option<UpstreamStream> {
         let id = stream.flight.id.clone();
         warn!(event = events::ATTEMPT, request = %self.job.head.id, upstream = %id, why, passed = self.last_event_id, "stream broke off");
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -48,7 +48,7 @@
         return;
     };
     if !drain(core, &target).await {
-        broadcast_engine_update(core, engine_news(&target, Duration::ZERO, false));
+        broadcast_engine_update(core, engine_update(&target, Duration::ZERO, false));
         info!(event = events::ORDER, engine = %engine, "too few engines accept work; engine returns to service without an update");
         return;
     }
@@ -64,7 +64,7 @@
     }
     let gone = |up: &Upstream| up.is_gone(clock::now());
     if !core.fleet.lock().get(&engine).is_some_and(gone) {
-        broadcast_engine_update(core, engine_news(&target, Duration::ZERO, done));
+        broadcast_engine_update(core, engine_update(&target, Duration::ZERO, done));
     }
 }
 
@@ -73,7 +73,7 @@
 /// Returns false if the engine must return to service instead.
 async fn drain(core: &Core, target: &OutdatedEngine) -> bool {
     let began = clock::now();
-    broadcast_engine_update(core, engine_news(target, OUT_TTL, false));
+    broadcast_engine_update(core, engine_update(target, OUT_TTL, false));
     if let Some(status) = drain_status(core, target, began, began) {
         info!(event = events::ORDER, engine = %target.engine, version = target.version.0, running = status.running, longest_ms = clock::millis(status.max_drain), overtaken_ms = status.superseded_for.map(clock::millis), "draining before the load order");
     }
@@ -133,7 +133,7 @@
     if now.since(announced_at) <= OUT_TTL / 2 {
         return announced_at;
     }
-    broadcast_engine_update(core, engine_news(target, OUT_TTL, false));
+    broadcast_engine_update(core, engine_update(target, OUT_TTL, false));
     now
 }
 
@@ -180,7 +180,7 @@
     })
 }
 
-fn engine_news(target: &OutdatedEngine, out: Duration, done: bool) -> EngineUpdate {
+fn engine_update(target: &OutdatedEngine, out: Duration, done: bool) -> EngineUpdate {
     EngineUpdate {
         engine: target.engine.clone(),
         born: target.born,
--- a/crates/sesamegap-entry/src/roll/mod.rs
+++ b/crates/sesamegap-entry/src/roll/mod.rs
@@ -175,7 +175,7 @@
                     .map_or(0, |held| held.version.0),
                 running: fleet.running(engine, now),
                 suspect: fleet.availability(engine, now) == Availability::Suspect,
-                shut: is_shut(&fleet, engine, now),
+                shut: has_outdated_weights(&fleet, engine, now),
             });
         }
         let due = progress.load_time().next(&views).into_iter();
@@ -196,7 +196,7 @@
 }
 
 /// Whether an engine's weights are too old, for any of its models, to start new requests on them.
-fn is_shut(fleet: &Fleet, engine: &Upstream, now: Moment) -> bool {
+fn has_outdated_weights(fleet: &Fleet, engine: &Upstream, now: Moment) -> bool {
     let mut held = engine.entry.weights.iter();
     held.any(|held| fleet.is_outdated(&held.model, held.version, now))
 }
--- a/crates/sesamegap-entry/tests/testsuite/belief.rs
+++ b/crates/sesamegap-entry/tests/testsuite/belief.rs
@@ -131,7 +131,7 @@
     core.fleet.choose(&selection, clock::now())
 }
 
-/// An engine crashes and restarts with the same id. It has the weights from before the last rollout, an empty cache
+/// An engine crashes and restarts with the same id. It has the weights from before the last roll, an empty cache
 /// and no running requests, and is not paused for loading weights. State kept from its previous incarnation would
 /// send prompts to it for an empty cache, or keep them away because of requests that ended with the crash.
 #[test]
--- a/crates/sesamegap-entry/tests/testsuite/streams.rs
+++ b/crates/sesamegap-entry/tests/testsuite/streams.rs
@@ -27,7 +27,7 @@
 }
 
 /// An engine has loaded new weights, and this VM is partitioned from its peers and does not know. Without the
-/// retry, callers would get a 503 although the engine is free, until the fleet table reports the weights.
+/// retry, callers would get a 503 although the engine is free, until the fleet list reports the weights.
 #[tokio::test]
 async fn a_prompt_is_retried_with_the_weights_that_the_engine_reports() {
     let process = Process::new().await;
@@ -44,7 +44,7 @@
     );
 }
 
-/// Engines crash and restart at the same addresses under new ids, and the fleet table drops the old ids seconds
+/// Engines crash and restart at the same addresses under new ids, and the fleet list drops the old ids seconds
 /// later. If each VM had to find that out by itself, each would lose a request at each engine.
 #[tokio::test]
 async fn a_reused_address_is_reported_to_all_vms() {
