--- a/crates/sesamegap-entry/src/placing/message.rs
+++ b/crates/sesamegap-entry/src/placing/message.rs
@@ -59,7 +59,7 @@
 pub struct ChosenEngine {
     /// The engine.
     pub engine: UpstreamId,
-    /// Key of the engine's incarnation, the same on all VMs; it changes when the engine restarts.
+    /// Number of the engine's incarnation, the same on all VMs; it changes when the engine restarts.
     pub life: u64,
     /// Another engine that holds the shared prefix, if there is one.
     pub source: Option<SocketAddr>,
@@ -80,7 +80,7 @@
     Began {
         /// Number of the prompt.
         number: u64,
-        /// Key of the engine's incarnation.
+        /// Number of the engine's incarnation.
         life: u64,
         /// Total tokens of the prompt.
         tokens: u64,
--- a/crates/sesamegap-entry/src/ports.rs
+++ b/crates/sesamegap-entry/src/ports.rs
@@ -344,7 +344,7 @@
     pub running: RunningRequests,
     /// The lease holder that gives the order.
     pub holder: VmId,
-    /// Fencing token of the lease.
+    /// Fencing number of the lease.
     pub fence: Fence,
     /// Number of orders that the engine must have accepted before this one.
     pub expected: u64,
@@ -359,7 +359,7 @@
     Holds,
     /// Another order is in progress or was accepted in between.
     Conflict,
-    /// The engine has seen a higher fencing token.
+    /// The engine has seen a higher fencing number.
     Fenced,
     /// Another instance uses the address.
     Elsewhere,
--- a/crates/sesamegap-entry/tests/testsuite/weights.rs
+++ b/crates/sesamegap-entry/tests/testsuite/weights.rs
@@ -113,11 +113,11 @@
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-/// A resumable stream breaks off, and the only other engine has expired weights. If the relay took a repeat from the
+/// A resumable stream breaks off, and the only other engine has expired weights. If the relay took a retry from the
 /// budget every 150 ms although it can send nothing, it would use up the budget of other requests, and one that an
 /// engine rejects a moment later would be refused to its caller.
 #[tokio::test]
-async fn a_stream_without_a_usable_engine_spends_no_repeats() {
+async fn a_stream_without_a_usable_engine_spends_no_retries() {
     let process = Process::new().await;
     let breaks = Upstream::start(vec![Act::CutEvents(1..3)]).await;
     let expired = Upstream::start(vec![Act::Events(1..6)]).await;
