--- a/crates/sesamegap-entry/src/process/stopping.rs
+++ b/crates/sesamegap-entry/src/process/stopping.rs
@@ -1,8 +1,8 @@
 //! Deadlines of a process that was asked to stop.
 //!
-//! Load: VMs are stopped in turn under full traffic, with streams of several seconds. Harm
-//! prevented: streams cut by SIGKILL, and connections refused to callers that still use an address
-//! which the locator gave them.
+//! VMs are stopped one after another under full traffic, with streams of several seconds. The
+//! deadlines keep streams from being cut by SIGKILL, and connections from being refused to callers
+//! that still use an address which the locator gave them.
 
 use std::time::Duration;
 
--- a/crates/sesamegap-entry/tests/testsuite/non_idempotent.rs
+++ b/crates/sesamegap-entry/tests/testsuite/non_idempotent.rs
@@ -10,9 +10,9 @@
         Act::Garbage,
         Act::OtherId,
         Act::Unsealed,
-        Act::FalsePromise(503),
-        Act::FalsePromise(429),
-        Act::FalsePromise(408),
+        Act::MisleadingStatus(503),
+        Act::MisleadingStatus(429),
+        Act::MisleadingStatus(408),
     ];
     for act in acts {
         let process = Process::new().await;
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -54,7 +54,8 @@
     core.peers.apply_update(&update, clock::now());
 }
 
-/// Two VMs that know each other.
+/// Two VMs that know each other. Among peers that never answer, every prompt of the first is placed by the second or by
+/// the first itself.
 fn pair(last: u8) -> (Arc<Core>, Arc<Core>) {
     let port = unused_addr().port();
     let (one, two) = (format!("127.0.9.{last}"), format!("127.0.8.{last}"));
--- a/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/upstream.rs
@@ -18,7 +18,7 @@
     /// States that it holds these weights instead of the requested ones.
     OtherWeights(u32),
     /// Answers with a status that implies that the request was not run, without stating it.
-    FalsePromise(u16),
+    MisleadingStatus(u16),
     /// Sends a complete answer to another request.
     OtherId,
     /// Answers with success but without a seal.
@@ -137,7 +137,7 @@
                 ),
                 false,
             ),
-            Act::FalsePromise(status) => (framed(status, "busy"), false),
+            Act::MisleadingStatus(status) => (framed(status, "busy"), false),
             Act::OtherId => (
                 "HTTP/1.1 200 X\r\nx-id: other\r\nx-seal: s\r\ncontent-length: 2\r\n\r\nno".into(),
                 false,
