--- a/crates/sesamegap-entry/src/placing/mod.rs
+++ b/crates/sesamegap-entry/src/placing/mod.rs
@@ -62,8 +62,8 @@
 
 /// The shard of a prompt's home and its owner.
 ///
-/// None if the request has no prompt, or if there are so few VMs that each announces its prompts to
-/// all others.
+/// None if the request has no prompt or goes to the least loaded engine, or if there are so few VMs
+/// that each announces its prompts to all others.
 fn find_owner(core: &Core, selection: &Selection<'_>) -> Option<(Shard, Owner)> {
     if selection.least_loaded {
         return None;
--- a/crates/sesamegap-entry/src/relay/transfer.rs
+++ b/crates/sesamegap-entry/src/relay/transfer.rs
@@ -77,7 +77,8 @@
     arrives.then(|| InFlightTokens::new(&core.fleet, store.addr, tokens))
 }
 
-/// Cache namespace of the weights that computed the entries and, for isolated teams, of the team.
+/// Cache namespace of the weights that computed the entries and, for isolated teams, of the team. Entries are found
+/// only within their namespace.
 pub fn cache_namespace(weights: Option<WeightsVersion>, team: Option<&str>) -> SmolStr {
     let version = weights.unwrap_or_default();
     if let Some(team) = team {
