--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -116,7 +116,11 @@
         if let Some(tracked_prompt) = shared {
             tracked_prompt.report_read();
         }
-        let shared = if self.tracked_prompt.is_some() { unread } else { 0 };
+        let shared = if self.tracked_prompt.is_some() {
+            unread
+        } else {
+            0
+        };
         let mut fleet = self.fleet.lock();
         let version = self.weights.map_or(0, |version| version.0);
         for prefix in self.prefixes.drain(..) {
--- a/crates/sesamegap-entry/src/relay/stream.rs
+++ b/crates/sesamegap-entry/src/relay/stream.rs
@@ -359,7 +359,8 @@
         {
             return self.job.deadline;
         }
-        let active_on_other_connections = Self::is_active_on_other_connections(stream, silent_since);
+        let active_on_other_connections =
+            Self::is_active_on_other_connections(stream, silent_since);
         let tolerated = timeouts::stream(stream.event_received, active_on_other_connections);
         self.job.deadline.min(silent_since + tolerated)
     }
