--- a/crates/sesamegap-entry/src/catalogue/mod.rs
+++ b/crates/sesamegap-entry/src/catalogue/mod.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// How often a request on a route may run, and the form of its answer.
+/// How often a request on a route may run, and the form of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// May run more than once.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether answers are streams of events.
+    /// Whether responses are streams of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
@@ -80,11 +80,11 @@
     pub host: SmolStr,
     /// Path prefix; begins and ends with a slash.
     pub prefix: SmolStr,
-    /// How often a request may run, and the form of its answer.
+    /// How often a request may run, and the form of its response.
     pub kind: Kind,
-    /// Maximum time that a caller waits for its answer.
+    /// Maximum time that a caller waits for its response.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, counts as on time.
+    /// Time within which a response, or the first event of a stream, counts as on time.
     pub objective: Duration,
     /// Maximum number of upstreams that one attempt of a caller may run on.
     pub attempts: u32,
--- a/crates/sesamegap-entry/src/core/active.rs
+++ b/crates/sesamegap-entry/src/core/active.rs
@@ -28,7 +28,7 @@
 /// Keeps a request registered as active until the guard is dropped.
 ///
 /// A request is registered only once its body was read completely. A caller that stops in the middle of the body is
-/// owed no answer, and a process that shuts down must not wait for it.
+/// owed no response, and a process that shuts down must not wait for it.
 #[derive(Debug)]
 pub struct ActiveRequestGuard {
     requests: Arc<ActiveRequests>,
--- a/crates/sesamegap-entry/src/fleet/flight.rs
+++ b/crates/sesamegap-entry/src/fleet/flight.rs
@@ -156,14 +156,14 @@
         own.max(self.served)
     }
 
-    /// Records the load that the answer reports.
+    /// Records the load that the response reports.
     pub fn record_load(&self, load: Load, now: Moment) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.record_load(load, now);
         }
     }
 
-    /// Records the version of the weights that the answer reports.
+    /// Records the version of the weights that the response reports.
     pub fn record_version(&self, model: &SmolStr, version: WeightsVersion) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.record_version(model, version);
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Records the response time and outcome of a plain service's answer.
+    /// Records the duration and outcome of a plain service's response.
     pub fn record_answer(&self, took: Duration, failed: bool) {
         if let Some(upstream) = self.fleet.lock().in_life(&self.id, self.life) {
             upstream.record_answer(took, failed);
--- a/crates/sesamegap-entry/src/fleet/upstream.rs
+++ b/crates/sesamegap-entry/src/fleet/upstream.rs
@@ -18,7 +18,7 @@
 /// Age from which a reported load is ignored; requests last about a second.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(2);
 
-/// Weight of the newest answer in the moving averages of response time and failure rate.
+/// Weight of the newest response in the moving averages of response time and failure rate.
 const NEWEST_WEIGHT: f64 = 0.15;
 
 /// An upstream's entry in the fleet list.
@@ -122,7 +122,7 @@
         entry.leaving = self.belief.is_leaving();
         for weights in &mut entry.weights {
             let held = self.entry.weights.iter().find(|w| w.model == weights.model);
-            // Answers and the roll report new weights before the next heartbeat does.
+            // Responses and the roll report new weights before the next heartbeat does.
             if let Some(held) = held {
                 reloaded |= weights.version > held.version;
                 weights.version = weights.version.max(held.version);
@@ -220,7 +220,7 @@
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Records the response time and outcome of a plain service's answer.
+    /// Records the duration and outcome of a plain service's response.
     pub fn record_answer(&mut self, took: Duration, failed: bool) {
         let fault = f64::from(u8::from(failed));
         self.failure_rate += NEWEST_WEIGHT * (fault - self.failure_rate);
--- a/crates/sesamegap-entry/src/intake/reply.rs
+++ b/crates/sesamegap-entry/src/intake/reply.rs
@@ -61,7 +61,7 @@
     Quarantined,
     /// The memory for request bodies is used up.
     OutOfMemory,
-    /// It may have run, but no complete answer came.
+    /// It may have run, but no complete response came.
     Lost,
     /// Its deadline has passed; it may have run.
     Timeout,
--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -157,7 +157,7 @@
 /// Waits until a request that has not begun must be withdrawn from its engine.
 ///
 /// A request queued at an engine with old weights could otherwise begin on them after they must no longer be
-/// used, and the caller could not tell that the answer is wrong. The engine drops a request whose connection
+/// used, and the caller could not tell that the response is wrong. The engine drops a request whose connection
 /// closes; it is then retried elsewhere if the route allows it.
 async fn until_weights_expire(flight: &Flight) {
     loop {
--- a/crates/sesamegap-entry/src/telemetry/metrics.rs
+++ b/crates/sesamegap-entry/src/telemetry/metrics.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Counts an attempt without an answer.
+    /// Counts an attempt without a response.
     pub fn count_failed_attempt(&self, reason: &'static str) {
         self.attempts.add(1, &[KeyValue::new("reason", reason)]);
     }
