--- a/crates/sesamegap-entry/src/relay/attempt.rs
+++ b/crates/sesamegap-entry/src/relay/attempt.rs
@@ -157,7 +157,7 @@
 /// Waits until a request that has not begun must be withdrawn from its engine.
 ///
 /// A request queued at an engine with old weights could otherwise begin on them after they must no longer be
-/// used, and the caller could not tell that the answer is wrong. The engine drops a request whose connection
+/// used, and the caller could not tell that the response is wrong. The engine drops a request whose connection
 /// closes; it is then retried elsewhere if the route allows it.
 async fn until_weights_expire(flight: &Flight) {
     loop {
@@ -226,7 +226,7 @@
             .as_ref()
             .is_some_and(|id| *id != flight.id);
     if replaced {
-        // Another instance has the address, so the intended one is gone for good. The fleet table drops it only
+        // Another instance has the address, so the intended one is gone for good. The fleet list drops it only
         // after missed heartbeats.
         broadcast_engine_update(core, EngineUpdate::gone(flight.id.clone(), flight.born));
         return NotRun::Refused;
