--- a/crates/sesamegap-settings/benches/fold.rs
+++ b/crates/sesamegap-settings/benches/fold.rs
@@ -82,7 +82,7 @@
 }
 
 /// A fold with so many teams in groups of equal size, each with a key and a weight of its own.
-fn peopled(teams: usize) -> Fold {
+fn fold_with_teams(teams: usize) -> Fold {
     let mut fold = Fold::default();
     append(&mut fold, vec![edit("classes/standard", json!({}))]);
     for group in 0..teams / GROUP {
@@ -121,14 +121,14 @@
     group.measurement_time(Duration::from_secs(2));
     for teams in TEAMS {
         let before = IN_USE.load(Ordering::Relaxed);
-        let fold = peopled(teams);
+        let fold = fold_with_teams(teams);
         let bytes = IN_USE.load(Ordering::Relaxed) - before;
         let snapshot = fold.snapshot();
         let record = change(&fold, vec![edit(&(team(0) + "/burst"), json!(7))]);
         let (kept, sent) = (snapshot.len(), record.len());
         println!("teams {teams}: fold {bytes} B, snapshot {kept} B, change {sent} B");
         println!("teams {teams}: fold {} B after a start", started(&snapshot));
-        let full = remembering(fold.clone(), teams).snapshot().len();
+        let full = with_full_history(fold.clone(), teams).snapshot().len();
         println!("teams {teams}: snapshot {full} B with memories at their bounds");
         days(&fold, teams);
         changes(&mut group, &fold, teams);
@@ -146,7 +146,7 @@
 }
 
 /// Fills the memories of ids and of touched paths, as far as there are paths.
-fn remembering(mut fold: Fold, teams: usize) -> Fold {
+fn with_full_history(mut fold: Fold, teams: usize) -> Fold {
     const EDITS: usize = TOUCHED / IDS;
     for turn in 0..IDS {
         let index = |part: usize| (turn * EDITS + part) % (2 * teams);
--- a/crates/sesamegap-settings/src/catalogue/checks.rs
+++ b/crates/sesamegap-settings/src/catalogue/checks.rs
@@ -3,7 +3,7 @@
 //! Each check looks at the objects that a change touched, and at the rest of the tree only as far
 //! as a touched object refers to it or is referred to.
 
-use super::resolve::{Homes, Spec, Staged, path_of};
+use super::resolve::{GroupIndex, Spec, Staged, path_of};
 use super::{Catalogue, ModelSpec, TeamSpec};
 use crate::findings::Findings;
 use crate::schema::Kind;
@@ -14,19 +14,24 @@
 
 impl Staged {
     /// Checks everything that has to hold between objects.
-    pub(super) fn check_all(&self, old: &Catalogue, homes: &Homes, findings: &mut Findings) {
-        self.check_names(homes, findings);
+    pub(super) fn check_all(
+        &self,
+        old: &Catalogue,
+        group_index: &GroupIndex,
+        findings: &mut Findings,
+    ) {
+        self.check_names(group_index, findings);
         self.check_specs(findings);
-        self.check_references(old, homes, findings);
+        self.check_references(old, group_index, findings);
         self.check_keys(old, findings);
     }
 
     /// Finds names that stand twice.
-    fn check_names(&self, homes: &Homes, findings: &mut Findings) {
+    fn check_names(&self, group_index: &GroupIndex, findings: &mut Findings) {
         let mut seen: BTreeMap<(Kind, &SmolStr), &SmolStr> = BTreeMap::new();
         for (item, _) in &self.after {
             let (kind, name, group) = item;
-            let kept = homes[*kind as usize].get(name);
+            let kept = group_index[*kind as usize].get(name);
             let kept = kept.filter(|home| {
                 *home != group
                     && !self
@@ -62,7 +67,7 @@
                         "`longest` of at least `block`",
                     );
                 }
-                Spec::Model(model) if short_of_engines(model) => {
+                Spec::Model(model) if exceeds_engines(model) => {
                     let wrong = "more engines are wanted than the deployment may use";
                     findings.add(
                         &join(&path, "least"),
@@ -76,7 +81,7 @@
     }
 
     /// Finds references to objects that are not there.
-    fn check_references(&self, old: &Catalogue, homes: &Homes, findings: &mut Findings) {
+    fn check_references(&self, old: &Catalogue, group_index: &GroupIndex, findings: &mut Findings) {
         let classes = self.names(Kind::Class, |name| {
             old.classes.keys().any(|id| id.as_str() == name)
         });
@@ -114,7 +119,7 @@
                 .filter(|(id, _)| !touched.contains(id.as_str()));
             for (id, team) in others {
                 let name = SmolStr::new(id.as_str());
-                let home = homes[Kind::Team as usize].get(&name).cloned();
+                let home = group_index[Kind::Team as usize].get(&name).cloned();
                 check(
                     &path_of(&(Kind::Team, name, home.unwrap_or_default())),
                     team,
@@ -176,7 +181,7 @@
     }
 }
 
-fn short_of_engines(model: &ModelSpec) -> bool {
+fn exceeds_engines(model: &ModelSpec) -> bool {
     let engines = u32::try_from(model.engines.len()).unwrap_or(u32::MAX);
     engines > 0 && model.least > engines
 }
--- a/crates/sesamegap-settings/src/catalogue/resolve.rs
+++ b/crates/sesamegap-settings/src/catalogue/resolve.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The group each object stands in, by kind and name, as names are unique over the whole tree.
-pub(crate) type Homes = [BTreeMap<SmolStr, SmolStr>; 4];
+pub(crate) type GroupIndex = [BTreeMap<SmolStr, SmolStr>; 4];
 
 /// A resolved object.
 #[derive(Debug)]
@@ -100,7 +100,7 @@
 /// Resolves the touched objects of a changed tree and checks them.
 pub(crate) fn stage(
     old: &Catalogue,
-    homes: &Homes,
+    group_index: &GroupIndex,
     tree: &Tree,
     before: Items,
     after: Items,
@@ -115,7 +115,7 @@
     };
     let after: Vec<(Item, Spec)> = after.into_iter().filter_map(resolve).collect();
     let staged = Staged { before, after };
-    staged.check_all(old, homes, findings);
+    staged.check_all(old, group_index, findings);
     staged
 }
 
@@ -132,11 +132,11 @@
     ///
     /// Keys that a team keeps are not touched: the table of all keys is then still shared with
     /// the catalogue before, and need not be copied.
-    pub(crate) fn commit(self, catalogue: &mut Catalogue, homes: &mut Homes) {
+    pub(crate) fn commit(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
         let names: BTreeSet<TeamId> = self.named(Kind::Team).map(id).collect();
-        let before = holdings(catalogue, &names);
-        self.replace(catalogue, homes);
-        let after = holdings(catalogue, &names);
+        let before = team_keys(catalogue, &names);
+        self.replace(catalogue, group_index);
+        let after = team_keys(catalogue, &names);
         for (hash, _) in before.difference(&after) {
             catalogue.keys.remove(hash);
         }
@@ -146,42 +146,45 @@
     }
 
     /// Makes a catalogue of all objects; maps made at once are denser than those that grew.
-    fn whole(self) -> (Catalogue, Homes) {
+    fn whole(self) -> (Catalogue, GroupIndex) {
         let mut catalogue = Catalogue::default();
-        let mut homes: [Vec<(SmolStr, SmolStr)>; 4] = Default::default();
+        let mut group_index: [Vec<(SmolStr, SmolStr)>; 4] = Default::default();
         let mut teams = Vec::new();
         for ((kind, name, group), spec) in self.after {
             match spec {
                 Spec::Team(team) => teams.push((id::<TeamId>(&name), team)),
                 other => catalogue.insert(&name, other),
             }
-            homes[kind as usize].push((name, group));
+            group_index[kind as usize].push((name, group));
         }
         catalogue.keys = teams.iter().collect();
         catalogue.teams = teams.into_iter().collect();
-        (catalogue, homes.map(|homes| homes.into_iter().collect()))
+        (
+            catalogue,
+            group_index.map(|group_index| group_index.into_iter().collect()),
+        )
     }
 
     /// Replaces the objects, but not the keys of teams.
-    fn replace(self, catalogue: &mut Catalogue, homes: &mut Homes) {
+    fn replace(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
         let mut gone = self.before;
         for ((kind, name, group), spec) in self.after {
             catalogue.insert(&name, spec);
             gone.remove(&(kind, name.clone(), group.clone()));
-            let former = homes[kind as usize].insert(name.clone(), group);
+            let former = group_index[kind as usize].insert(name.clone(), group);
             former.map(|home| gone.remove(&(kind, name, home)));
         }
         for (kind, name, _) in gone {
-            homes[kind as usize].remove(&name);
+            group_index[kind as usize].remove(&name);
             catalogue.remove(kind, &name);
         }
     }
 }
 
 /// A key's hash and the team that has it.
-type Holding = (String, TeamId);
+type TeamKey = (String, TeamId);
 
-fn holdings(catalogue: &Catalogue, names: &BTreeSet<TeamId>) -> BTreeSet<Holding> {
+fn team_keys(catalogue: &Catalogue, names: &BTreeSet<TeamId>) -> BTreeSet<TeamKey> {
     let mut all = BTreeSet::new();
     for name in names {
         let team = catalogue.teams.get(name);
@@ -241,7 +244,7 @@
 }
 
 /// Resolves a whole tree and says where each object stands.
-pub(crate) fn resolve_all(tree: &Tree, findings: &mut Findings) -> (Catalogue, Homes) {
+pub(crate) fn resolve_all(tree: &Tree, findings: &mut Findings) -> (Catalogue, GroupIndex) {
     let mut layers = Layers::default();
     layers.push("", &tree.root);
     let mut after = Vec::new();
@@ -258,6 +261,6 @@
         before: Items::new(),
         after,
     };
-    staged.check_all(&Catalogue::default(), &Homes::default(), findings);
+    staged.check_all(&Catalogue::default(), &GroupIndex::default(), findings);
     staged.whole()
 }
--- a/crates/sesamegap-settings/src/error.rs
+++ b/crates/sesamegap-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error of this crate.
+//! The error type of this crate.
 
 use crate::findings::Findings;
 use std::error::Error;
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// Larger than allowed; what, and by which bound.
+    /// A size limit is exceeded; holds what is limited and the limit.
     Oversized(&'static str, usize),
-    /// Not in the format of its kind.
+    /// The input cannot be decoded.
     Malformed(String),
-    /// The state of a snapshot does not match the snapshot's hash.
+    /// A snapshot is inconsistent: its state does not match its hash or its header.
     Mismatch,
-    /// Well-formed, but with findings.
+    /// Validation reported findings.
     Invalid(Findings),
 }
 
--- a/crates/sesamegap-settings/src/fold/memory.rs
+++ b/crates/sesamegap-settings/src/fold/memory.rs
@@ -1,13 +1,13 @@
-//! What the fold remembers of past changes, within bounds.
+//! Bounded history of past changes, used for deduplication and conflict detection.
 //!
-//! - The last [`HISTORY`] changes with all that operators ask about them.
-//! - The ids of the last [`IDS`] changes with their verdict, to recognise a repeated append. One
-//!   that comes even later is judged anew: if the first was accepted, it conflicts with itself, so
-//!   it still takes effect only once.
-//! - The revision at which each path was last touched, for at most [`TOUCHED`] paths. When there
-//!   are more, the older half is dropped and the *horizon* rises to the newest revision dropped;
-//!   a change with a base before the horizon is refused as a conflict, for it can no longer be
-//!   judged. So a verdict of conflict never turns into an acceptance.
+//! - The last [`HISTORY`] changes with the details that operators query.
+//! - The ids of the last [`IDS`] changes with their verdict, to detect duplicate appends. A
+//!   duplicate that arrives after its id was evicted is evaluated as a new change: if the first
+//!   record was accepted, the duplicate conflicts with it, so it still takes effect only once.
+//! - The revision at which each path was last modified, for at most [`TOUCHED`] paths. Above that
+//!   bound the older half is evicted and the *horizon* rises to the newest evicted revision. A
+//!   change whose base is before the horizon is rejected as a conflict, because conflicts can no
+//!   longer be ruled out. A conflict therefore never turns into an acceptance.
 
 use super::Outcome;
 use crate::change::{Change, ChangeId};
@@ -18,42 +18,42 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes kept with their details; what an operator looks back on.
+/// Changes kept with their details, for operators to query.
 pub const HISTORY: usize = 256;
 
-/// Ids kept, the changes of a day and a half at 9,700 a day; a retry comes within minutes.
+/// Change ids kept: a day and a half of changes at 9,700 a day. Retries arrive within minutes.
 pub const IDS: usize = 16_384;
 
-/// Paths kept with their revision, those of several days at 9,700 changes a day.
+/// Paths kept with their last revision: several days of changes at 9,700 a day.
 pub const TOUCHED: usize = 65_536;
 
-/// Paths and findings of one change kept in the history.
-const SHOWN: usize = 16;
+/// Maximum number of paths, and of findings, kept in the history for one change.
+const MAX_DETAILS: usize = 16;
 
-/// A change that was judged.
+/// A change that was evaluated, accepted or not.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The change.
     pub id: ChangeId,
-    /// Where it stands in the log.
+    /// Offset of its record in the log.
     pub offset: Offset,
-    /// When the log took it, in milliseconds since the Unix epoch.
+    /// Log time of the record, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Revision its author had seen.
+    /// Revision on which its author based it.
     pub base: Offset,
     /// Who published it.
     pub by: SmolStr,
-    /// Why.
+    /// The author's note on why the change was made.
     pub note: String,
-    /// The first paths it touched.
+    /// The first paths it modified.
     pub paths: Vec<TreePath>,
-    /// How many edits it has.
+    /// Total number of its edits.
     pub edits: usize,
-    /// What became of it.
+    /// Result of evaluating it.
     pub outcome: Outcome,
 }
 
-/// A verdict without its details.
+/// An outcome without its details.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 enum Verdict {
     Accepted,
@@ -61,42 +61,42 @@
     Invalid,
 }
 
-/// A change id that was seen.
+/// The id and verdict of a change that was evaluated.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-struct Seen {
+struct JudgedId {
     id: ChangeId,
     offset: Offset,
     verdict: Verdict,
 }
 
-/// What the fold remembers; the part of its state beside the tree.
+/// The fold's record of past changes, stored in snapshots next to the tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Memory {
+pub(crate) struct ChangeHistory {
     history: VecDeque<Entry>,
-    order: VecDeque<Seen>,
+    order: VecDeque<JudgedId>,
     touched: BTreeMap<TreePath, Offset>,
     horizon: Offset,
     #[serde(skip)]
     ids: BTreeMap<ChangeId, (Offset, Verdict)>,
 }
 
-impl Memory {
-    /// Rebuilds what a snapshot leaves out, or refuses more than the bounds allow.
-    pub(crate) fn restored(mut self) -> Option<Self> {
+impl ChangeHistory {
+    /// Rebuilds the id index, which snapshots omit; `None` if a bound is exceeded.
+    pub(crate) fn with_id_index(mut self) -> Option<Self> {
         let fits = self.history.len() <= HISTORY
             && self.order.len() <= IDS
             && self.touched.len() <= TOUCHED;
-        let entry = |seen: &Seen| (seen.id, (seen.offset, seen.verdict));
+        let entry = |seen: &JudgedId| (seen.id, (seen.offset, seen.verdict));
         self.ids = self.order.iter().map(entry).collect();
         fits.then_some(self)
     }
 
-    /// Offset of the first record of a change.
+    /// Offset of the first record with this change id.
     pub(crate) fn seen(&self, id: &ChangeId) -> Option<Offset> {
         self.ids.get(id).map(|(offset, _)| *offset)
     }
 
-    /// What became of a change; without findings once it left the history.
+    /// Outcome of a change; without its findings once it has left the history.
     pub(crate) fn outcome(&self, id: &ChangeId) -> Option<Outcome> {
         let (offset, verdict) = self.ids.get(id)?;
         if let Some(entry) = self.entry(*offset) {
@@ -108,7 +108,7 @@
             },
             Verdict::Conflict(winner) => Outcome::Conflict {
                 winner: *winner,
-                path: forgotten(),
+                path: evicted_path(),
                 by: None,
             },
             Verdict::Invalid => {
@@ -135,7 +135,7 @@
         self.history.get(at)
     }
 
-    /// The change that touched one of these paths after the base, if any.
+    /// Checks the change's base; returns the outcome to report if it is stale or invalid.
     pub(crate) fn conflict(&self, change: &Change, offset: Offset) -> Option<Outcome> {
         let first = &change.edits.first()?.path;
         if change.base < self.horizon {
@@ -146,20 +146,20 @@
             });
         }
         if change.base > offset {
-            // A base ahead of the log was made up or belongs to another log; to trust it would
+            // A base ahead of the log is fabricated or belongs to another log. Trusting it would
             // hide every conflict.
             let mut findings = Findings::default();
             let wrong = format!("revision {} is not there yet", change.base);
             findings.add("base", wrong, format!("a revision up to {offset}"));
             return Some(Outcome::Invalid(findings));
         }
-        let newer = |edit: &crate::change::Edit| self.newest(&edit.path);
+        let newer = |edit: &crate::change::Edit| self.newest_overlap(&edit.path);
         let all = change.edits.iter().filter_map(newer);
         let (path, winner) = all.max_by_key(|(_, revision)| *revision)?;
-        (winner > change.base).then(|| self.lost(path, winner))
+        (winner > change.base).then(|| self.conflict_with(path, winner))
     }
 
-    fn lost(&self, path: &TreePath, winner: Offset) -> Outcome {
+    fn conflict_with(&self, path: &TreePath, winner: Offset) -> Outcome {
         let entry = winner
             .0
             .checked_sub(1)
@@ -171,8 +171,8 @@
         }
     }
 
-    /// The newest touch of a path, of one above it or of one below it.
-    fn newest(&self, path: &TreePath) -> Option<(&TreePath, Offset)> {
+    /// The most recently modified path among a path, its ancestors and its descendants.
+    fn newest_overlap(&self, path: &TreePath) -> Option<(&TreePath, Offset)> {
         let text = path.as_str();
         let ends = text.match_indices('/').map(|(at, _)| at);
         let above = ends.filter_map(|at| text[..at].parse::<TreePath>().ok());
@@ -188,7 +188,7 @@
         all.max_by_key(|(_, revision)| *revision)
     }
 
-    /// Remembers a judged change.
+    /// Records an evaluated change and its outcome.
     pub(crate) fn note(
         &mut self,
         offset: Offset,
@@ -208,9 +208,9 @@
                 .iter()
                 .map(|edit| (edit.path.clone(), revision));
             self.touched.extend(paths);
-            self.forget_paths();
+            self.evict_paths();
         }
-        self.remember(Seen {
+        self.record_id(JudgedId {
             id: change.id,
             offset,
             verdict,
@@ -218,7 +218,7 @@
         let paths = change
             .edits
             .iter()
-            .take(SHOWN)
+            .take(MAX_DETAILS)
             .map(|edit| edit.path.clone());
         self.history.push_back(Entry {
             id: change.id,
@@ -236,7 +236,7 @@
         }
     }
 
-    fn remember(&mut self, seen: Seen) {
+    fn record_id(&mut self, seen: JudgedId) {
         self.ids.insert(seen.id, (seen.offset, seen.verdict));
         self.order.push_back(seen);
         if self.order.len() > IDS
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Drops the older half of the touched paths when there are too many.
-    fn forget_paths(&mut self) {
+    /// Evicts the older half of the modified paths when there are more than [`TOUCHED`].
+    fn evict_paths(&mut self) {
         if self.touched.len() <= TOUCHED {
             return;
         }
@@ -259,13 +259,13 @@
     }
 }
 
-fn forgotten() -> TreePath {
+fn evicted_path() -> TreePath {
     "no-longer-kept".parse().expect("a constant path is valid")
 }
 
 fn shortened(outcome: &Outcome) -> Outcome {
     match outcome {
-        Outcome::Invalid(findings) => Outcome::Invalid(findings.shortened(SHOWN)),
+        Outcome::Invalid(findings) => Outcome::Invalid(findings.shortened(MAX_DETAILS)),
         other => other.clone(),
     }
 }
--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -1,16 +1,16 @@
-//! The fold of changes into the settings in force.
+//! Deterministic fold of the settings log into the effective settings.
 //!
-//! Every process feeds the records of the settings stream to a [`Fold`] in order of offset. The
-//! same pure function thereby decides everywhere, without a word between processes, which changes
-//! are accepted: a change wins if nobody touched one of its paths after its base, and takes effect
-//! only if each of its edits is valid in itself, even one that a later edit of the same change
-//! replaces, and the whole tree is valid with all of them. Racing operators so get one winner, and
-//! the other learns who won. Nothing but record offsets and contents goes into a decision: no
-//! clock, no randomness, no setting of the process.
+//! Every process applies the records of the settings stream to a [`Fold`] in offset order. All
+//! processes therefore accept the same changes without coordinating. A change is accepted if none
+//! of its paths was modified after its base, each of its edits is valid on its own (even one that
+//! a later edit of the same change replaces), and the tree is valid with all of them applied. Of
+//! two concurrent changes to one path, the first in the log is accepted and the other's author is
+//! told who published it. A decision depends only on record offsets and contents: not on a clock,
+//! randomness or the process's own configuration.
 //!
-//! Positions only move forward. A record before [`Fold::next`] is not looked at again, and a
-//! snapshot that covers no more than is already folded is not adopted. A reader that finds its
-//! next offset expired looks for a snapshot and reads on from [`Fold::next`].
+//! Positions only move forward. Records before [`Fold::next`] are ignored, and a snapshot that
+//! covers no more than was already applied is not adopted. A reader whose next offset has expired
+//! finds a snapshot, adopts it and continues from [`Fold::next`].
 
 pub mod memory;
 pub mod outcome;
@@ -20,29 +20,29 @@
 pub use outcome::Outcome;
 
 use crate::catalogue::Catalogue;
-use crate::catalogue::resolve::{Homes, Items, Staged, stage, touched};
+use crate::catalogue::resolve::{GroupIndex, Items, Staged, stage, touched};
 use crate::change::{Change, ChangeId, RecordKind, unframe};
 use crate::findings::Findings;
 use crate::tree::Tree;
 use crate::tree::edit::{self, Step};
-use memory::Memory;
+use memory::ChangeHistory;
 use sesamegap_wire::Offset;
 use std::sync::Arc;
 
-/// The settings in force after some record, and what is needed to judge the next.
+/// The effective settings at a log position, with the state needed to evaluate the next record.
 #[derive(Debug, Clone, Default)]
 pub struct Fold {
     next: Offset,
     tree: Tree,
     catalogue: Arc<Catalogue>,
-    homes: Homes,
-    memory: Memory,
+    group_index: GroupIndex,
+    memory: ChangeHistory,
 }
 
 impl Fold {
-    /// Takes in one record of the settings stream.
+    /// Applies one record of the settings stream.
     ///
-    /// `time_ms` is the log's time of the record; it is only noted in the history.
+    /// `time_ms` is the log's timestamp of the record; it is only stored in the history.
     pub fn apply(&mut self, offset: Offset, time_ms: u64, body: &[u8]) -> Outcome {
         if offset < self.next {
             return Outcome::Passed;
@@ -66,40 +66,40 @@
         }
     }
 
-    /// Offset of the next record to take in.
+    /// Offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Offset after that of the last change accepted.
+    /// Offset following that of the last accepted change.
     pub fn revision(&self) -> Offset {
         self.catalogue.revision
     }
 
-    /// The settings in force.
+    /// The effective settings.
     pub fn catalogue(&self) -> Arc<Catalogue> {
         Arc::clone(&self.catalogue)
     }
 
-    /// The tree as operators wrote it.
+    /// The tree as written by operators, with inheritance unresolved.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// What became of a change, as far back as ids are remembered.
+    /// Outcome of a change; `None` once its id has been evicted.
     pub fn outcome(&self, id: &ChangeId) -> Option<Outcome> {
         self.memory.outcome(id)
     }
 
-    /// The last changes judged, oldest first, at most [`HISTORY`].
+    /// The last evaluated changes, oldest first, at most [`HISTORY`].
     pub fn history(&self) -> impl Iterator<Item = &Entry> {
         self.memory.history()
     }
 
-    /// Judges a change as if it came next, without taking it in.
+    /// Evaluates a change as if it were the next record, without applying it.
     ///
-    /// A router asks this before it appends, so that a faulty change costs no record; what counts
-    /// is still the judgement at the record's offset.
+    /// A router calls this before it appends, so that an invalid change costs no log record. The
+    /// outcome at the record's actual offset is still the one that counts.
     pub fn rehearse(&mut self, change: &Change) -> Outcome {
         if let Some(offset) = self.memory.seen(&change.id) {
             return Outcome::Duplicate { of: offset };
@@ -123,19 +123,19 @@
         }
         let outcome = match self.memory.conflict(change, offset) {
             Some(conflict) => conflict,
-            None => self.attempt(offset, change),
+            None => self.apply_change(offset, change),
         };
         self.memory.note(offset, time_ms, change, &outcome);
         outcome
     }
 
-    fn attempt(&mut self, offset: Offset, change: &Change) -> Outcome {
+    fn apply_change(&mut self, offset: Offset, change: &Change) -> Outcome {
         let (undo, staged) = self.stage(change);
         match staged {
             Ok(staged) => {
                 let revision = offset.next();
                 let catalogue = Arc::make_mut(&mut self.catalogue);
-                staged.commit(catalogue, &mut self.homes);
+                staged.commit(catalogue, &mut self.group_index);
                 catalogue.revision = revision;
                 Outcome::Accepted { revision }
             }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Applies a change's edits to the tree and checks the result; the steps back come with it.
+    /// Applies a change's edits to the tree and validates it; also returns the undo steps.
     fn stage(&mut self, change: &Change) -> (Vec<Step>, Result<Staged, Findings>) {
         let mut findings = Findings::default();
         let read = |edit| Some((edit, edit::step(edit, &mut findings)?));
@@ -173,7 +173,7 @@
         let after = items(&self.tree);
         let staged = stage(
             &self.catalogue,
-            &self.homes,
+            &self.group_index,
             &self.tree,
             before,
             after,
@@ -189,7 +189,7 @@
     fn undo(&mut self, undo: Vec<Step>) {
         for step in undo.into_iter().rev() {
             let back = self.tree.set(step);
-            debug_assert!(back.is_ok(), "a step back leads to what stood there");
+            debug_assert!(back.is_ok(), "an undo step restores the previous value");
         }
     }
 }
--- a/crates/sesamegap-settings/src/fold/outcome.rs
+++ b/crates/sesamegap-settings/src/fold/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a record.
+//! Results of applying a record.
 
 use crate::findings::Findings;
 use crate::tree::TreePath;
@@ -7,39 +7,40 @@
 use smol_str::SmolStr;
 use std::fmt;
 
-/// What the fold made of a record.
+/// Result of applying a record to the fold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 #[non_exhaustive]
 pub enum Outcome {
-    /// In force from now on.
+    /// The change is now in effect.
     Accepted {
-        /// The revision that it made.
+        /// The revision that the change created.
         revision: Offset,
     },
-    /// Another change touched the same place after this one's base.
+    /// Another change modified the same path, or one above or below it, after this one's base.
     Conflict {
-        /// Revision of the change that won; the oldest base still judged, if that is why.
+        /// Revision of the conflicting change, or the oldest base that can still be checked if
+        /// this one's is older.
         winner: Offset,
-        /// The path that both touched.
+        /// The path in conflict.
         path: TreePath,
-        /// Who published the winner, as far as history reaches.
+        /// Who published the conflicting change; `None` if it is no longer in the history.
         by: Option<SmolStr>,
     },
-    /// The tree would not be valid with it.
+    /// The change, or the tree with it applied, is invalid.
     Invalid(Findings),
-    /// The change at this offset, appended again.
+    /// Another record of a change that was already evaluated.
     Duplicate {
         /// Offset of the first record of the change.
         of: Offset,
     },
-    /// A snapshot; it changes nothing for a process that has read all before it.
+    /// A snapshot; it has no effect on a process that has applied all records before it.
     Snapshot,
-    /// No record of a known format.
+    /// The record's format is unknown, or its content cannot be decoded.
     Unreadable,
-    /// Folded before.
+    /// The record is before the fold's position and was ignored.
     Passed,
-    /// Records are missing before this one; nothing was taken in.
+    /// Records before this one are missing; it was not applied.
     Gap {
         /// The offset to read first.
         next: Offset,
--- a/crates/sesamegap-settings/src/fold/snapshot.rs
+++ b/crates/sesamegap-settings/src/fold/snapshot.rs
@@ -1,7 +1,7 @@
-//! The fold's state as a record, so that retention may drop all records before it.
+//! Snapshots of the fold's state as log records, so that retention can drop all earlier records.
 
 use super::Fold;
-use super::memory::Memory;
+use super::memory::ChangeHistory;
 use crate::catalogue::resolve::resolve_all;
 use crate::change::{RecordKind, decode, frame, unframe};
 use crate::error::SettingsError;
@@ -12,19 +12,19 @@
 use sesamegap_wire::Offset;
 use std::sync::Arc;
 
-/// Largest snapshot, in bytes, several times that of 35,000 teams.
+/// Maximum snapshot size in bytes, several times the size with 35,000 teams.
 pub const MAX_SNAPSHOT: usize = 64 << 20;
 
-/// A snapshot record: bytes of a state, and their hash.
+/// Content of a snapshot record: the encoded state and its hash.
 #[derive(Debug, Serialize, Deserialize)]
-struct Sealed {
+struct SnapshotRecord {
     next: Offset,
     hash: [u8; 32],
     #[serde(with = "bytes")]
     state: Vec<u8>,
 }
 
-/// The state itself.
+/// The fold's state as stored in a snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 struct State<M> {
     next: Offset,
@@ -34,9 +34,9 @@
 }
 
 impl Fold {
-    /// The state before [`Fold::next`] as a record body, with its hash.
+    /// Encodes the state before [`Fold::next`] as a record body, with its hash.
     ///
-    /// Folds that have taken in the same records make the same bytes.
+    /// Folds that have applied the same records produce identical bytes.
     ///
     /// # Panics
     /// If the state cannot be encoded, which is a bug.
@@ -48,31 +48,31 @@
             memory: &self.memory,
         };
         let state = rmp_serde::to_vec_named(&state).expect("the state can be encoded");
-        let sealed = Sealed {
+        let record = SnapshotRecord {
             next: self.next,
             hash: *blake3::hash(&state).as_bytes(),
             state,
         };
-        frame(RecordKind::Snapshot, &sealed).expect("a snapshot can be encoded")
+        frame(RecordKind::Snapshot, &record).expect("a snapshot can be encoded")
     }
 
-    /// Takes over the state of a snapshot if it covers more; says whether it did.
+    /// Replaces the state with a snapshot's if that is newer; returns whether it was.
     ///
     /// # Errors
-    /// If the body is no snapshot, its hash does not match, or its tree is not valid. Nothing
-    /// changes then.
+    /// If the body is not a snapshot, its hash does not match, or its tree is invalid. The fold is
+    /// unchanged in that case.
     pub fn adopt(&mut self, body: &[u8]) -> Result<bool, SettingsError> {
-        let sealed = unseal(body)?;
-        if sealed.next <= self.next {
+        let record = decode_record(body)?;
+        if record.next <= self.next {
             return Ok(false);
         }
-        // A snapshot damaged on its way, or cut short, would put wrong settings in force on one
-        // router alone, and nobody would notice until callers complain.
-        if blake3::hash(&sealed.state) != blake3::Hash::from_bytes(sealed.hash) {
+        // A snapshot corrupted or truncated in transit would put wrong settings into effect on a
+        // single router, unnoticed until callers complain.
+        if blake3::hash(&record.state) != blake3::Hash::from_bytes(record.hash) {
             return Err(SettingsError::Mismatch);
         }
-        let state: State<Memory> = decode(&sealed.state)?;
-        if state.next != sealed.next || state.revision > state.next {
+        let state: State<ChangeHistory> = decode(&record.state)?;
+        if state.next != record.next || state.revision > state.next {
             return Err(SettingsError::Mismatch);
         }
         *self = restore(state)?;
@@ -80,7 +80,7 @@
     }
 }
 
-fn unseal(body: &[u8]) -> Result<Sealed, SettingsError> {
+fn decode_record(body: &[u8]) -> Result<SnapshotRecord, SettingsError> {
     if body.len() > MAX_SNAPSHOT {
         return Err(SettingsError::Oversized(
             "bytes of a snapshot",
@@ -93,14 +93,14 @@
     }
 }
 
-fn restore(state: State<Memory>) -> Result<Fold, SettingsError> {
+fn restore(state: State<ChangeHistory>) -> Result<Fold, SettingsError> {
     let mut findings = Findings::default();
     let tree = Tree::read(&state.tree, "", &mut findings);
-    let (mut catalogue, homes) = resolve_all(&tree, &mut findings);
+    let (mut catalogue, group_index) = resolve_all(&tree, &mut findings);
     if !findings.is_empty() {
         return Err(SettingsError::Invalid(findings));
     }
-    let memory = state.memory.restored();
+    let memory = state.memory.with_id_index();
     let memory = memory.ok_or(SettingsError::Oversized(
         "memory of a snapshot",
         super::TOUCHED,
@@ -110,12 +110,12 @@
         next: state.next,
         tree,
         catalogue: Arc::new(catalogue),
-        homes,
+        group_index,
         memory,
     })
 }
 
-/// Writes bytes as bytes, not as a list of numbers.
+/// Serializes a byte vector as a byte string instead of a sequence of integers.
 mod bytes {
     use serde::de::{Error, SeqAccess, Visitor};
     use serde::{Deserializer, Serializer};
--- a/crates/sesamegap-settings/src/tree/edit.rs
+++ b/crates/sesamegap-settings/src/tree/edit.rs
@@ -11,7 +11,7 @@
 
 /// What can stand at a path.
 #[derive(Debug, Clone)]
-pub(crate) enum Piece {
+pub(crate) enum NodeValue {
     Group(Box<Group>),
     Values(Values),
     Value(Value),
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Step {
     pub(crate) target: Target,
-    pub(crate) piece: Option<Piece>,
+    pub(crate) piece: Option<NodeValue>,
 }
 
 /// Reads an edit, or adds findings.
@@ -42,29 +42,29 @@
     (findings.len() == before).then_some(Step { target, piece })
 }
 
-fn piece(target: &Target, value: &Value, path: &str, findings: &mut Findings) -> Option<Piece> {
+fn piece(target: &Target, value: &Value, path: &str, findings: &mut Findings) -> Option<NodeValue> {
     match target.slot {
         Slot::Group => {
             let group = Group::read_below(value, path, target.groups.len(), findings);
-            Some(Piece::Group(Box::new(group)))
+            Some(NodeValue::Group(Box::new(group)))
         }
-        Slot::Defaults(kind, None) | Slot::Item(kind, _, None) => Some(Piece::Values(
+        Slot::Defaults(kind, None) | Slot::Item(kind, _, None) => Some(NodeValue::Values(
             reader::read(kind.fields(), value, path, findings),
         )),
         Slot::Defaults(kind, Some(index)) | Slot::Item(kind, _, Some(index)) => {
             let field = &kind.fields()[usize::from(index)];
             let fits = reader::check(field, value, path, findings);
-            fits.then(|| Piece::Value(value.clone()))
+            fits.then(|| NodeValue::Value(value.clone()))
         }
     }
 }
 
 /// Why a step could not be taken: what is wrong, and what is allowed.
-pub(crate) type Obstacle = (String, &'static str);
+pub(crate) type EditError = (String, &'static str);
 
 impl Tree {
     /// Takes a step and returns what stood there before, the step back.
-    pub(crate) fn set(&mut self, step: Step) -> Result<Step, Obstacle> {
+    pub(crate) fn set(&mut self, step: Step) -> Result<Step, EditError> {
         let Step { target, piece } = step;
         let (last, above) = match (&target.slot, target.groups.split_last()) {
             (Slot::Group, Some((last, above))) => (Some(last), above),
@@ -92,7 +92,7 @@
         Ok(Step { target, piece: old })
     }
 
-    fn descend(&mut self, names: &[SmolStr]) -> Result<&mut Group, Obstacle> {
+    fn descend(&mut self, names: &[SmolStr]) -> Result<&mut Group, EditError> {
         let mut group = &mut self.root;
         for name in names {
             group = group.groups.get_mut(name).ok_or_else(|| {
@@ -107,7 +107,7 @@
     }
 }
 
-fn missing() -> Obstacle {
+fn missing() -> EditError {
     (
         "there is nothing to remove here".to_owned(),
         "to remove what stands in the tree",
@@ -117,51 +117,51 @@
 fn set_group(
     above: &mut Group,
     name: &SmolStr,
-    piece: Option<Piece>,
-) -> Result<Option<Piece>, Obstacle> {
+    piece: Option<NodeValue>,
+) -> Result<Option<NodeValue>, EditError> {
     let old = match piece {
-        Some(Piece::Group(group)) => above.groups.insert(name.clone(), *group),
+        Some(NodeValue::Group(group)) => above.groups.insert(name.clone(), *group),
         _ => Some(above.groups.remove(name).ok_or_else(missing)?),
     };
-    Ok(old.map(|group| Piece::Group(Box::new(group))))
+    Ok(old.map(|group| NodeValue::Group(Box::new(group))))
 }
 
 fn set_item(
     group: &mut Group,
     kind: Kind,
     name: &SmolStr,
-    piece: Option<Piece>,
-) -> Result<Option<Piece>, Obstacle> {
+    piece: Option<NodeValue>,
+) -> Result<Option<NodeValue>, EditError> {
     let items = &mut group.items[kind as usize];
     let old = match piece {
-        Some(Piece::Values(values)) => items.insert(name.clone(), values),
+        Some(NodeValue::Values(values)) => items.insert(name.clone(), values),
         _ => Some(items.remove(name).ok_or_else(missing)?),
     };
-    Ok(old.map(Piece::Values))
+    Ok(old.map(NodeValue::Values))
 }
 
 /// Sets all values of an object, or one of them.
 fn set_values(
     own: &mut Values,
     field: Option<u8>,
-    piece: Option<Piece>,
-) -> Result<Option<Piece>, Obstacle> {
+    piece: Option<NodeValue>,
+) -> Result<Option<NodeValue>, EditError> {
     let Some(index) = field else {
         let values = match piece {
-            Some(Piece::Values(values)) => values,
+            Some(NodeValue::Values(values)) => values,
             _ => Values::new(),
         };
-        return Ok(Some(Piece::Values(std::mem::replace(own, values))));
+        return Ok(Some(NodeValue::Values(std::mem::replace(own, values))));
     };
     let at = own.binary_search_by_key(&index, |(index, _)| *index);
     let old = match (at, piece) {
-        (Ok(at), Some(Piece::Value(value))) => Some(std::mem::replace(&mut own[at].1, value)),
+        (Ok(at), Some(NodeValue::Value(value))) => Some(std::mem::replace(&mut own[at].1, value)),
         (Ok(at), _) => Some(own.remove(at).1),
-        (Err(at), Some(Piece::Value(value))) => {
+        (Err(at), Some(NodeValue::Value(value))) => {
             own.insert(at, (index, value));
             None
         }
         (Err(_), _) => return Err(missing()),
     };
-    Ok(old.map(Piece::Value))
+    Ok(old.map(NodeValue::Value))
 }
--- a/crates/sesamegap-settings/tests/testsuite/fuzz.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fuzz.rs
@@ -35,7 +35,7 @@
 
 /// One thing that happens.
 #[derive(Debug, Clone)]
-enum Act {
+enum Action {
     /// An operator publishes edits, based on a revision this many records old.
     Publish(Vec<(u8, u8)>, u8),
     /// A former append is repeated.
@@ -54,7 +54,7 @@
     Send(u8, u8),
 }
 
-impl Arbitrary for Act {
+impl Arbitrary for Action {
     fn arbitrary(g: &mut Gen) -> Self {
         let byte = u8::arbitrary;
         match byte(g) % 16 {
@@ -77,14 +77,14 @@
 }
 
 #[derive(Debug, Clone)]
-struct Script(Vec<Act>);
+struct Script(Vec<Action>);
 
 impl Arbitrary for Script {
     fn arbitrary(g: &mut Gen) -> Self {
         // Most scripts start from a tree in which something can go on.
         let start =
-            [(0, 0), (2, 0), (3, 0), (4, 1), (9, 0)].map(|edit| Act::Publish(vec![edit], 0));
-        let acts: Vec<Act> = Vec::arbitrary(g);
+            [(0, 0), (2, 0), (3, 0), (4, 1), (9, 0)].map(|edit| Action::Publish(vec![edit], 0));
+        let acts: Vec<Action> = Vec::arbitrary(g);
         Self(start.into_iter().chain(acts).collect())
     }
 
@@ -129,7 +129,7 @@
     /// A change wins over what its author has not seen.
     IgnoresBase,
     /// The edits of a change take effect one by one.
-    Halves,
+    AppliesPartially,
     /// A repeated append counts as a change of its own.
     ForgetsIds,
     /// Any snapshot is taken over, also an older one.
@@ -155,7 +155,7 @@
                 let base = self.0.revision();
                 self.feed(offset, &Change { id, base, ..change });
             }
-            (Fault::Halves, Ok(change)) if change.edits.len() > 1 => {
+            (Fault::AppliesPartially, Ok(change)) if change.edits.len() > 1 => {
                 let mut first = change.clone();
                 first.edits.truncate(1);
                 self.feed(offset, &first);
@@ -185,7 +185,7 @@
 }
 
 /// The log, the processes, and what the oracle says of each position.
-struct World {
+struct Cluster {
     fault: Fault,
     log: Vec<Vec<u8>>,
     oldest: usize,
@@ -195,7 +195,7 @@
     snapshots: Vec<Option<Vec<u8>>>,
 }
 
-impl World {
+impl Cluster {
     fn new(fault: Fault) -> Self {
         Self {
             fault,
@@ -216,31 +216,31 @@
         self.log.push(body);
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &Action) {
         match act {
-            Act::Publish(edits, old) => self.publish(edits, usize::from(*old)),
-            Act::Repeat(which) if !self.sent.is_empty() => {
+            Action::Publish(edits, old) => self.publish(edits, usize::from(*old)),
+            Action::Repeat(which) if !self.sent.is_empty() => {
                 let body = self.sent[usize::from(*which) % self.sent.len()].clone();
                 self.append(body);
             }
-            Act::Repeat(_) => {}
-            Act::Garbage(bytes) => self.append(bytes.clone()),
-            Act::Read(who, count) => {
+            Action::Repeat(_) => {}
+            Action::Garbage(bytes) => self.append(bytes.clone()),
+            Action::Read(who, count) => {
                 for _ in 0..*count {
                     self.read(usize::from(*who) % PROCESSES);
                 }
             }
-            Act::Snapshot(who) => {
+            Action::Snapshot(who) => {
                 let body = self.processes[usize::from(*who) % PROCESSES].0.snapshot();
                 self.append(body);
             }
-            Act::Expire(count) => {
+            Action::Expire(count) => {
                 self.oldest = (self.oldest + usize::from(*count)).min(self.log.len());
             }
-            Act::Restart(who) => {
+            Action::Restart(who) => {
                 self.processes[usize::from(*who) % PROCESSES] = Process::default();
             }
-            Act::Send(from, to) => {
+            Action::Send(from, to) => {
                 let body = self.processes[usize::from(*from) % PROCESSES].0.snapshot();
                 let fault = self.fault;
                 self.processes[usize::from(*to) % PROCESSES].adopt(&body, fault);
@@ -316,17 +316,17 @@
 }
 
 fn run(script: &Script, fault: Fault) -> Result<(), String> {
-    let mut world = World::new(fault);
+    let mut cluster = Cluster::new(fault);
     for act in &script.0 {
-        let before: Vec<Offset> = world.processes.iter().map(|p| p.0.next()).collect();
-        world.act(act);
-        let restarted = matches!(act, Act::Restart(_));
-        for (process, before) in world.processes.iter().zip(before) {
+        let before: Vec<Offset> = cluster.processes.iter().map(|p| p.0.next()).collect();
+        cluster.act(act);
+        let restarted = matches!(act, Action::Restart(_));
+        for (process, before) in cluster.processes.iter().zip(before) {
             if process.0.next() < before && !restarted {
                 return Err(format!("went back from {before}"));
             }
         }
-        world.check()?;
+        cluster.check()?;
     }
     Ok(())
 }
@@ -343,7 +343,7 @@
         assert!(quick(0x5e78, 300, 60).quicktest(property).is_err());
     }
     caught(|script| run(&script, Fault::IgnoresBase));
-    caught(|script| run(&script, Fault::Halves));
+    caught(|script| run(&script, Fault::AppliesPartially));
     caught(|script| run(&script, Fault::ForgetsIds));
     caught(|script| run(&script, Fault::Reverts));
     caught(|script| run(&script, Fault::SkipsGaps));
@@ -355,12 +355,12 @@
     let mut g = Gen::from_size_and_seed(60, 0x5e79);
     let mut seen = [0; 4];
     for _ in 0..200 {
-        let mut world = World::new(Fault::None);
+        let mut cluster = Cluster::new(Fault::None);
         for act in &Script::arbitrary(&mut g).0 {
-            world.act(act);
+            cluster.act(act);
         }
         let mut fold = Fold::default();
-        for (offset, body) in (0..).map(Offset).zip(&world.log) {
+        for (offset, body) in (0..).map(Offset).zip(&cluster.log) {
             match fold.apply(offset, 0, body) {
                 Outcome::Accepted { .. } => seen[0] += 1,
                 Outcome::Conflict { .. } => seen[1] += 1,
@@ -375,10 +375,10 @@
 
 /// Rehearses each change of a script right before it is judged.
 fn rehearses(script: &Script, rehearse: fn(&mut Fold, &Change) -> Outcome) -> Result<(), String> {
-    let mut world = World::new(Fault::None);
-    script.0.iter().for_each(|act| world.act(act));
+    let mut cluster = Cluster::new(Fault::None);
+    script.0.iter().for_each(|act| cluster.act(act));
     let mut fold = Fold::default();
-    for (offset, body) in (0..).map(Offset).zip(&world.log) {
+    for (offset, body) in (0..).map(Offset).zip(&cluster.log) {
         if let Ok(change) = Change::decode(body) {
             let before = (fold.snapshot(), fold.catalogue());
             let told = rehearse(&mut fold, &change);
--- a/crates/sesamegap-settings/tests/testsuite/inherit.rs
+++ b/crates/sesamegap-settings/tests/testsuite/inherit.rs
@@ -11,9 +11,9 @@
 
 /// A valid tree of groups three deep, with names drawn from one sequence.
 #[derive(Debug, Clone)]
-struct Wood(Value);
+struct RandomTree(Value);
 
-impl Arbitrary for Wood {
+impl Arbitrary for RandomTree {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut root = group(g, 3, &mut 0);
         root["classes"]["standard"] = json!({});
@@ -102,15 +102,15 @@
     Ok(())
 }
 
-fn inherits(wood: &Wood, resolve: Resolve) -> Result<(), String> {
+fn inherits(random: &RandomTree, resolve: Resolve) -> Result<(), String> {
     let mut findings = Findings::default();
-    let tree = Tree::read(&wood.0, "", &mut findings);
+    let tree = Tree::read(&random.0, "", &mut findings);
     let catalogue = Catalogue::resolve(&tree, &mut findings);
     if !findings.is_empty() {
         return Err(findings.to_string());
     }
-    compare(&tree, &wood.0, &[], resolve)?;
-    if tree.to_value() == tidy(&wood.0) && catalogue.revision == Offset(0) {
+    compare(&tree, &random.0, &[], resolve)?;
+    if tree.to_value() == tidy(&random.0) && catalogue.revision == Offset(0) {
         Ok(())
     } else {
         Err("the tree is written otherwise than read".to_owned())
@@ -119,14 +119,14 @@
 
 #[test]
 fn each_value_is_the_nearest_on_the_way_to_the_root() {
-    let sound: fn(Wood) -> Result<(), String> = |wood| inherits(&wood, Tree::effective);
+    let sound: fn(RandomTree) -> Result<(), String> = |random| inherits(&random, Tree::effective);
     quick(0x1e, 200, 30).quickcheck(sound);
 }
 
 #[test]
 fn broken_inheritance_is_caught() {
     /// Lets the root's defaults win over those of the groups below.
-    fn upside_down(tree: &Tree, path: &TreePath) -> Option<Vec<Effective>> {
+    fn root_defaults_win(tree: &Tree, path: &TreePath) -> Option<Vec<Effective>> {
         let kind = if path.as_str().contains("teams/") {
             "team"
         } else {
@@ -141,15 +141,16 @@
         }
         Some(all)
     }
-    let broken: fn(Wood) -> Result<(), String> = |wood| inherits(&wood, upside_down);
+    let broken: fn(RandomTree) -> Result<(), String> =
+        |random| inherits(&random, root_defaults_win);
     assert!(quick(0x1f, 200, 30).quicktest(broken).is_err());
 }
 
 #[test]
 fn the_differences_lead_from_one_tree_to_the_other() {
-    fn publish(fold: &mut Fold, wood: &Wood) -> Result<(), String> {
+    fn publish(fold: &mut Fold, random: &RandomTree) -> Result<(), String> {
         let mut findings = Findings::default();
-        let wanted = Tree::read(&wood.0, "", &mut findings);
+        let wanted = Tree::read(&random.0, "", &mut findings);
         let edits = diff(fold.tree(), &wanted);
         if !edits.is_empty() {
             let change = Change {
@@ -171,7 +172,7 @@
             Err("another tree".to_owned())
         }
     }
-    let sound: fn(Wood, Wood) -> Result<(), String> = |first, second| {
+    let sound: fn(RandomTree, RandomTree) -> Result<(), String> = |first, second| {
         let mut fold = Fold::default();
         publish(&mut fold, &first)?;
         publish(&mut fold, &second)?;
