--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -100,7 +100,7 @@
     ///
     /// A router calls this before it appends, so that an invalid change costs no log record. The
     /// outcome at the record's actual offset is still the one that counts.
-    pub fn rehearse(&mut self, change: &Change) -> Outcome {
+    pub fn dry_run(&mut self, change: &Change) -> Outcome {
         if let Some(offset) = self.memory.seen(&change.id) {
             return Outcome::Duplicate { of: offset };
         }
--- a/crates/sesamegap-settings/tests/testsuite/fuzz.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fuzz.rs
@@ -374,14 +374,14 @@
 }
 
 /// Rehearses each change of a script right before it is judged.
-fn rehearses(script: &Script, rehearse: fn(&mut Fold, &Change) -> Outcome) -> Result<(), String> {
+fn rehearses(script: &Script, dry_run: fn(&mut Fold, &Change) -> Outcome) -> Result<(), String> {
     let mut cluster = Cluster::new(Fault::None);
     script.0.iter().for_each(|act| cluster.act(act));
     let mut fold = Fold::default();
     for (offset, body) in (0..).map(Offset).zip(&cluster.log) {
         if let Ok(change) = Change::decode(body) {
             let before = (fold.snapshot(), fold.catalogue());
-            let told = rehearse(&mut fold, &change);
+            let told = dry_run(&mut fold, &change);
             if (fold.snapshot(), fold.catalogue()) != before {
                 return Err(format!("the rehearsal at {offset} left something behind"));
             }
@@ -398,7 +398,7 @@
 
 #[test]
 fn a_rehearsal_tells_the_outcome_and_changes_nothing() {
-    let sound: fn(Script) -> Result<(), String> = |script| rehearses(&script, Fold::rehearse);
+    let sound: fn(Script) -> Result<(), String> = |script| rehearses(&script, Fold::dry_run);
     quick(0x5e7a, 300, 60).quickcheck(sound);
 }
 
--- a/crates/sesamegap-settings/tests/testsuite/limits.rs
+++ b/crates/sesamegap-settings/tests/testsuite/limits.rs
@@ -50,7 +50,7 @@
     let mut fold = started();
     let old = change(2, 1, "teams/a/weight", json!(7));
     let mut names = 0..;
-    while fold.rehearse(&old)
+    while fold.dry_run(&old)
         == (Outcome::Accepted {
             revision: fold.next().next(),
         })
--- a/crates/sesamegap/src/admin/mod.rs
+++ b/crates/sesamegap/src/admin/mod.rs
@@ -163,7 +163,7 @@
     if change.base > fold.next() {
         return None;
     }
-    match fold.rehearse(change) {
+    match fold.dry_run(change) {
         Outcome::Accepted { .. } => None,
         Outcome::Duplicate { .. } => answer(fold, change.id),
         refused => from_outcome(change.id, refused),
