--- a/crates/sesamegap-settings/src/change/mod.rs
+++ b/crates/sesamegap-settings/src/change/mod.rs
@@ -1,8 +1,8 @@
-//! A change of settings as it travels through the log.
+//! Settings changes and their encoding as log records.
 //!
-//! Its id is of the author's choosing, so that an append repeated after a lost answer is known to
-//! be the same change. Its base is the revision its author had seen: if another change has
-//! touched one of its paths since, the author decided on something that no longer stood.
+//! The author chooses a change's id, so that an append retried after a lost response is recognised
+//! as the same change. The base is the revision the author had read: if another change has since
+//! modified one of the paths, the author's decision was based on outdated values.
 
 use crate::error::SettingsError;
 use crate::tree::TreePath;
@@ -14,22 +14,22 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Largest change as a record, in bytes; a log of operators' changes is not a file store.
+/// Maximum size of a change's record in bytes; the log of changes is not a file store.
 pub const MAX_CHANGE: usize = 1 << 20;
 
-/// Most edits in one change, enough to create a thousand teams at once.
+/// Maximum number of edits in one change, enough to create a thousand teams at once.
 pub const MAX_EDITS: usize = 1024;
 
-/// Longest name of an author, in bytes.
+/// Maximum length of an author's name, in bytes.
 pub const MAX_BY: usize = 64;
 
-/// Longest note, in bytes.
+/// Maximum length of a note, in bytes.
 pub const MAX_NOTE: usize = 512;
 
-/// Version of the records' format. Another is published only once all routers read it.
+/// Record format version. A new version may be written only once all routers can read it.
 const FORMAT: u8 = 1;
 
-/// What a record holds, as its second byte.
+/// Type of a record, encoded as its second byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum RecordKind {
@@ -37,7 +37,7 @@
     Snapshot = b's',
 }
 
-/// Frames a record body.
+/// Encodes a record body: format version, record kind and content.
 pub(crate) fn frame<T: Serialize>(kind: RecordKind, value: &T) -> Result<Vec<u8>, SettingsError> {
     let mut body = vec![FORMAT, kind as u8];
     rmp_serde::encode::write_named(&mut body, value)
@@ -45,7 +45,7 @@
     Ok(body)
 }
 
-/// The kind and content of a record body, if its format is known.
+/// Splits a record body into kind and content; `None` if its format is unknown.
 pub(crate) fn unframe(body: &[u8]) -> Option<(RecordKind, &[u8])> {
     match body {
         [FORMAT, b'c', content @ ..] => Some((RecordKind::Change, content)),
@@ -54,12 +54,12 @@
     }
 }
 
-/// Decodes a record's content.
+/// Decodes the content of a record, as returned by [`unframe`].
 pub(crate) fn decode<T: DeserializeOwned>(content: &[u8]) -> Result<T, SettingsError> {
     rmp_serde::from_slice(content).map_err(|e| SettingsError::Malformed(e.to_string()))
 }
 
-/// Identifies a change, however often it is appended.
+/// Identifies a change across repeated appends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u128);
 
@@ -100,28 +100,28 @@
     }
 }
 
-/// One value set or removed.
+/// Sets or removes the value at one path.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Where.
+    /// Path of the value.
     pub path: TreePath,
-    /// The new value; `None` removes what stands there, so that it is inherited again.
+    /// The new value; `None` removes the current one, so that it is inherited again.
     #[serde(default)]
     pub value: Option<Value>,
 }
 
-/// Edits that take effect together or not at all.
+/// A set of edits that is applied atomically.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Identifies the change.
     pub id: ChangeId,
-    /// Revision its author had seen, checked for each path.
+    /// Revision its author had read; each path is checked for later modifications.
     pub base: Offset,
     /// Who published it.
     pub by: SmolStr,
-    /// Why.
+    /// The author's note on why the change is made.
     pub note: String,
-    /// What it sets and removes, in order.
+    /// Edits, applied in order.
     pub edits: Vec<Edit>,
 }
 
@@ -129,7 +129,7 @@
     /// Encodes the change as the body of a log record.
     ///
     /// # Errors
-    /// If it exceeds one of this module's bounds.
+    /// If the change has no edits, exceeds one of this module's limits or cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, SettingsError> {
         self.bounded()?;
         let body = frame(RecordKind::Change, self)?;
@@ -142,7 +142,7 @@
     /// Decodes the body of a log record.
     ///
     /// # Errors
-    /// If it is no change of a known format or exceeds a bound.
+    /// If the body is not a change in a known format, has no edits or exceeds a limit.
     pub fn decode(body: &[u8]) -> Result<Self, SettingsError> {
         if body.len() > MAX_CHANGE {
             return Err(SettingsError::Oversized("bytes of a change", MAX_CHANGE));
--- a/crates/sesamegap-settings/src/document/mod.rs
+++ b/crates/sesamegap-settings/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! A settings file in JSON with comments, with the place of each value.
+//! Parsing of settings files (JSON with comments) that keeps the source location of each value.
 
 use crate::error::SettingsError;
 use crate::findings::{Finding, Findings, Place, shown};
@@ -9,10 +9,10 @@
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
-/// Largest file read, in bytes; the tree of 35,000 teams is a third of it.
+/// Maximum file size in bytes; the tree of 35,000 teams takes a third of it.
 pub const MAX_FILE: usize = 32 << 20;
 
-/// What the parser takes besides plain JSON: comments and trailing commas, nothing looser.
+/// Extensions to JSON that the parser accepts: comments and trailing commas only.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -26,23 +26,24 @@
     allow_extended_string_escapes: false,
 };
 
-/// A file that was read.
+/// A parsed settings file.
 #[derive(Debug)]
 pub struct Document {
     file: String,
     value: Value,
-    /// Byte position of each value, or of its key, by path.
+    /// Byte offset of each value, or of its key for a duplicate, by path.
     starts: BTreeMap<String, usize>,
-    /// Byte position of the start of each line.
+    /// Byte offset of the start of each line.
     lines: Vec<usize>,
     text: String,
 }
 
 impl Document {
-    /// Parses a file's text; `file` is the name that findings show.
+    /// Parses the text of a file; `file` is the name shown in findings.
     ///
     /// # Errors
-    /// With findings, if the text is not JSON with comments or has a key twice.
+    /// If the text exceeds [`MAX_FILE`], or with findings if it is not JSON with comments or
+    /// contains a duplicate key.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         if text.len() > MAX_FILE {
             return Err(SettingsError::Oversized("bytes of a file", MAX_FILE));
@@ -73,14 +74,14 @@
         }
     }
 
-    /// The content.
+    /// The parsed content.
     pub fn value(&self) -> &Value {
         &self.value
     }
 
-    /// Adds to each finding the place of its path, or of the nearest one above that is there.
+    /// Adds to each finding the location of its path, or of the nearest ancestor in the file.
     ///
-    /// Afterwards they stand in the order of their places.
+    /// Also sorts the findings by location.
     pub fn locate(&self, findings: &mut Findings) {
         for finding in findings.iter_mut() {
             finding.place = Some(self.place(self.start(&finding.path)));
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Takes a value out of the syntax tree and notes where it stood.
+    /// Converts a syntax tree node to a value and records its byte offset.
     fn take(&mut self, value: &ast::Value<'_>, path: &str, findings: &mut Findings) -> Value {
         self.starts.entry(path.to_owned()).or_insert(value.start());
         match value {
--- a/crates/sesamegap-settings/src/findings/mod.rs
+++ b/crates/sesamegap-settings/src/findings/mod.rs
@@ -1,33 +1,33 @@
-//! What is wrong with settings, collected and reported together.
+//! Validation errors in settings, collected and reported together.
 //!
-//! A check never stops at the first fault: an operator who has to publish again for each one
-//! gives up checking. Findings name the path of the value; a [`Document`](crate::Document) adds
-//! the place in its file.
+//! Validation does not stop at the first error, so that operators need not publish once per error
+//! to learn of them all. A finding names the path of the value; a [`Document`](crate::Document)
+//! adds the location in its file.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Most findings collected at once; a file with more is not what its author thinks it is.
+/// Maximum number of findings kept; a file with more is probably not a settings file at all.
 pub const MAX_FINDINGS: usize = 200;
 
-/// Longest piece of text a finding repeats from the input, in characters.
+/// Maximum length of input text quoted in a finding, in characters.
 const MAX_SHOWN: usize = 80;
 
-/// Where in a file a value stands, counted from 1.
+/// Source location of a value; line and column are 1-based.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
     /// Name of the file.
     pub file: String,
-    /// Line.
+    /// Line number.
     pub line: usize,
-    /// Column in characters.
+    /// Column number, in characters.
     pub column: usize,
 }
 
-/// One thing that is wrong.
+/// One validation error.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Where in a file, if it comes from one.
+    /// Location in the file, if the value was read from one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub place: Option<Place>,
     /// Path of the value.
@@ -51,16 +51,16 @@
     }
 }
 
-/// Findings in the order they were made.
+/// Validation errors in the order they were found.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Findings {
     list: Vec<Finding>,
-    /// Findings beyond [`MAX_FINDINGS`], which are only counted.
+    /// Number of findings that were counted but not kept.
     more: usize,
 }
 
 impl Findings {
-    /// Adds one.
+    /// Adds a finding without a location.
     pub fn add(&mut self, path: &str, wrong: impl Into<String>, allowed: impl Into<String>) {
         self.push(Finding {
             place: None,
@@ -70,7 +70,7 @@
         });
     }
 
-    /// Adds one that is complete.
+    /// Adds a finding; beyond [`MAX_FINDINGS`] it is only counted.
     pub fn push(&mut self, finding: Finding) {
         if self.list.len() < MAX_FINDINGS {
             self.list.push(finding);
@@ -79,38 +79,38 @@
         }
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// How many there are, counted ones included.
+    /// Number of findings, including those not kept.
     pub fn len(&self) -> usize {
         self.list.len() + self.more
     }
 
-    /// Those that were kept.
+    /// Iterates over the kept findings.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.list.iter()
     }
 
-    /// Those that were kept, to be completed.
+    /// Iterates mutably over the kept findings.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Finding> {
         self.list.iter_mut()
     }
 
-    /// Whether one was kept about this very path.
+    /// Whether a kept finding has exactly this path.
     pub fn about(&self, path: &str) -> bool {
         self.list.iter().any(|finding| finding.path == path)
     }
 
-    /// Sorts them by line and column.
+    /// Sorts the findings by line and column.
     pub fn sort_by_place(&mut self) {
         let place = |finding: &Finding| finding.place.as_ref().map(|at| (at.line, at.column));
         self.list.sort_by_key(place);
     }
 
-    /// Keeps only the first `most`, counting the rest.
+    /// Keeps only the first `most` findings and counts the rest.
     #[must_use]
     pub fn shortened(&self, most: usize) -> Self {
         let list: Vec<Finding> = self.list.iter().take(most).cloned().collect();
@@ -123,7 +123,7 @@
     type Item = Finding;
     type IntoIter = std::vec::IntoIter<Finding>;
 
-    /// Those that were kept.
+    /// Iterates over the kept findings.
     fn into_iter(self) -> Self::IntoIter {
         self.list.into_iter()
     }
@@ -144,7 +144,7 @@
     }
 }
 
-/// Text from the input, cut so that a finding stays readable.
+/// Truncates input text for display in a finding.
 pub fn shown(text: &str) -> String {
     let mut short: String = text.chars().take(MAX_SHOWN).collect();
     if short.len() < text.len() {
--- a/crates/sesamegap-settings/src/keys/mod.rs
+++ b/crates/sesamegap-settings/src/keys/mod.rs
@@ -1,8 +1,8 @@
-//! Keys of teams and operators, of which only hashes are kept.
+//! API keys of teams and operators, stored only as hashes.
 //!
-//! A key is found by the BLAKE3 hash of what the caller sent. The search through the sorted
-//! hashes may take longer for one hash than for another, but a caller cannot choose the hash of a
-//! key it does not know, so that tells it nothing; the last comparison takes constant time.
+//! A key is looked up by the BLAKE3 hash of what the caller sent. The lookup in the sorted hashes
+//! is not constant-time, but a caller cannot choose the hash of a key it does not know, so the
+//! timing reveals nothing useful. The final comparison is constant-time.
 
 use crate::catalogue::TeamSpec;
 use blake3::Hash;
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The hash under which a key is written into settings, in hexadecimal.
+/// The BLAKE3 hash of a key in hexadecimal, as written in settings.
 pub fn key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Whether a key has this hash, compared in constant time; a malformed hash matches nothing.
+/// Whether a key has this hash, compared in constant time; a malformed hash never matches.
 pub fn matches(key: &str, hash: &str) -> bool {
     match Hash::from_hex(hash) {
         Ok(wanted) => blake3::hash(key.as_bytes()) == wanted,
@@ -24,32 +24,32 @@
     }
 }
 
-/// Which team a key belongs to; copies share one table until one of them changes.
+/// Maps key hashes to teams; clones share one table until one of them is modified.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Keys(Arc<BTreeMap<[u8; 32], TeamId>>);
 
 impl Keys {
-    /// The team whose key this is.
+    /// The team that a key belongs to.
     pub fn team(&self, key: &str) -> Option<&TeamId> {
         let sent = blake3::hash(key.as_bytes());
         let (kept, team) = self.0.get_key_value(sent.as_bytes())?;
         (Hash::from_bytes(*kept) == sent).then_some(team)
     }
 
-    /// The team that holds this hash.
+    /// The team that a key hash belongs to.
     pub fn holder(&self, hash: &str) -> Option<&TeamId> {
         let hash = Hash::from_hex(hash).ok()?;
         self.0.get(hash.as_bytes())
     }
 
-    /// Adds a team's hash; a malformed one is left out, as it matches nothing.
+    /// Adds a team's key hash; a malformed one is ignored, since no key can match it.
     pub fn add(&mut self, hash: &str, team: &TeamId) {
         if let Ok(hash) = Hash::from_hex(hash) {
             Arc::make_mut(&mut self.0).insert(*hash.as_bytes(), team.clone());
         }
     }
 
-    /// Removes a hash.
+    /// Removes a key hash.
     pub fn remove(&mut self, hash: &str) {
         if let Ok(hash) = Hash::from_hex(hash) {
             Arc::make_mut(&mut self.0).remove(hash.as_bytes());
@@ -58,7 +58,7 @@
 }
 
 impl<'a> FromIterator<&'a (TeamId, TeamSpec)> for Keys {
-    /// Takes the keys of teams; a malformed hash is left out, as it matches nothing.
+    /// Collects the key hashes of teams; malformed ones are ignored, since no key can match them.
     fn from_iter<I: IntoIterator<Item = &'a (TeamId, TeamSpec)>>(teams: I) -> Self {
         let hashes = |(id, team): &'a (TeamId, TeamSpec)| {
             let parse = |hash: &String| Hash::from_hex(hash).ok();
--- a/crates/sesamegap-settings/src/lib.rs
+++ b/crates/sesamegap-settings/src/lib.rs
@@ -1,12 +1,11 @@
-//! The settings tree of sesamegap: reading, checking, inheriting, folding.
+//! The settings of sesamegap: parsing, validation, inheritance and replication through a log.
 //!
 //! Operators publish changes to a tree of teams, model deployments, plain services and traffic
-//! classes. A [`document`] is a file read with the place of each value; [`schema`] says which
-//! keys there are and what each allows; the [`tree`] holds what operators wrote and finds where a
-//! value is inherited from. A [`change`] travels through the platform's log, and the [`fold`]
-//! decides in offset order, the same in every process, which changes are accepted. What the rest
-//! of the system reads is the [`Catalogue`]: the tree with every inheritance resolved and every
-//! value checked.
+//! classes. A [`document`] is a settings file parsed with the location of each value; the
+//! [`schema`] defines the keys and their allowed values; the [`tree`] stores what operators wrote
+//! and resolves inheritance. A [`change`] is appended to the platform's log, and the [`fold`]
+//! applies the log in offset order, so that every process accepts the same changes. The rest of
+//! the system reads the [`Catalogue`]: the validated tree with all inherited values filled in.
 
 pub mod catalogue;
 pub mod change;
