--- a/crates/sesamegap-settings/src/schema/mod.rs
+++ b/crates/sesamegap-settings/src/schema/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// Describes a setting that must be set.
-pub const fn needed(name: &'static str, shape: Shape, about: &'static str) -> Field {
+pub const fn required(name: &'static str, shape: Shape, about: &'static str) -> Field {
     Field {
         name,
         shape,
--- a/crates/sesamegap/src/config/fields.rs
+++ b/crates/sesamegap/src/config/fields.rs
@@ -2,7 +2,7 @@
 //!
 //! The defaults of [`Timing`](super::Timing) and [`Bounds`](super::Bounds) come from these tables.
 
-use sesamegap_settings::schema::{Field, Shape, field, needed, optional};
+use sesamegap_settings::schema::{Field, Shape, field, optional, required};
 
 /// A shared secret shorter than this could be guessed by trying.
 const MIN_SECRET: usize = 16;
@@ -14,23 +14,23 @@
 
 /// Settings of a router, locator or controller, beside `timing` and `bounds`.
 pub const PROCESS: &[Field] = &[
-    needed("vm", Shape::Name, "name of the VM"),
-    needed("domain", Shape::Name, "failure domain of the VM"),
-    needed("listen", Shape::Socket, "address to listen on"),
+    required("vm", Shape::Name, "name of the VM"),
+    required("domain", Shape::Name, "failure domain of the VM"),
+    required("listen", Shape::Socket, "address to listen on"),
     optional(
         "advertise",
         Shape::Socket,
         "address told to others; left out, it is `listen`",
     ),
-    needed("log", Shape::Server, "the platform's log"),
-    needed("vms", Shape::Server, "the platform's VM list"),
-    needed("weights", Shape::Server, "the platform's weight store"),
-    needed(
+    required("log", Shape::Server, "the platform's log"),
+    required("vms", Shape::Server, "the platform's VM list"),
+    required("weights", Shape::Server, "the platform's weight store"),
+    required(
         "secret",
         Shape::Text(MIN_SECRET, MAX_SECRET),
         "secret shared by the system's own processes",
     ),
-    needed("operator", Shape::Hash, "BLAKE3 hash of the operators' key"),
+    required("operator", Shape::Hash, "BLAKE3 hash of the operators' key"),
     field(
         "json_logs",
         Shape::Flag,
@@ -198,18 +198,18 @@
 
 /// Settings of `sesamegap-standin`.
 pub const STANDIN: &[Field] = &[
-    needed(
+    required(
         "listen",
         Shape::Socket,
         "address of the stand-ins' own control",
     ),
-    needed("operator", Shape::Hash, "BLAKE3 hash of the operators' key"),
-    needed(
+    required("operator", Shape::Hash, "BLAKE3 hash of the operators' key"),
+    required(
         "secret",
         Shape::Text(MIN_SECRET, MAX_SECRET),
         "secret shared by the system's own processes",
     ),
-    needed(
+    required(
         "site",
         Shape::Text(1, 4096),
         "file with the site's machines and delays",
--- a/crates/sesamegap/src/local/demand.rs
+++ b/crates/sesamegap/src/local/demand.rs
@@ -5,12 +5,12 @@
 use serde_json::{Map, Value};
 use sesamegap_settings::Findings;
 use sesamegap_settings::schema::reader::{complete, join, read, read_beside};
-use sesamegap_settings::schema::{Field, Row, Shape, built_in, field, needed};
+use sesamegap_settings::schema::{Field, Row, Shape, built_in, field, required};
 use sesamegap_wire::{ClassId, ModelId, ServiceId};
 
 const DEMAND: &[Field] = &[
-    needed("model", Shape::Name, "model that callers ask"),
-    needed("service", Shape::Name, "plain service that callers use"),
+    required("model", Shape::Name, "model that callers ask"),
+    required("service", Shape::Name, "plain service that callers use"),
     field(
         "rate",
         Shape::Real(0.1, 10_000.0, "requests/s"),
