--- a/crates/sesamegap-settings/src/document/mod.rs
+++ b/crates/sesamegap-settings/src/document/mod.rs
@@ -31,7 +31,7 @@
 pub struct Document {
     file: String,
     value: Value,
-    /// Byte offset of each value, or of its key for a duplicate, by path.
+    /// Byte offset of each value by path; of the first one where a key is duplicated.
     starts: BTreeMap<String, usize>,
     /// Byte offset of the start of each line.
     lines: Vec<usize>,
--- a/crates/sesamegap-settings/src/schema/mod.rs
+++ b/crates/sesamegap-settings/src/schema/mod.rs
@@ -1,7 +1,7 @@
-//! Which settings there are, and what each allows.
+//! Definitions of all settings and their allowed values.
 //!
-//! One table of [`Field`]s a kind of object serves all who need to know it: the check of files
-//! and of changes, the built-in defaults, the resolved values, and the test that compares
+//! Each kind of object has one table of [`Field`]s. It is the single source for the validation of
+//! files and changes, the built-in defaults, the resolved values, and the test that compares
 //! `docs/settings.md` with the code.
 
 pub mod reader;
@@ -13,20 +13,20 @@
 pub use shape::Shape;
 pub use specs::{Kind, built_in};
 
-/// One setting.
+/// Definition of one setting.
 #[derive(Debug)]
 pub struct Field {
-    /// Its key.
+    /// Key of the setting.
     pub name: &'static str,
-    /// What it allows.
+    /// Type and bounds of its value.
     pub shape: Shape,
-    /// Its value where nobody sets it, as JSON; `None` means it must be set.
+    /// Built-in default as JSON; `None` if the setting is required.
     pub default: Option<&'static str>,
-    /// What it does.
+    /// Description of the setting.
     pub about: &'static str,
 }
 
-/// Describes a setting that has a default.
+/// Defines a setting with a default.
 pub const fn field(
     name: &'static str,
     shape: Shape,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Describes a setting that must be set.
+/// Defines a required setting.
 pub const fn required(name: &'static str, shape: Shape, about: &'static str) -> Field {
     Field {
         name,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Describes a setting that may be left out and then has no value.
+/// Defines an optional setting, which has no value if it is omitted.
 pub const fn optional(name: &'static str, shape: Shape, about: &'static str) -> Field {
     field(name, shape, "null", about)
 }
--- a/crates/sesamegap-settings/src/schema/reader.rs
+++ b/crates/sesamegap-settings/src/schema/reader.rs
@@ -1,4 +1,4 @@
-//! Reading objects by their table of fields.
+//! Reading and validating objects against a table of fields.
 
 use super::shape::{UNLIMITED, brief};
 use super::{Field, units};
@@ -8,10 +8,10 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What an object sets, as the index of the field and its value, in order of the fields.
+/// Values set on an object, as pairs of field index and value, sorted by index.
 pub type Values = Vec<(u8, Value)>;
 
-/// Joins a path and a key.
+/// Joins a path and a key with `/`; an empty path is the root.
 pub fn join(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_owned()
@@ -20,19 +20,19 @@
     }
 }
 
-/// Finds a field by its key.
+/// Index of the field with this key.
 pub fn find(fields: &[Field], name: &str) -> Option<u8> {
     let index = fields.iter().position(|field| field.name == name)?;
     u8::try_from(index).ok()
 }
 
-/// The keys of a table, for a finding about an unknown one.
+/// Lists the keys of a table, for a finding about an unknown key.
 pub fn names(fields: &[Field]) -> String {
     let names: Vec<&str> = fields.iter().map(|field| field.name).collect();
     format!("one of {}", names.join(", "))
 }
 
-/// Checks one value against its field.
+/// Validates one value against its field; returns whether it is valid.
 pub fn check(field: &Field, value: &Value, path: &str, findings: &mut Findings) -> bool {
     let fits = field.shape.admits(value);
     if !fits {
@@ -42,12 +42,12 @@
     fits
 }
 
-/// Reads the fields that an object sets, with a finding for each that is wrong.
+/// Reads the fields set on an object and adds a finding for each invalid one.
 pub fn read(fields: &[Field], value: &Value, path: &str, findings: &mut Findings) -> Values {
     read_beside(fields, &[], value, path, findings)
 }
 
-/// Reads the fields that an object sets beside `others`, which are read elsewhere.
+/// Like [`read`], but accepts the keys in `others` and skips them; the caller reads those.
 pub fn read_beside(
     fields: &[Field],
     others: &[&str],
@@ -78,14 +78,14 @@
         }
     }
     values.sort_by_key(|(index, _)| *index);
-    // Kept for each of many objects: a vector that grew by doubling would waste half.
+    // One vector is kept per object: capacity left over from doubling could waste half of it.
     values.shrink_to_fit();
     values
 }
 
-/// Completes what an object sets with built-in values, with a finding for each that is missing.
+/// Fills in built-in defaults and adds a finding for each required field that is missing.
 ///
-/// A value that was there but not valid has its finding already.
+/// A field whose value was invalid already has a finding and does not get another.
 pub fn complete<'a>(
     fields: &'static [Field],
     own: &'a Values,
@@ -107,9 +107,9 @@
     Row::new(fields, values)
 }
 
-/// The values of a whole object: each field's own, inherited or built-in one.
+/// All values of an object, each set on it, inherited or built in.
 ///
-/// All were checked against their fields before, so the typed getters cannot fail.
+/// The values have been validated against their fields, so the typed getters cannot fail.
 #[derive(Debug)]
 pub struct Row<'a> {
     fields: &'static [Field],
@@ -117,7 +117,7 @@
 }
 
 impl<'a> Row<'a> {
-    /// Pairs fields with one checked value each.
+    /// Creates a row from fields and one validated value for each.
     pub fn new(fields: &'static [Field], values: Vec<&'a Value>) -> Self {
         Self { fields, values }
     }
@@ -125,7 +125,7 @@
     /// The value of a field.
     ///
     /// # Panics
-    /// If the table has no such field.
+    /// If the table has no field of this name.
     pub fn value(&self, name: &str) -> &'a Value {
         let index = find(self.fields, name).expect("a key of the table");
         self.values[usize::from(index)]
@@ -140,53 +140,53 @@
         !self.value(name).is_null()
     }
 
-    /// A flag.
+    /// Value of a boolean field.
     pub fn flag(&self, name: &str) -> bool {
         self.value(name).as_bool().unwrap_or_default()
     }
 
-    /// A whole number, cut to the wanted type.
+    /// Value of an integer field; 0 if it does not fit the target type.
     pub fn whole<T: TryFrom<u64> + Default>(&self, name: &str) -> T {
         let number = self.value(name).as_u64().unwrap_or_default();
         T::try_from(number).unwrap_or_default()
     }
 
-    /// A number.
+    /// Value of a number field.
     pub fn real(&self, name: &str) -> f64 {
         self.value(name).as_f64().unwrap_or_default()
     }
 
-    /// A rate; `None` is unlimited.
+    /// Value of a rate field; `None` if unlimited.
     pub fn rate(&self, name: &str) -> Option<f64> {
         let value = self.value(name);
         (value.as_str() != Some(UNLIMITED)).then(|| value.as_f64().unwrap_or_default())
     }
 
-    /// A span of time.
+    /// Value of a duration field.
     pub fn span(&self, name: &str) -> Duration {
         units::span(self.text(name)).unwrap_or_default()
     }
 
-    /// A size in bytes, cut to the wanted type.
+    /// Value of a size field in bytes; 0 if it does not fit the target type.
     pub fn size<T: TryFrom<u64> + Default>(&self, name: &str) -> T {
         T::try_from(units::size(self.text(name)).unwrap_or_default()).unwrap_or_default()
     }
 
-    /// Text as it stands.
+    /// Value of a text field.
     pub fn smol(&self, name: &str) -> SmolStr {
         SmolStr::new(self.text(name))
     }
 
-    /// Something read from its text, such as an identifier or an address.
+    /// Value parsed from a text field, such as an identifier or an address.
     ///
     /// # Panics
-    /// If the field's shape admits text that the type does not.
+    /// If the field's shape admits text that the type cannot parse.
     pub fn parsed<T: FromStr>(&self, name: &str) -> T {
         let parsed = self.text(name).parse().ok();
         parsed.expect("the shape admits what the type reads")
     }
 
-    /// A list of things read from their text.
+    /// Values parsed from a list field; items that cannot be parsed are skipped.
     pub fn list<T: FromStr>(&self, name: &str) -> Vec<T> {
         let items = self.value(name).as_array().map_or(&[][..], Vec::as_slice);
         let parse = |item: &Value| item.as_str().and_then(|text| text.parse().ok());
--- a/crates/sesamegap-settings/src/schema/shape.rs
+++ b/crates/sesamegap-settings/src/schema/shape.rs
@@ -1,4 +1,4 @@
-//! What a value must look like.
+//! Types and bounds of setting values.
 
 use super::units;
 use crate::findings::shown;
@@ -7,29 +7,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most names or hashes in one list.
+/// Maximum number of items in one list.
 pub const MAX_LIST: usize = 256;
 
-/// Longest name, the bound of `sesamegap-wire`'s identifiers.
+/// Maximum length of a name, the limit of identifiers in `sesamegap-wire`.
 const MAX_NAME: usize = sesamegap_wire::ids::MAX_NAME;
 
-/// The word for a rate without a limit.
+/// Keyword for an unlimited rate.
 pub const UNLIMITED: &str = "unlimited";
 
-/// The form and bounds of a value; both ends of a range are allowed.
+/// Type and bounds of a value; ranges are inclusive.
 #[derive(Debug, Clone, Copy)]
 pub enum Shape {
     /// `true` or `false`.
     Flag,
-    /// A whole number, with its unit.
+    /// An integer: minimum, maximum and unit.
     Whole(u64, u64, &'static str),
-    /// A number, with its unit.
+    /// A number: minimum, maximum and unit.
     Real(f64, f64, &'static str),
-    /// A number, or the word `unlimited`, with its unit.
+    /// A number or the keyword `unlimited`: minimum, maximum and unit.
     Rate(f64, f64, &'static str),
-    /// A span of time from and up to so many milliseconds.
+    /// A duration: minimum and maximum in milliseconds.
     Span(u64, u64),
-    /// A size from and up to so many bytes.
+    /// A size: minimum and maximum in bytes.
     Size(u64, u64),
     /// An identifier.
     Name,
@@ -41,16 +41,16 @@
     Hashes,
     /// An IP address and port.
     Socket,
-    /// The address of an HTTP server without a path.
+    /// The URL of an HTTP server, without a path.
     Server,
-    /// A list of addresses of HTTP servers.
+    /// A list of HTTP server URLs.
     Servers,
-    /// Any text from and up to so many bytes.
+    /// Text: minimum and maximum length in bytes.
     Text(usize, usize),
 }
 
 impl Shape {
-    /// The unit of the value, or its type where it has none.
+    /// Unit of the value, or its type if it has no unit.
     pub fn unit(&self) -> &'static str {
         match self {
             Self::Flag => "flag",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What is allowed, in words.
+    /// Describes the allowed values, for findings.
     pub fn allowed(&self) -> String {
         match self {
             Self::Flag => "true or false".to_owned(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Whether a value has this shape.
+    /// Whether a value has this type and is within the bounds.
     pub fn admits(&self, value: &Value) -> bool {
         match self {
             Self::Flag => value.is_boolean(),
@@ -144,7 +144,7 @@
     }
 }
 
-/// Whether text is an identifier; the kinds of `sesamegap-wire` all allow the same.
+/// Whether text is a valid identifier; all identifier types of `sesamegap-wire` share one syntax.
 pub fn is_name(text: &str) -> bool {
     text.parse::<TeamId>().is_ok()
 }
@@ -180,7 +180,7 @@
         && (0..items.len()).all(distinct)
 }
 
-/// A value as a finding shows it.
+/// Formats a value for a finding, abbreviating objects and long lists.
 pub fn brief(value: &Value) -> String {
     match value {
         Value::Object(_) => "an object".to_owned(),
--- a/crates/sesamegap-settings/src/schema/specs.rs
+++ b/crates/sesamegap-settings/src/schema/specs.rs
@@ -1,4 +1,4 @@
-//! The four kinds of object in the tree, their fields and their resolved form.
+//! The four kinds of objects in the tree, their fields and the conversion to resolved specs.
 
 use super::reader::Row;
 use super::{Field, Shape, field};
@@ -11,7 +11,7 @@
 /// A kind of object in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A team of callers.
+    /// A team that callers belong to.
     Team,
     /// A traffic class.
     Class,
@@ -25,7 +25,7 @@
     /// All kinds.
     pub const ALL: [Self; 4] = [Self::Team, Self::Class, Self::Model, Self::Service];
 
-    /// Key of the kind among a group's defaults.
+    /// Key of the kind in a group's `defaults`.
     pub fn single(self) -> &'static str {
         match self {
             Self::Team => "team",
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Key of a group's objects of the kind.
+    /// Key of a group's objects of this kind.
     pub fn plural(self) -> &'static str {
         match self {
             Self::Team => "teams",
@@ -45,17 +45,17 @@
         }
     }
 
-    /// The kind with this key among defaults.
+    /// The kind with this key in `defaults`.
     pub fn from_single(key: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.single() == key)
     }
 
-    /// The kind with this key among objects.
+    /// The kind whose objects have this key.
     pub fn from_plural(key: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.plural() == key)
     }
 
-    /// What can be set on an object of the kind.
+    /// Fields that can be set on objects of this kind.
     pub fn fields(self) -> &'static [Field] {
         match self {
             Self::Team => TEAM,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The built-in value of each field.
+    /// Built-in default of each field.
     pub fn defaults(self) -> &'static [Value] {
         &BUILT_IN[self as usize]
     }
@@ -80,7 +80,7 @@
 static BUILT_IN: LazyLock<[Vec<Value>; 4]> =
     LazyLock::new(|| Kind::ALL.map(|kind| built_in(kind.fields())));
 
-/// Parses the built-in value of each field.
+/// Parses the built-in default of each field.
 ///
 /// # Panics
 /// If a table holds a default that is not JSON.
--- a/crates/sesamegap-settings/src/schema/units.rs
+++ b/crates/sesamegap-settings/src/schema/units.rs
@@ -1,4 +1,4 @@
-//! Spans of time and sizes as operators write them, with their unit.
+//! Parsing and formatting of durations and sizes with units.
 
 use std::time::Duration;
 
@@ -24,22 +24,22 @@
     format!("{}{name}", count / factor)
 }
 
-/// Reads a span such as `250ms`, `2s`, `5m` or `1h`.
+/// Parses a duration such as `250ms`, `2s`, `5m` or `1h`.
 pub fn span(text: &str) -> Option<Duration> {
     scaled(text, &SPANS).map(Duration::from_millis)
 }
 
-/// Writes a span as [`span`] reads it.
+/// Formats a duration so that [`span`] can parse it.
 pub fn span_text(span: Duration) -> String {
     written(u64::try_from(span.as_millis()).unwrap_or(u64::MAX), &SPANS)
 }
 
-/// Reads a size such as `512B`, `64KiB`, `8MiB` or `1GiB`.
+/// Parses a size such as `512B`, `64KiB`, `8MiB` or `1GiB`.
 pub fn size(text: &str) -> Option<u64> {
     scaled(text, &SIZES)
 }
 
-/// Writes a size as [`size`] reads it.
+/// Formats a size so that [`size`] can parse it.
 pub fn size_text(bytes: u64) -> String {
     written(bytes, &SIZES)
 }
--- a/crates/sesamegap-settings/src/tree/diff.rs
+++ b/crates/sesamegap-settings/src/tree/diff.rs
@@ -1,4 +1,4 @@
-//! The edits that lead from one tree to another.
+//! Computes the edits that turn one tree into another.
 
 use super::path::TreePath;
 use super::{Group, Tree};
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// Which path got or lost what.
+/// Collects edits.
 struct Edits(Vec<Edit>);
 
 impl Edits {
@@ -19,9 +19,9 @@
     }
 }
 
-/// The fewest edits that make `to` out of `from`, removals first.
+/// The minimal edits that turn `from` into `to`, removals first.
 ///
-/// Removals go first, so that an object moved from one group to another is never there twice.
+/// With removals first, an object moved between groups never exists twice.
 pub fn diff(from: &Tree, to: &Tree) -> Vec<Edit> {
     let mut edits = Edits(Vec::new());
     groups(&from.root, &to.root, "", &mut edits);
--- a/crates/sesamegap-settings/src/tree/edit.rs
+++ b/crates/sesamegap-settings/src/tree/edit.rs
@@ -1,4 +1,4 @@
-//! Changing the tree, one path at a time, with a way back.
+//! Edits of the tree, one path at a time, with undo.
 
 use super::path::{Slot, Target};
 use super::{Group, Tree};
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// What can stand at a path.
+/// The value at a path: a whole group, all values of an object, or one value.
 #[derive(Debug, Clone)]
 pub(crate) enum NodeValue {
     Group(Box<Group>),
@@ -17,14 +17,14 @@
     Value(Value),
 }
 
-/// An edit that was checked in itself: where, and what is to stand there.
+/// A validated edit: the target and its new value; `None` removes the current one.
 #[derive(Debug)]
 pub(crate) struct Step {
     pub(crate) target: Target,
     pub(crate) piece: Option<NodeValue>,
 }
 
-/// Reads an edit, or adds findings.
+/// Parses and validates an edit; adds findings and returns `None` if it is invalid.
 pub(crate) fn step(edit: &Edit, findings: &mut Findings) -> Option<Step> {
     let path = edit.path.as_str();
     let target = match Target::parse(&edit.path) {
@@ -59,11 +59,11 @@
     }
 }
 
-/// Why a step could not be taken: what is wrong, and what is allowed.
+/// Why a step cannot be applied: what is wrong, and what is allowed.
 pub(crate) type EditError = (String, &'static str);
 
 impl Tree {
-    /// Takes a step and returns what stood there before, the step back.
+    /// Applies a step and returns the step that undoes it.
     pub(crate) fn set(&mut self, step: Step) -> Result<Step, EditError> {
         let Step { target, piece } = step;
         let (last, above) = match (&target.slot, target.groups.split_last()) {
@@ -140,7 +140,7 @@
     Ok(old.map(NodeValue::Values))
 }
 
-/// Sets all values of an object, or one of them.
+/// Replaces all values of an object, or sets or removes one field.
 fn set_values(
     own: &mut Values,
     field: Option<u8>,
--- a/crates/sesamegap-settings/src/tree/group.rs
+++ b/crates/sesamegap-settings/src/tree/group.rs
@@ -1,4 +1,4 @@
-//! A node of the tree: defaults, objects and the groups below.
+//! Group nodes of the tree: defaults, objects and subgroups.
 
 use super::path::MAX_DEPTH;
 use crate::findings::{Findings, shown};
@@ -12,24 +12,24 @@
 const KEYS: &str = "one of defaults, groups, teams, classes, models, services";
 const NAMES: &str = "1 to 64 letters, digits, `-`, `_`, `.` or `:`";
 
-/// One level of the tree.
+/// One group, the root included.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Group {
-    /// What the objects below inherit, by kind.
+    /// Defaults inherited by the objects in this group and its subgroups, by kind.
     pub(crate) defaults: [Values; 4],
-    /// What each object sets itself, by kind and name.
+    /// Values set on each object, by kind and name.
     pub(crate) items: [BTreeMap<SmolStr, Values>; 4],
-    /// Groups below.
+    /// Subgroups by name.
     pub(crate) groups: BTreeMap<SmolStr, Group>,
 }
 
 impl Group {
-    /// Reads a group and all below it, with a finding for each thing that is wrong.
+    /// Reads a group and its subgroups and adds a finding for each error.
     pub fn read(value: &Value, path: &str, findings: &mut Findings) -> Self {
         Self::read_below(value, path, 0, findings)
     }
 
-    /// Reads a group that stands below `depth` others.
+    /// Reads a group nested `depth` levels deep.
     pub(crate) fn read_below(
         value: &Value,
         path: &str,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The group as operators write it.
+    /// Converts the group to JSON in the form that operators write.
     pub fn to_value(&self) -> Value {
         let mut out = Map::new();
         let mut defaults = Map::new();
@@ -117,7 +117,7 @@
     }
 }
 
-/// What an object sets, as operators write it.
+/// Converts the values set on an object to JSON.
 pub(crate) fn values_to_json(kind: Kind, values: &Values) -> Value {
     let write = |(index, value): &(u8, Value)| {
         let name = kind.fields()[usize::from(*index)].name;
@@ -143,7 +143,9 @@
     object
 }
 
-/// Reads each child of an object; a map made at once is denser than one that grew.
+/// Reads each child of an object.
+///
+/// The map is built in bulk, because it is then denser than one filled by single insertions.
 fn read_each<T>(
     value: &Value,
     path: &str,
--- a/crates/sesamegap-settings/src/tree/inherit.rs
+++ b/crates/sesamegap-settings/src/tree/inherit.rs
@@ -1,4 +1,4 @@
-//! Resolving inheritance.
+//! Resolution of inherited values.
 
 use super::path::{Slot, Target, TreePath};
 use super::{Group, Tree};
@@ -11,7 +11,7 @@
 /// Where a value comes from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Origin {
-    /// Nobody set it.
+    /// The built-in default; nothing in the tree sets it.
     BuiltIn,
     /// Set at this path.
     Set(SmolStr),
@@ -26,10 +26,10 @@
     }
 }
 
-/// One value in force.
+/// One effective value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Effective {
-    /// The setting.
+    /// Key of the setting.
     pub field: &'static str,
     /// Its value.
     pub value: Value,
@@ -37,7 +37,7 @@
     pub origin: Origin,
 }
 
-/// Defaults that apply at some place, the nearest last.
+/// The groups enclosing a position in the tree, whose defaults apply there, innermost last.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Layers<'a> {
     defaults: Vec<(SmolStr, &'a Group)>,
@@ -55,7 +55,7 @@
         self.defaults.last().map(|(_, group)| *group)
     }
 
-    /// Goes down into the root, or into a group of the innermost one.
+    /// Enters the root (if the name is empty) or a subgroup of the innermost group.
     pub(crate) fn push(&mut self, name: &str, group: &'a Group) {
         let path = match (name, self.path().as_str()) {
             ("", _) => SmolStr::default(),
@@ -65,12 +65,12 @@
         self.defaults.push((path, group));
     }
 
-    /// Goes up again.
+    /// Leaves the innermost group.
     pub(crate) fn pop(&mut self) {
         self.defaults.pop();
     }
 
-    /// The value of a field, with the depth it comes from.
+    /// The effective value of a field and the depth of its origin; `None` for built-in defaults.
     fn find(&self, kind: Kind, own: &'a Values, index: u8) -> (&'a Value, Option<usize>) {
         if let Some(value) = get(own, index) {
             return (value, Some(self.defaults.len()));
@@ -83,13 +83,13 @@
         (&kind.defaults()[usize::from(index)], None)
     }
 
-    /// All values of an object.
+    /// All effective values of an object.
     pub(crate) fn row(&self, kind: Kind, own: &'a Values) -> Row<'a> {
         let values = indices(kind).map(|index| self.find(kind, own, index).0);
         Row::new(kind.fields(), values.collect())
     }
 
-    /// All values of an object with their origins.
+    /// All effective values of an object with their origins.
     fn effective(&self, kind: Kind, own: &'a Values, own_path: &SmolStr) -> Vec<Effective> {
         let resolve = |index: u8| {
             let (value, depth) = self.find(kind, own, index);
@@ -113,7 +113,7 @@
     (0..).take(kind.fields().len())
 }
 
-/// The value an object sets itself.
+/// The value set for a field, without inheritance.
 pub(crate) fn get(values: &Values, index: u8) -> Option<&Value> {
     let at = values
         .binary_search_by_key(&index, |(index, _)| *index)
@@ -130,7 +130,7 @@
 }
 
 impl Tree {
-    /// Goes down to a group.
+    /// The layers from the root to a group; `None` if the group does not exist.
     pub(crate) fn layers(&self, groups: &[SmolStr]) -> Option<Layers<'_>> {
         let mut layers = Layers::default();
         let mut group = &self.root;
@@ -142,9 +142,9 @@
         Some(layers)
     }
 
-    /// The values in force at the path of an object, a group's defaults or one of their fields.
+    /// The effective values at the path of an object, a group's defaults or one of their fields.
     ///
-    /// `None` if nothing stands there; a group itself has no values of its own.
+    /// `None` if the path does not exist or addresses a group, which has no values itself.
     pub fn effective(&self, path: &TreePath) -> Option<Vec<Effective>> {
         static NOTHING: Values = Values::new();
         let target = Target::parse(path).ok()?;
--- a/crates/sesamegap-settings/src/tree/mod.rs
+++ b/crates/sesamegap-settings/src/tree/mod.rs
@@ -1,9 +1,9 @@
-//! The tree that operators write, and what each object inherits.
+//! The settings tree as written by operators, and its inheritance rules.
 //!
-//! An object's value for a field is its own, else that of the nearest group whose defaults set
-//! it, else the built-in one. [`group`] holds the nodes, [`path`] names them, `edit` changes them
-//! with an undo, and [`inherit`] resolves one object at a time, so that a change of one team among
-//! thousands costs no more than that team.
+//! A field's value is the one set on the object, else the one in the defaults of the nearest
+//! enclosing group, else the built-in default. [`group`] defines the nodes, [`path`] addresses
+//! them, `edit` modifies them with undo, and [`inherit`] resolves one object at a time, so that a
+//! change of one team among thousands costs only the resolution of that team.
 
 pub mod diff;
 pub(crate) mod edit;
@@ -19,23 +19,23 @@
 use crate::findings::Findings;
 use serde_json::Value;
 
-/// The whole tree.
+/// The settings tree as written by operators.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tree {
     pub(crate) root: Group,
 }
 
 impl Tree {
-    /// Reads a tree, with a finding for each thing that is wrong in itself.
+    /// Reads a tree and adds a finding for each value that is invalid on its own.
     ///
-    /// What refers to something else is checked by [`Catalogue::resolve`](crate::Catalogue::resolve).
+    /// References between objects are checked by [`Catalogue::resolve`](crate::Catalogue::resolve).
     pub fn read(value: &Value, path: &str, findings: &mut Findings) -> Self {
         Self {
             root: Group::read(value, path, findings),
         }
     }
 
-    /// The tree as operators write it.
+    /// Converts the tree to JSON in the form that operators write.
     pub fn to_value(&self) -> Value {
         self.root.to_value()
     }
--- a/crates/sesamegap-settings/src/tree/path.rs
+++ b/crates/sesamegap-settings/src/tree/path.rs
@@ -1,8 +1,8 @@
-//! Where in the tree something stands.
+//! Paths that address nodes and fields of the tree.
 //!
-//! `groups/NAME` goes down one level, as often as needed. At any level stand `defaults/KIND`,
-//! `teams/NAME`, `models/NAME`, `services/NAME` and `classes/NAME`, each followed by a field or
-//! by nothing for the whole object; a path may also end at a group.
+//! Each `groups/NAME` descends one level and may be repeated. Every level contains
+//! `defaults/KIND`, `teams/NAME`, `models/NAME`, `services/NAME` and `classes/NAME`, each followed
+//! by a field, or by nothing to address the whole object. A path may also end at a group.
 
 use crate::findings::shown;
 use crate::schema::reader::find;
@@ -14,15 +14,15 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Deepest nesting of groups, far beyond what anyone can keep in mind.
+/// Maximum nesting depth of groups, far deeper than an operator can keep track of.
 pub const MAX_DEPTH: usize = 8;
 
-/// Longest path in bytes: all groups with names of full length.
+/// Maximum length of a path in bytes: groups at full depth with names of maximum length.
 pub const MAX_PATH: usize = 800;
 
 const ALLOWED: &str = "names joined by `/`, as in `groups/filing/teams/desk/weight`";
 
-/// A path as operators write it.
+/// A path as written by operators; its syntax is valid, but the node need not exist.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TreePath(SmolStr);
 
@@ -32,7 +32,7 @@
         &self.0
     }
 
-    /// Sorts right before all paths below this one; not a path itself.
+    /// Key that sorts directly before all descendants of this path; not a valid path itself.
     pub(crate) fn before_children(&self) -> Self {
         Self(smol_str::format_smolstr!("{}/", self.0))
     }
@@ -69,23 +69,23 @@
     }
 }
 
-/// What a path leads to, below its groups.
+/// What a path addresses within its innermost group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Slot {
     /// The group itself.
     Group,
-    /// Defaults of a kind, or one of them.
+    /// Defaults for a kind, or one field of them.
     Defaults(Kind, Option<u8>),
     /// An object, or one of its fields.
     Item(Kind, SmolStr, Option<u8>),
 }
 
-/// A path taken apart.
+/// A parsed path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Target {
     /// Names of the groups from the root down.
     pub(crate) groups: Vec<SmolStr>,
-    /// What it leads to there.
+    /// What the path addresses within the innermost group.
     pub(crate) slot: Slot,
 }
 
@@ -93,7 +93,7 @@
                       `models/NAME` or `services/NAME`, the last five with or without a field";
 
 impl Target {
-    /// Takes a path apart, or says what is wrong with it and what is allowed.
+    /// Parses a path; the error holds what is wrong and what is allowed.
     pub(crate) fn parse(path: &TreePath) -> Result<Self, (String, String)> {
         let mut parts: Vec<&str> = path.as_str().split('/').collect();
         let mut groups = Vec::new();
