--- a/crates/sesamegap-settings/src/catalogue/checks.rs
+++ b/crates/sesamegap-settings/src/catalogue/checks.rs
@@ -1,7 +1,7 @@
-//! What must hold between the objects of a tree.
+//! Validation of constraints within and between the objects of a tree.
 //!
-//! Each check looks at the objects that a change touched, and at the rest of the tree only as far
-//! as a touched object refers to it or is referred to.
+//! Each check covers the objects affected by a change, and the rest of the tree only as far as an
+//! affected object refers to it or is referred to by it.
 
 use super::resolve::{GroupIndex, Spec, Staged, path_of};
 use super::{Catalogue, ModelSpec, TeamSpec};
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Staged {
-    /// Checks everything that has to hold between objects.
+    /// Runs all checks.
     pub(super) fn check_all(
         &self,
         old: &Catalogue,
@@ -26,7 +26,7 @@
         self.check_keys(old, findings);
     }
 
-    /// Finds names that stand twice.
+    /// Finds names used by more than one object of a kind.
     fn check_names(&self, group_index: &GroupIndex, findings: &mut Findings) {
         let mut seen: BTreeMap<(Kind, &SmolStr), &SmolStr> = BTreeMap::new();
         for (item, _) in &self.after {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Finds references to objects that are not there.
+    /// Finds references to objects that do not exist.
     fn check_references(&self, old: &Catalogue, group_index: &GroupIndex, findings: &mut Findings) {
         let classes = self.names(Kind::Class, |name| {
             old.classes.keys().any(|id| id.as_str() == name)
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Finds keys that would belong to two teams, so that a caller could pass for either.
+    /// Finds keys shared by two teams; a caller could be identified as either.
     fn check_keys(&self, old: &Catalogue, findings: &mut Findings) {
         let touched: BTreeSet<&str> = self.named(Kind::Team).collect();
         let mut seen: BTreeMap<&str, &SmolStr> = BTreeMap::new();
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Names of a kind before or after the change.
+    /// Names of affected objects of a kind, before or after the change.
     pub(super) fn named(&self, kind: Kind) -> impl Iterator<Item = &str> {
         let after = self.after.iter().map(|(item, _)| item);
         let all = self.before.iter().chain(after);
@@ -157,7 +157,7 @@
             .map(|item| item.1.as_str())
     }
 
-    /// Whether objects of a kind are there before but not after.
+    /// Whether the change removes objects of a kind.
     fn loses(&self, kind: Kind) -> bool {
         let after = self.after.iter().filter(|(item, _)| item.0 == kind);
         let after: BTreeSet<&SmolStr> = after.map(|(item, _)| &item.1).collect();
@@ -166,7 +166,9 @@
             .any(|item| item.0 == kind && !after.contains(&item.1))
     }
 
-    /// Whether a name of a kind stands in the tree after the change.
+    /// Returns a predicate for whether a name of a kind exists after the change.
+    ///
+    /// `kept` answers for names that the change does not affect.
     fn names(&self, kind: Kind, kept: impl Fn(&str) -> bool) -> impl Fn(&str) -> bool {
         let touched: BTreeSet<&str> = self.named(kind).collect();
         let after = self.after.iter().filter(move |(item, _)| item.0 == kind);
--- a/crates/sesamegap-settings/src/catalogue/mod.rs
+++ b/crates/sesamegap-settings/src/catalogue/mod.rs
@@ -1,7 +1,7 @@
-//! The settings in force, with every inheritance resolved.
+//! The effective settings, with all inherited values filled in.
 //!
-//! A catalogue is made anew from the tree after each accepted change and shared read-only; no
-//! reader ever sees half a change.
+//! Each accepted change produces a new catalogue, which is shared read-only, so readers never see
+//! a partially applied change.
 
 mod checks;
 pub(crate) mod resolve;
@@ -15,10 +15,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All settings in force at one revision.
+/// All effective settings at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Offset after that of the last change accepted; 0 is the empty tree.
+    /// Offset following that of the last accepted change; 0 for the empty tree.
     pub revision: Offset,
     /// Teams by name.
     pub teams: Teams,
@@ -28,58 +28,59 @@
     pub models: BTreeMap<ModelId, ModelSpec>,
     /// Plain services by name.
     pub services: BTreeMap<ServiceId, ServiceSpec>,
-    /// Which team each key belongs to.
+    /// Teams by key hash.
     pub keys: Keys,
 }
 
-/// What a team may do, and its share when there is not enough for all.
+/// Permissions and limits of a team, and its share when capacity is scarce.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamSpec {
-    /// BLAKE3 hashes of the team's keys, in hexadecimal; keys themselves are never stored.
+    /// BLAKE3 hashes of the team's keys in hexadecimal; the keys themselves are never stored.
     pub key_hashes: Vec<String>,
-    /// Share of the engines relative to other teams when demand exceeds them.
+    /// Share of engine capacity relative to other teams when demand exceeds capacity.
     pub weight: f64,
-    /// Prompt tokens a second over all routers; `None` is unlimited.
+    /// Prompt tokens per second over all routers; `None` means unlimited.
     pub rate: Option<f64>,
-    /// Prompt tokens that may come at once above the rate.
+    /// Burst above the rate, in prompt tokens.
     pub burst: Tokens,
-    /// Class of a request that names none.
+    /// Default class of a request that names none.
     pub class: ClassId,
-    /// Models the team may ask; empty means all.
+    /// Models the team may use; empty means all.
     pub models: Vec<ModelId>,
 }
 
-/// What callers of a traffic class are promised.
+/// Priority, time limits and retry policy of a traffic class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassSpec {
-    /// Higher goes first; refusals fall on the lowest first.
+    /// Higher is served first; under overload the lowest is rejected first.
     pub priority: u8,
-    /// Time from arrival to the first token after which an answer is of no use.
+    /// Time from arrival within which the first token must be sent; a later answer is useless.
     pub deadline: Duration,
-    /// Time from arrival to the end of the answer.
+    /// Time limit from arrival to the end of the answer.
     pub total: Duration,
-    /// Attempts after the first, each paid for by the retry budget.
+    /// Maximum number of retries, each charged to the retry budget.
     pub retries: u32,
     /// Prompt tokens that may wait in one router's queue for this class.
     pub queue: Tokens,
-    /// Weight of a recomputed token against waiting time: 1 minds time only, more saves tokens.
+    /// Weight of a recomputed token against waiting time: at 1 only time counts, above 1 tokens are
+    /// saved at the cost of time.
     pub thrift: f64,
-    /// Whether a second attempt may start beside a late first one.
+    /// Whether a hedged second attempt may start while a late first one is still running.
     pub hedge: bool,
 }
 
 /// A model deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpec {
-    /// Weights that answers must come from.
+    /// Version of the weights that answers must come from.
     pub version: WeightsVersion,
     /// Tokens in one cache block.
     pub block: Tokens,
-    /// Longest prompt taken.
+    /// Maximum accepted prompt length.
     pub longest: Tokens,
-    /// Longest answer given.
+    /// Maximum answer length.
     pub answer: Tokens,
-    /// Fewest engines that hold the model.
+    /// Minimum number of engines that hold the model.
     pub least: u32,
     /// Engines the deployment may use; empty means any.
     pub engines: Vec<UpstreamId>,
@@ -88,12 +89,12 @@
 /// A plain service beside the engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Whether a call may run twice unless it says otherwise.
+    /// Whether a call may be executed twice unless the call itself specifies otherwise.
     pub repeatable: bool,
-    /// Time for one whole call.
+    /// Time limit for a whole call.
     pub timeout: Duration,
-    /// Calls in flight to one worker.
+    /// Maximum number of calls in flight to one worker.
     pub window: u32,
-    /// Largest body taken, in bytes.
+    /// Maximum accepted body size, in bytes.
     pub body: u64,
 }
--- a/crates/sesamegap-settings/src/catalogue/resolve.rs
+++ b/crates/sesamegap-settings/src/catalogue/resolve.rs
@@ -1,8 +1,8 @@
-//! Making a catalogue from a tree, whole or only where a change touched it.
+//! Resolves a tree into a catalogue, either whole or incrementally for one change.
 //!
-//! A change is staged first: the objects at the touched paths are listed before and after the
-//! edits, resolved and checked against one another and against the rest. Only a change without
-//! findings is then committed, so no reader ever sees one half applied.
+//! A change is staged first: the objects affected by its paths are listed before and after the
+//! edits, resolved, and validated against one another and against the rest of the tree. Only a
+//! change without findings is committed, so readers never see a partially applied change.
 
 use super::{Catalogue, ClassSpec, ModelSpec, ServiceSpec, TeamSpec};
 use crate::findings::Findings;
@@ -15,10 +15,11 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The group each object stands in, by kind and name, as names are unique over the whole tree.
+/// Path of the group that contains each object, by kind and name; names are unique per kind in the
+/// whole tree.
 pub(crate) type GroupIndex = [BTreeMap<SmolStr, SmolStr>; 4];
 
-/// A resolved object.
+/// A resolved object of any kind.
 #[derive(Debug)]
 pub(super) enum Spec {
     Team(TeamSpec),
@@ -38,18 +39,18 @@
     }
 }
 
-/// An object's kind, name and group.
+/// An object's kind, name and the path of its group.
 pub(crate) type Item = (Kind, SmolStr, SmolStr);
 
-/// Objects at touched paths.
+/// Objects affected by a change.
 pub(crate) type Items = BTreeSet<Item>;
 
-/// An object's whole path.
+/// The full path of an object.
 pub(super) fn path_of(item: &Item) -> String {
     join(&join(&item.2, item.0.plural()), &item.1)
 }
 
-/// Lists the objects that an edit of this path can alter.
+/// Adds the objects that an edit of this path can affect.
 pub(crate) fn touched(tree: &Tree, target: &Target, items: &mut Items) {
     let Some(mut layers) = tree.layers(&target.groups) else {
         return;
@@ -71,7 +72,7 @@
     }
 }
 
-/// Visits each object of the given kinds in a group and below.
+/// Visits each object of the given kinds in a group and its subgroups.
 fn walk<'a>(
     layers: &mut Layers<'a>,
     group: &'a Group,
@@ -90,14 +91,14 @@
     }
 }
 
-/// A checked step from one catalogue to the next.
+/// The affected objects before and after a change, ready to be committed.
 #[derive(Debug)]
 pub(crate) struct Staged {
     pub(super) before: Items,
     pub(super) after: Vec<(Item, Spec)>,
 }
 
-/// Resolves the touched objects of a changed tree and checks them.
+/// Resolves and validates the affected objects of a modified tree.
 pub(crate) fn stage(
     old: &Catalogue,
     group_index: &GroupIndex,
@@ -128,10 +129,10 @@
 }
 
 impl Staged {
-    /// Takes the step.
+    /// Applies the change to the catalogue and the group index.
     ///
-    /// Keys that a team keeps are not touched: the table of all keys is then still shared with
-    /// the catalogue before, and need not be copied.
+    /// Keys that a team keeps are left alone. If no key changes, the key table stays shared with
+    /// the previous catalogue and is not copied.
     pub(crate) fn commit(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
         let names: BTreeSet<TeamId> = self.named(Kind::Team).map(id).collect();
         let before = team_keys(catalogue, &names);
@@ -145,7 +146,9 @@
         }
     }
 
-    /// Makes a catalogue of all objects; maps made at once are denser than those that grew.
+    /// Builds a catalogue from all objects.
+    ///
+    /// The maps are built in bulk, because they are then denser than if filled one by one.
     fn whole(self) -> (Catalogue, GroupIndex) {
         let mut catalogue = Catalogue::default();
         let mut group_index: [Vec<(SmolStr, SmolStr)>; 4] = Default::default();
@@ -165,7 +168,7 @@
         )
     }
 
-    /// Replaces the objects, but not the keys of teams.
+    /// Replaces the affected objects, but not the keys of teams.
     fn replace(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
         let mut gone = self.before;
         for ((kind, name, group), spec) in self.after {
@@ -181,7 +184,7 @@
     }
 }
 
-/// A key's hash and the team that has it.
+/// A key hash and the team it belongs to.
 type TeamKey = (String, TeamId);
 
 fn team_keys(catalogue: &Catalogue, names: &BTreeSet<TeamId>) -> BTreeSet<TeamKey> {
@@ -194,7 +197,7 @@
     all
 }
 
-/// Reads a name that was checked when the tree was read.
+/// Parses a name that was validated when the tree was read.
 fn id<T: std::str::FromStr>(name: &str) -> T {
     name.parse()
         .ok()
@@ -202,7 +205,7 @@
 }
 
 impl Catalogue {
-    /// Puts an object in; a team's keys are up to the caller.
+    /// Inserts an object; the function that calls this updates the keys of teams.
     fn insert(&mut self, name: &str, spec: Spec) {
         match spec {
             Spec::Team(spec) => {
@@ -237,13 +240,13 @@
         }
     }
 
-    /// Resolves a whole tree, with a finding for each reference or value that does not hold.
+    /// Resolves a whole tree and adds a finding for each invalid reference or combination of values.
     pub fn resolve(tree: &Tree, findings: &mut Findings) -> Self {
         resolve_all(tree, findings).0
     }
 }
 
-/// Resolves a whole tree and says where each object stands.
+/// Resolves a whole tree and also returns the group of each object.
 pub(crate) fn resolve_all(tree: &Tree, findings: &mut Findings) -> (Catalogue, GroupIndex) {
     let mut layers = Layers::default();
     layers.push("", &tree.root);
--- a/crates/sesamegap-settings/src/catalogue/teams.rs
+++ b/crates/sesamegap-settings/src/catalogue/teams.rs
@@ -1,8 +1,8 @@
-//! The teams of a catalogue, cheap to copy.
+//! The teams of a catalogue, stored copy-on-write.
 //!
-//! A catalogue is copied at each accepted change, because readers still hold the one before. With
-//! 35,000 teams nearly all stay the same, so copies share them: a change of one team copies the
-//! map of names but no team.
+//! A catalogue is cloned at each accepted change, because readers still hold the previous one. With
+//! 35,000 teams nearly all are unchanged, so clones share them: a change of one team copies the
+//! map of names but no other team.
 
 use super::TeamSpec;
 use serde::{Deserialize, Serialize};
@@ -11,47 +11,47 @@
 use std::ops::Index;
 use std::sync::Arc;
 
-/// Teams by name, in their order.
+/// Teams sorted by name; clones share unmodified teams.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Teams(Arc<BTreeMap<TeamId, Arc<TeamSpec>>>);
 
 impl Teams {
-    /// The team of a name.
+    /// The team with this name.
     pub fn get(&self, id: &TeamId) -> Option<&TeamSpec> {
         self.0.get(id).map(AsRef::as_ref)
     }
 
-    /// Whether there is a team of a name.
+    /// Whether there is a team with this name.
     pub fn contains_key(&self, id: &TeamId) -> bool {
         self.0.contains_key(id)
     }
 
-    /// Names in their order.
+    /// Names in sorted order.
     pub fn keys(&self) -> impl Iterator<Item = &TeamId> {
         self.0.keys()
     }
 
-    /// Names and teams in the order of the names.
+    /// Names and teams, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&TeamId, &TeamSpec)> {
         self.0.iter().map(|(id, spec)| (id, spec.as_ref()))
     }
 
-    /// How many there are.
+    /// Number of teams.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no teams.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds or replaces a team; returns the one replaced.
+    /// Adds or replaces a team; returns the previous one.
     pub fn insert(&mut self, id: TeamId, spec: TeamSpec) -> Option<Arc<TeamSpec>> {
         Arc::make_mut(&mut self.0).insert(id, Arc::new(spec))
     }
 
-    /// Removes a team.
+    /// Removes a team and returns it.
     pub fn remove(&mut self, id: &TeamId) -> Option<Arc<TeamSpec>> {
         Arc::make_mut(&mut self.0).remove(id)
     }
@@ -67,7 +67,7 @@
 impl Index<&TeamId> for Teams {
     type Output = TeamSpec;
 
-    /// The team of a name; panics if there is none.
+    /// The team with this name; panics if there is none.
     fn index(&self, id: &TeamId) -> &TeamSpec {
         &self.0[id]
     }
