--- a/crates/sesamegap-settings/benches/fold.rs
+++ b/crates/sesamegap-settings/benches/fold.rs
@@ -9,7 +9,7 @@
     BatchSize, BenchmarkGroup, BenchmarkId, Criterion, criterion_group, criterion_main,
 };
 use serde_json::{Value, json};
-use sesamegap_settings::fold::{IDS, TOUCHED};
+use sesamegap_settings::fold::{MAX_CHANGE_IDS, MAX_TRACKED_PATHS};
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -147,8 +147,8 @@
 
 /// Fills the memories of ids and of touched paths, as far as there are paths.
 fn with_full_history(mut fold: Fold, teams: usize) -> Fold {
-    const EDITS: usize = TOUCHED / IDS;
-    for turn in 0..IDS {
+    const EDITS: usize = MAX_TRACKED_PATHS / MAX_CHANGE_IDS;
+    for turn in 0..MAX_CHANGE_IDS {
         let index = |part: usize| (turn * EDITS + part) % (2 * teams);
         let one = |at: usize| {
             edit(
--- a/crates/sesamegap-settings/src/fold/memory.rs
+++ b/crates/sesamegap-settings/src/fold/memory.rs
@@ -1,10 +1,10 @@
 //! Bounded history of past changes, used for deduplication and conflict detection.
 //!
-//! - The last [`HISTORY`] changes with the details that operators query.
-//! - The ids of the last [`IDS`] changes with their verdict, to detect duplicate appends. A
+//! - The last [`MAX_HISTORY`] changes with the details that operators query.
+//! - The ids of the last [`MAX_CHANGE_IDS`] changes with their verdict, to detect duplicate appends. A
 //!   duplicate that arrives after its id was evicted is evaluated as a new change: if the first
 //!   record was accepted, the duplicate conflicts with it, so it still takes effect only once.
-//! - The revision at which each path was last modified, for at most [`TOUCHED`] paths. Above that
+//! - The revision at which each path was last modified, for at most [`MAX_TRACKED_PATHS`] paths. Above that
 //!   bound the older half is evicted and the *horizon* rises to the newest evicted revision. A
 //!   change whose base is before the horizon is rejected as a conflict, because conflicts can no
 //!   longer be ruled out. A conflict therefore never turns into an acceptance.
@@ -19,13 +19,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Changes kept with their details, for operators to query.
-pub const HISTORY: usize = 256;
+pub const MAX_HISTORY: usize = 256;
 
 /// Change ids kept: a day and a half of changes at 9,700 a day. Retries arrive within minutes.
-pub const IDS: usize = 16_384;
+pub const MAX_CHANGE_IDS: usize = 16_384;
 
 /// Paths kept with their last revision: several days of changes at 9,700 a day.
-pub const TOUCHED: usize = 65_536;
+pub const MAX_TRACKED_PATHS: usize = 65_536;
 
 /// Maximum number of paths, and of findings, kept in the history for one change.
 const MAX_DETAILS: usize = 16;
@@ -83,9 +83,9 @@
 impl ChangeHistory {
     /// Rebuilds the id index, which snapshots omit; `None` if a bound is exceeded.
     pub(crate) fn with_id_index(mut self) -> Option<Self> {
-        let fits = self.history.len() <= HISTORY
-            && self.order.len() <= IDS
-            && self.touched.len() <= TOUCHED;
+        let fits = self.history.len() <= MAX_HISTORY
+            && self.order.len() <= MAX_CHANGE_IDS
+            && self.touched.len() <= MAX_TRACKED_PATHS;
         let entry = |seen: &JudgedId| (seen.id, (seen.offset, seen.verdict));
         self.ids = self.order.iter().map(entry).collect();
         fits.then_some(self)
@@ -231,7 +231,7 @@
             edits: change.edits.len(),
             outcome: shortened(outcome),
         });
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
@@ -239,16 +239,16 @@
     fn record_id(&mut self, seen: JudgedId) {
         self.ids.insert(seen.id, (seen.offset, seen.verdict));
         self.order.push_back(seen);
-        if self.order.len() > IDS
+        if self.order.len() > MAX_CHANGE_IDS
             && let Some(oldest) = self.order.pop_front()
         {
             self.ids.remove(&oldest.id);
         }
     }
 
-    /// Evicts the older half of the modified paths when there are more than [`TOUCHED`].
+    /// Evicts the older half of the modified paths when there are more than [`MAX_TRACKED_PATHS`].
     fn evict_paths(&mut self) {
-        if self.touched.len() <= TOUCHED {
+        if self.touched.len() <= MAX_TRACKED_PATHS {
             return;
         }
         let mut revisions: Vec<Offset> = self.touched.values().copied().collect();
--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -16,7 +16,7 @@
 pub mod outcome;
 pub mod snapshot;
 
-pub use memory::{Entry, HISTORY, IDS, TOUCHED};
+pub use memory::{Entry, MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
 pub use outcome::Outcome;
 
 use crate::catalogue::Catalogue;
@@ -91,7 +91,7 @@
         self.memory.outcome(id)
     }
 
-    /// The last evaluated changes, oldest first, at most [`HISTORY`].
+    /// The last evaluated changes, oldest first, at most [`MAX_HISTORY`].
     pub fn history(&self) -> impl Iterator<Item = &Entry> {
         self.memory.history()
     }
--- a/crates/sesamegap-settings/src/fold/snapshot.rs
+++ b/crates/sesamegap-settings/src/fold/snapshot.rs
@@ -103,7 +103,7 @@
     let memory = state.memory.with_id_index();
     let memory = memory.ok_or(SettingsError::Oversized(
         "memory of a snapshot",
-        super::TOUCHED,
+        super::MAX_TRACKED_PATHS,
     ))?;
     catalogue.revision = state.revision;
     Ok(Fold {
--- a/crates/sesamegap-settings/tests/testsuite/limits.rs
+++ b/crates/sesamegap-settings/tests/testsuite/limits.rs
@@ -3,7 +3,7 @@
 use crate::support::{append, change, started};
 use serde_json::json;
 use sesamegap_settings::change::MAX_EDITS;
-use sesamegap_settings::fold::{HISTORY, IDS, TOUCHED};
+use sesamegap_settings::fold::{MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
 use sesamegap_wire::Offset;
 
@@ -27,7 +27,7 @@
     let first = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &first);
     append(&mut fold, &change(3, 2, "teams/a/weight", json!(8)));
-    fill(&mut fold, IDS);
+    fill(&mut fold, MAX_CHANGE_IDS);
     assert_eq!(fold.outcome(&ChangeId(2)), None);
     let again = append(&mut fold, &first);
     assert!(
@@ -40,7 +40,7 @@
         ),
         "{again}"
     );
-    assert_eq!(fold.history().count(), HISTORY);
+    assert_eq!(fold.history().count(), MAX_HISTORY);
 }
 
 #[test]
@@ -68,7 +68,7 @@
         };
         assert!(matches!(append(&mut fold, &more), Outcome::Accepted { .. }));
         assert!(
-            names.start <= TOUCHED + 2 * MAX_EDITS,
+            names.start <= MAX_TRACKED_PATHS + 2 * MAX_EDITS,
             "nothing is ever forgotten"
         );
     }
@@ -92,7 +92,7 @@
         .outcome(&ChangeId(2))
         .map(|outcome| outcome.to_string());
     assert!(detailed.is_some_and(|text| text.contains("`-7` is not valid")));
-    fill(&mut fold, HISTORY);
+    fill(&mut fold, MAX_HISTORY);
     let brief = fold.outcome(&ChangeId(2));
     assert!(matches!(brief, Some(Outcome::Invalid(_))));
 }
--- a/crates/sesamegap/tests/testsuite/pages.rs
+++ b/crates/sesamegap/tests/testsuite/pages.rs
@@ -4,7 +4,7 @@
 use sesamegap_settings::change::{MAX_BY, MAX_CHANGE, MAX_EDITS, MAX_NOTE};
 use sesamegap_settings::document::MAX_FILE;
 use sesamegap_settings::fold::snapshot::MAX_SNAPSHOT;
-use sesamegap_settings::fold::{HISTORY, IDS, TOUCHED};
+use sesamegap_settings::fold::{MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
 use sesamegap_settings::schema::shape::MAX_LIST;
 use sesamegap_settings::schema::{Field, Kind};
 use sesamegap_settings::tree::path::{MAX_DEPTH, MAX_PATH};
@@ -59,9 +59,9 @@
         ("names or hashes in a list", MAX_LIST),
         ("groups one below the other", MAX_DEPTH),
         ("bytes of a path", MAX_PATH),
-        ("changes in the history", HISTORY),
-        ("change ids remembered", IDS),
-        ("touched paths remembered", TOUCHED),
+        ("changes in the history", MAX_HISTORY),
+        ("change ids remembered", MAX_CHANGE_IDS),
+        ("touched paths remembered", MAX_TRACKED_PATHS),
     ];
     for (what, bound) in bounds {
         let line = format!("| {what} | {bound} |\n");
