--- a/crates/sesamegap-settings/src/findings/mod.rs
+++ b/crates/sesamegap-settings/src/findings/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Whether a kept finding has exactly this path.
-    pub fn about(&self, path: &str) -> bool {
+    pub fn has_path(&self, path: &str) -> bool {
         self.list.iter().any(|finding| finding.path == path)
     }
 
--- a/crates/sesamegap-settings/src/schema/reader.rs
+++ b/crates/sesamegap-settings/src/schema/reader.rs
@@ -100,7 +100,7 @@
     for (field, value) in fields.iter().zip(&values) {
         let path = join(path, field.name);
         let missing = field.default.is_none() && value.is_null();
-        if missing && !findings.about(&path) {
+        if missing && !findings.has_path(&path) {
             findings.add(&path, "the key is missing", field.shape.allowed());
         }
     }
--- a/crates/sesamegap/src/ctl/file.rs
+++ b/crates/sesamegap/src/ctl/file.rs
@@ -125,7 +125,7 @@
     for mut finding in within {
         finding.path.insert_str(0, "tree/");
         // A value that is not valid was left out, so what its default refers to is beside the point.
-        if !findings.about(&finding.path) {
+        if !findings.has_path(&finding.path) {
             findings.push(finding);
         }
     }
