--- a/crates/sesamegap-settings/benches/fold.rs
+++ b/crates/sesamegap-settings/benches/fold.rs
@@ -1,8 +1,8 @@
-//! What the fold costs at growing numbers of teams.
+//! Cost of the fold by number of teams.
 //!
-//! `cargo bench -p sesamegap-settings --bench fold` measures a change of one team, one of all
-//! teams' defaults, a day of 9,700 changes, a snapshot and a start from one, at three sizes, and
-//! prints the bytes that a fold and its snapshot take.
+//! `cargo bench -p sesamegap-settings --bench fold` measures a change of one team, a change of the
+//! defaults of all teams, a day of 9,700 changes, taking a snapshot and starting from one, at
+//! three sizes. It also prints the memory used by a fold and the size of its snapshot.
 
 use criterion::measurement::WallTime;
 use criterion::{
@@ -17,16 +17,16 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Sizes whose figures give the slope; the last is the users' in two years.
+/// Numbers of teams, for the slope; the last is the users' expected number in two years.
 const TEAMS: [usize; 3] = [3_500, 17_500, 35_000];
 
-/// Changes of a day, as the users expect.
+/// Changes per day that the users expect.
 const DAY: usize = 9_700;
 
-/// Teams in one group.
+/// Number of teams in one group.
 const GROUP: usize = 500;
 
-/// Counts the bytes in use.
+/// Allocator that counts the bytes in use.
 struct Counting;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
@@ -35,7 +35,7 @@
     unsafe_code,
     reason = "an allocator can only be wrapped by unsafe functions"
 )]
-// SAFETY: every call is passed on to the system's allocator unchanged.
+// SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
@@ -81,7 +81,7 @@
     format!("groups/firm-{}/teams/team-{index}", index / GROUP)
 }
 
-/// A fold with so many teams in groups of equal size, each with a key and a weight of its own.
+/// A fold with `teams` teams in groups of equal size, each with its own key and a weight.
 fn fold_with_teams(teams: usize) -> Fold {
     let mut fold = Fold::default();
     append(&mut fold, vec![edit("classes/standard", json!({}))]);
@@ -100,7 +100,8 @@
     fold
 }
 
-/// Takes in a day's changes, each of one team, as the router does: with the catalogue shared.
+/// Applies a day's changes, each of one team; with `shared`, a clone of the catalogue is held as
+/// in the router.
 fn day(fold: &mut Fold, teams: usize, shared: bool) {
     let mut kept = Arc::default();
     for turn in 0..DAY {
@@ -137,7 +138,7 @@
     group.finish();
 }
 
-/// Bytes of a fold that started from a snapshot.
+/// Memory used by a fold that was restored from a snapshot, in bytes.
 fn started(snapshot: &[u8]) -> usize {
     let before = IN_USE.load(Ordering::Relaxed);
     let mut fresh = Fold::default();
@@ -145,7 +146,7 @@
     IN_USE.load(Ordering::Relaxed) - before
 }
 
-/// Fills the memories of ids and of touched paths, as far as there are paths.
+/// Fills the history of ids and modified paths, the latter as far as there are paths.
 fn with_full_history(mut fold: Fold, teams: usize) -> Fold {
     const EDITS: usize = MAX_TRACKED_PATHS / MAX_CHANGE_IDS;
     for turn in 0..MAX_CHANGE_IDS {
--- a/crates/sesamegap-settings/tests/testsuite/fold.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fold.rs
@@ -1,4 +1,4 @@
-//! What the fold accepts and refuses.
+//! Acceptance and rejection of changes and snapshots by the fold.
 
 use crate::support::{append, change, changes, started};
 use serde_json::{Value, json};
@@ -11,8 +11,8 @@
 
 #[test]
 fn racing_operators_get_one_winner_and_one_explained_conflict() {
-    // Two operators read revision 1 and change the same team. Both appends reach the log. Without
-    // a base the later one would silently undo the earlier, and its author would never know.
+    // Two operators read revision 1 and change the same team, and both appends reach the log.
+    // Without the base check, the later change would silently overwrite the earlier one.
     let mut fold = started();
     let first = append(&mut fold, &change(2, 1, "teams/a/weight", json!(7)));
     assert_eq!(
@@ -50,8 +50,8 @@
 
 #[test]
 fn a_repeated_append_is_the_same_change() {
-    // The log takes an append but its answer is lost, so the router appends again. Were it a new
-    // change, it would conflict with itself, and the operator would be told of a loss.
+    // The log stores an append but the response is lost, so the router appends again. Treated as
+    // a new change, it would conflict with itself and the operator would see a false conflict.
     let mut fold = started();
     let lost = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &lost);
@@ -72,8 +72,8 @@
 
 #[test]
 fn a_change_that_breaks_validation_is_refused_with_all_findings() {
-    // One edit of three is fine, two are not. If the fine one took effect, the tree would be in a
-    // state that no operator wrote.
+    // One of three edits is valid. Applying it alone would leave the tree in a state that no
+    // operator wrote.
     let mut fold = started();
     let before = (fold.tree().clone(), fold.catalogue());
     let broken = changes(
@@ -137,8 +137,8 @@
 
 #[test]
 fn positions_only_move_forward() {
-    // A peer that lags sends an old snapshot, and the log is read again from an old offset.
-    // Taking either in would put settings in force that were replaced since.
+    // A lagging peer sends an old snapshot, and the log is read again from an old offset. Applying
+    // either would restore settings that have been replaced since.
     let mut fold = started();
     let old = fold.snapshot();
     let later = change(2, 1, "teams/a/weight", json!(7));
@@ -171,8 +171,8 @@
 
 #[test]
 fn a_snapshot_that_does_not_match_its_hash_is_refused() {
-    // A snapshot is damaged on its way from a peer. One router alone would obey settings that
-    // nobody published.
+    // A snapshot is corrupted in transit from a peer. Adopting it would make a single router apply
+    // settings that nobody published.
     let mut fold = started();
     let mut damaged = fold.snapshot();
     append(&mut fold, &change(2, 1, "teams/a/weight", json!(7)));
--- a/crates/sesamegap-settings/tests/testsuite/fuzz.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fuzz.rs
@@ -1,9 +1,9 @@
-//! Stateful fuzzing of the fold against a simple oracle.
+//! Stateful fuzzing of the fold against a reference oracle.
 //!
-//! A script of actions drives several processes over one log: operators race, appends are
-//! repeated after lost answers, records expire, snapshots are appended and sent from peer to peer,
-//! processes restart, and garbage gets into the log. After each action every process must be in
-//! the very state that the oracle has for its position, and no position may go back.
+//! A script of actions drives several processes over one log: operators publish concurrently,
+//! appends are repeated after lost responses, records expire, snapshots are appended and sent
+//! between peers, processes restart, and garbage is appended to the log. After each action every
+//! process must be in the oracle's state for its position, and no position may decrease.
 
 use crate::support::naive::{Oracle, agrees, tidy};
 use crate::support::quick;
@@ -33,14 +33,14 @@
     "teams/nobody/weight",
 ];
 
-/// One thing that happens.
+/// One step of a script.
 #[derive(Debug, Clone)]
 enum Action {
     /// An operator publishes edits, based on a revision this many records old.
     Publish(Vec<(u8, u8)>, u8),
-    /// A former append is repeated.
+    /// An earlier append is repeated.
     Repeat(u8),
-    /// Something that is no record gets into the log.
+    /// Arbitrary bytes are appended to the log.
     Garbage(Vec<u8>),
     /// A process reads this many records.
     Read(u8, u8),
@@ -48,7 +48,7 @@
     Snapshot(u8),
     /// The log drops this many of its oldest records.
     Expire(u8),
-    /// A process starts anew.
+    /// A process restarts with an empty fold.
     Restart(u8),
     /// A process sends its state to a peer.
     Send(u8, u8),
@@ -81,7 +81,7 @@
 
 impl Arbitrary for Script {
     fn arbitrary(g: &mut Gen) -> Self {
-        // Most scripts start from a tree in which something can go on.
+        // Start from a populated tree, so that later edits can succeed.
         let start =
             [(0, 0), (2, 0), (3, 0), (4, 1), (9, 0)].map(|edit| Action::Publish(vec![edit], 0));
         let acts: Vec<Action> = Vec::arbitrary(g);
@@ -99,7 +99,7 @@
     }
 }
 
-/// The value that an edit sets; some make no sense where they are put.
+/// The value that an edit sets; some are invalid at their path.
 fn value(path: &str, choice: u8) -> Option<Value> {
     let hash = sesamegap_settings::key_hash("k");
     let object = |choice: u8| match choice % 3 {
@@ -122,23 +122,23 @@
     })
 }
 
-/// A way in which the code under test can be broken.
+/// A fault injected into the code under test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// A change wins over what its author has not seen.
+    /// A change overwrites modifications that its author has not read.
     IgnoresBase,
-    /// The edits of a change take effect one by one.
+    /// Only the first edit of a change takes effect.
     AppliesPartially,
-    /// A repeated append counts as a change of its own.
+    /// A repeated append is treated as a new change.
     ForgetsIds,
-    /// Any snapshot is taken over, also an older one.
+    /// Any snapshot is adopted, even an older one.
     Reverts,
-    /// A record before which others are missing is taken for the next one.
+    /// Missing records are skipped instead of reported as a gap.
     SkipsGaps,
 }
 
-/// A process under test, broken or not.
+/// A process under test, possibly with a fault.
 #[derive(Debug, Default)]
 struct Process(Fold);
 
@@ -184,7 +184,7 @@
     }
 }
 
-/// The log, the processes, and what the oracle says of each position.
+/// The log, the processes and the oracle's state at each position.
 struct Cluster {
     fault: Fault,
     log: Vec<Vec<u8>>,
@@ -269,7 +269,7 @@
         self.append(body);
     }
 
-    /// Reads one record, or looks for a snapshot where the next record has expired.
+    /// Applies one record, or adopts a snapshot if the next record has expired.
     fn read(&mut self, who: usize) {
         let fault = self.fault;
         let process = &mut self.processes[who];
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Compares each process with the oracle and with the others at its position.
+    /// Compares each process with the oracle and with other processes at the same position.
     fn check(&mut self) -> Result<(), String> {
         for process in &self.processes {
             let fold = &process.0;
@@ -351,7 +351,7 @@
 
 #[test]
 fn the_scripts_reach_what_they_are_for() {
-    // A fuzzer whose changes are all refused for one reason would pass whatever the fold does.
+    // If all changes were rejected for one reason, the fuzz test could not fail.
     let mut g = Gen::from_size_and_seed(60, 0x5e79);
     let mut seen = [0; 4];
     for _ in 0..200 {
@@ -373,8 +373,11 @@
     assert!(seen.iter().all(|count| *count > 100), "{seen:?}");
 }
 
-/// Rehearses each change of a script right before it is judged.
-fn rehearses(script: &Script, dry_run: fn(&mut Fold, &Change) -> Outcome) -> Result<(), String> {
+/// Runs each change of a script as a dry run right before applying it.
+fn compare_dry_runs(
+    script: &Script,
+    dry_run: fn(&mut Fold, &Change) -> Outcome,
+) -> Result<(), String> {
     let mut cluster = Cluster::new(Fault::None);
     script.0.iter().for_each(|act| cluster.act(act));
     let mut fold = Fold::default();
@@ -383,7 +386,7 @@
             let before = (fold.snapshot(), fold.catalogue());
             let told = dry_run(&mut fold, &change);
             if (fold.snapshot(), fold.catalogue()) != before {
-                return Err(format!("the rehearsal at {offset} left something behind"));
+                return Err(format!("the dry run at {offset} changed the state"));
             }
             let judged = fold.apply(offset, 0, body);
             if told != judged {
@@ -398,14 +401,14 @@
 
 #[test]
 fn a_rehearsal_tells_the_outcome_and_changes_nothing() {
-    let sound: fn(Script) -> Result<(), String> = |script| rehearses(&script, Fold::dry_run);
+    let sound: fn(Script) -> Result<(), String> = |script| compare_dry_runs(&script, Fold::dry_run);
     quick(0x5e7a, 300, 60).quickcheck(sound);
 }
 
 #[test]
 fn a_rehearsal_that_takes_effect_is_caught() {
     let broken: fn(Script) -> Result<(), String> = |script| {
-        rehearses(&script, |fold, change| {
+        compare_dry_runs(&script, |fold, change| {
             let body = change.encode().expect("within bounds");
             fold.apply(fold.next(), 0, &body)
         })
--- a/crates/sesamegap-settings/tests/testsuite/inherit.rs
+++ b/crates/sesamegap-settings/tests/testsuite/inherit.rs
@@ -1,4 +1,4 @@
-//! Inheritance against walking to the root each time, and differences between trees.
+//! Inheritance compared with a walk to the root for each value, and diffs between trees.
 
 use crate::support::naive::{tidy, walk};
 use crate::support::quick;
@@ -9,7 +9,7 @@
 use sesamegap_settings::{Catalogue, Change, ChangeId, Findings, Fold, Outcome, Tree, TreePath};
 use sesamegap_wire::Offset;
 
-/// A valid tree of groups three deep, with names drawn from one sequence.
+/// A random valid tree with groups up to three levels deep and unique names.
 #[derive(Debug, Clone)]
 struct RandomTree(Value);
 
@@ -70,7 +70,7 @@
 
 type Resolve = fn(&Tree, &TreePath) -> Option<Vec<Effective>>;
 
-/// Compares each value of each object in a group and below.
+/// Compares each value of each object in a group and its subgroups with the naive walk.
 fn compare(tree: &Tree, root: &Value, groups: &[&str], resolve: Resolve) -> Result<(), String> {
     let mut at = root;
     let mut prefix = String::new();
@@ -113,7 +113,7 @@
     if tree.to_value() == tidy(&random.0) && catalogue.revision == Offset(0) {
         Ok(())
     } else {
-        Err("the tree is written otherwise than read".to_owned())
+        Err("the tree is not written as it was read".to_owned())
     }
 }
 
@@ -125,7 +125,7 @@
 
 #[test]
 fn broken_inheritance_is_caught() {
-    /// Lets the root's defaults win over those of the groups below.
+    /// Faulty resolution in which the root's defaults override those of subgroups.
     fn root_defaults_win(tree: &Tree, path: &TreePath) -> Option<Vec<Effective>> {
         let kind = if path.as_str().contains("teams/") {
             "team"
--- a/crates/sesamegap-settings/tests/testsuite/input.rs
+++ b/crates/sesamegap-settings/tests/testsuite/input.rs
@@ -1,4 +1,4 @@
-//! Input of any kind: files with faults, and bytes that are no settings at all.
+//! Handling of invalid input: settings files with errors, and arbitrary bytes.
 
 use crate::support::{change, quick, started};
 use quickcheck::TestResult;
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_snapshot_with_any_byte_changed_is_refused_or_the_same() {
-    // One bit of a snapshot flips on its way from a peer.
+    // Corruption of one byte of a snapshot in transit from a peer.
     let sound: fn(usize, u8) -> TestResult = |at, flip| {
         let whole = started().snapshot();
         let mut body = whole.clone();
--- a/crates/sesamegap-settings/tests/testsuite/limits.rs
+++ b/crates/sesamegap-settings/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! What the fold forgets when it remembers too much, and that nothing runs twice for it.
+//! Bounds of the fold's history; evicting entries must not let a change take effect twice.
 
 use crate::support::{append, change, started};
 use serde_json::json;
@@ -7,7 +7,7 @@
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
 use sesamegap_wire::Offset;
 
-/// Appends as many changes of nothing in particular.
+/// Appends `count` unrelated changes.
 fn fill(fold: &mut Fold, count: usize) {
     for _ in 0..count {
         let id = 1_000 + u128::from(fold.next().0);
@@ -21,8 +21,8 @@
 
 #[test]
 fn a_change_whose_id_was_forgotten_still_takes_effect_once() {
-    // An append is repeated so late that its id is no longer known. It must not bring back what
-    // other operators have replaced since.
+    // An append is repeated after its id was evicted. It must not overwrite values that other
+    // operators have set since.
     let mut fold = started();
     let first = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &first);
@@ -45,8 +45,8 @@
 
 #[test]
 fn a_base_older_than_what_is_remembered_is_a_conflict() {
-    // So many paths were touched that the fold cannot tell any more what happened since the base.
-    // To guess that nothing did could revert a change that nobody remembers.
+    // So many paths were modified that the fold no longer knows all modifications since the base.
+    // Assuming that there were none could revert an evicted change.
     let mut fold = started();
     let old = change(2, 1, "teams/a/weight", json!(7));
     let mut names = 0..;
@@ -69,7 +69,7 @@
         assert!(matches!(append(&mut fold, &more), Outcome::Accepted { .. }));
         assert!(
             names.start <= MAX_TRACKED_PATHS + 2 * MAX_EDITS,
-            "nothing is ever forgotten"
+            "no path is ever evicted"
         );
     }
     let outcome = append(&mut fold, &old);
--- a/crates/sesamegap-settings/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-settings/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers to write changes and trees.
+//! Helpers to build changes and folds.
 
 pub mod naive;
 
@@ -7,7 +7,7 @@
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
 use sesamegap_wire::Offset;
 
-/// A change with one edit; `Value::Null` removes.
+/// A change with one edit; `Value::Null` removes the value.
 pub fn change(id: u128, base: u64, path: &str, value: Value) -> Change {
     changes(id, base, [(path, value)])
 }
@@ -27,12 +27,12 @@
     }
 }
 
-/// Appends a change right after what was folded.
+/// Applies a change at the fold's next offset.
 pub fn append(fold: &mut Fold, change: &Change) -> Outcome {
     fold.apply(fold.next(), 0, &change.encode().expect("within bounds"))
 }
 
-/// A fold in which a class, a model and two teams stand, at revision 1.
+/// A fold at revision 1 with a class, a model and two teams.
 pub fn started() -> Fold {
     let mut fold = Fold::default();
     let first = changes(
@@ -58,7 +58,7 @@
     fold
 }
 
-/// A check with a fixed seed; `SESAMEGAP_CASES` raises the number of cases.
+/// A property test with a fixed seed; `SESAMEGAP_CASES` can raise the number of cases.
 pub fn quick(seed: u64, cases: u64, size: usize) -> QuickCheck {
     let asked = std::env::var("SESAMEGAP_CASES").ok();
     let asked = asked.and_then(|text| text.parse().ok()).unwrap_or(0);
--- a/crates/sesamegap-settings/tests/testsuite/support/naive.rs
+++ b/crates/sesamegap-settings/tests/testsuite/support/naive.rs
@@ -1,14 +1,14 @@
-//! The settings in force, worked out the simplest way.
+//! Naive reference implementation of the fold, used as a test oracle.
 //!
-//! The tree is one JSON value, each change is judged against all changes before it, and every
-//! value is found by walking from the object to the root.
+//! The tree is one JSON value, each change is compared with all changes before it, and every value
+//! is found by walking from the object to the root.
 
 use serde_json::{Map, Value};
 use sesamegap_settings::schema::Kind;
 use sesamegap_settings::{Catalogue, Change, ChangeId, Findings, Outcome, Tree};
 use sesamegap_wire::Offset;
 
-/// What the simple fold made of a change.
+/// Outcome of a change in the reference implementation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
     Accepted,
@@ -16,7 +16,7 @@
     Invalid,
 }
 
-/// The settings after some record.
+/// The expected state at one log position.
 #[derive(Debug, Clone, Default)]
 pub struct Oracle {
     pub tree: Value,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The state after one more record.
+    /// The state after applying one more record.
     pub fn after(&self, offset: Offset, body: &[u8]) -> Self {
         let mut next = self.clone();
         let Ok(change) = Change::decode(body) else {
@@ -81,7 +81,7 @@
         Verdict::Accepted
     }
 
-    /// The catalogue, resolved from nothing.
+    /// The catalogue, resolved from the whole tree.
     pub fn catalogue(&self) -> Catalogue {
         let mut catalogue = resolve(&self.tree).expect("only valid trees are accepted");
         catalogue.revision = self.revision;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Whether an outcome is the one that the oracle expects.
+/// Whether an outcome matches the oracle's verdict.
 pub fn agrees(outcome: &Outcome, verdict: Verdict) -> bool {
     match outcome {
         Outcome::Accepted { .. } => verdict == Verdict::Accepted,
@@ -105,7 +105,7 @@
     one.starts_with(&other) || other.starts_with(&one)
 }
 
-/// The tree, if each of its values is valid in itself.
+/// Parses the tree; `None` if any value is invalid on its own.
 fn read(tree: &Value) -> Option<Tree> {
     let mut findings = Findings::default();
     let tree = Tree::read(tree, "", &mut findings);
@@ -118,7 +118,7 @@
     findings.is_empty().then_some(catalogue)
 }
 
-/// Sets or removes what stands at a path; false where that makes no sense.
+/// Sets or removes the value at a path; `false` if the edit is not possible there.
 fn set(at: &mut Value, parts: &[&str], value: Option<Value>) -> bool {
     let object = at.as_object_mut().expect("an object");
     match (parts, value) {
@@ -132,7 +132,7 @@
         }
         (["defaults", kind], Some(value)) => put(object, "defaults", kind, value),
         (["defaults", kind], None) => {
-            // A group always has defaults of each kind, if only empty ones.
+            // Every group has defaults of each kind, possibly empty, so removal always succeeds.
             take(object, "defaults", kind);
             true
         }
@@ -178,7 +178,7 @@
     }
 }
 
-/// The tree without empty containers, as the program writes it.
+/// The tree without empty containers, as [`Tree::to_value`] writes it.
 pub fn tidy(tree: &Value) -> Value {
     let Some(object) = tree.as_object() else {
         return tree.clone();
