--- a/crates/sesamegap-settings/tests/testsuite/fuzz.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fuzz.rs
@@ -400,13 +400,13 @@
 }
 
 #[test]
-fn a_rehearsal_tells_the_outcome_and_changes_nothing() {
+fn a_dry_run_predicts_the_outcome_and_changes_nothing() {
     let sound: fn(Script) -> Result<(), String> = |script| compare_dry_runs(&script, Fold::dry_run);
     quick(0x5e7a, 300, 60).quickcheck(sound);
 }
 
 #[test]
-fn a_rehearsal_that_takes_effect_is_caught() {
+fn a_dry_run_that_takes_effect_is_caught() {
     let broken: fn(Script) -> Result<(), String> = |script| {
         compare_dry_runs(&script, |fold, change| {
             let body = change.encode().expect("within bounds");
