--- a/crates/sesamegap-settings/src/schema/reader.rs
+++ b/crates/sesamegap-settings/src/schema/reader.rs
@@ -131,7 +131,7 @@
         self.values[usize::from(index)]
     }
 
-    fn text(&self, name: &str) -> &'a str {
+    fn raw_text(&self, name: &str) -> &'a str {
         self.value(name).as_str().unwrap_or_default()
     }
 
@@ -164,17 +164,17 @@
 
     /// Value of a duration field.
     pub fn span(&self, name: &str) -> Duration {
-        units::span(self.text(name)).unwrap_or_default()
+        units::span(self.raw_text(name)).unwrap_or_default()
     }
 
     /// Value of a size field in bytes; 0 if it does not fit the target type.
     pub fn size<T: TryFrom<u64> + Default>(&self, name: &str) -> T {
-        T::try_from(units::size(self.text(name)).unwrap_or_default()).unwrap_or_default()
+        T::try_from(units::size(self.raw_text(name)).unwrap_or_default()).unwrap_or_default()
     }
 
     /// Value of a text field.
-    pub fn smol(&self, name: &str) -> SmolStr {
-        SmolStr::new(self.text(name))
+    pub fn text(&self, name: &str) -> SmolStr {
+        SmolStr::new(self.raw_text(name))
     }
 
     /// Value parsed from a text field, such as an identifier or an address.
@@ -182,7 +182,7 @@
     /// # Panics
     /// If the field's shape admits text that the type cannot parse.
     pub fn parsed<T: FromStr>(&self, name: &str) -> T {
-        let parsed = self.text(name).parse().ok();
+        let parsed = self.raw_text(name).parse().ok();
         parsed.expect("the shape admits what the type reads")
     }
 
--- a/crates/sesamegap/src/config/read.rs
+++ b/crates/sesamegap/src/config/read.rs
@@ -99,11 +99,11 @@
             } else {
                 "listen"
             }),
-            log: row.smol("log"),
-            vms: row.smol("vms"),
-            weights: row.smol("weights"),
-            secret: row.smol("secret"),
-            operator: row.smol("operator"),
+            log: row.text("log"),
+            vms: row.text("vms"),
+            weights: row.text("weights"),
+            secret: row.text("secret"),
+            operator: row.text("operator"),
             json_logs: row.flag("json_logs"),
             timing: timing?,
             bounds: bounds?,
@@ -148,8 +148,8 @@
         object(CTL, value, "", findings, |row| Self {
             routers: row.list("routers"),
             locators: row.list("locators"),
-            key: row.has("key").then(|| row.smol("key")),
-            by: row.smol("by"),
+            key: row.has("key").then(|| row.text("key")),
+            by: row.text("by"),
             call: row.span("call"),
             patience: row.span("patience"),
         })
@@ -160,9 +160,9 @@
     fn from_value(value: &Value, findings: &mut Findings) -> Option<Self> {
         object(STANDIN, value, "", findings, |row| Self {
             listen: row.parsed("listen"),
-            operator: row.smol("operator"),
-            secret: row.smol("secret"),
-            site: row.smol("site"),
+            operator: row.text("operator"),
+            secret: row.text("secret"),
+            site: row.text("site"),
             json_logs: row.flag("json_logs"),
         })
     }
