--- a/crates/sesamegap-settings/src/schema/reader.rs
+++ b/crates/sesamegap-settings/src/schema/reader.rs
@@ -146,7 +146,7 @@
     }
 
     /// Value of an integer field; 0 if it does not fit the target type.
-    pub fn whole<T: TryFrom<u64> + Default>(&self, name: &str) -> T {
+    pub fn integer<T: TryFrom<u64> + Default>(&self, name: &str) -> T {
         let number = self.value(name).as_u64().unwrap_or_default();
         T::try_from(number).unwrap_or_default()
     }
--- a/crates/sesamegap-settings/src/schema/specs.rs
+++ b/crates/sesamegap-settings/src/schema/specs.rs
@@ -252,7 +252,7 @@
             key_hashes: row.list("key_hashes"),
             weight: row.real("weight"),
             rate: row.rate("rate"),
-            burst: Tokens(row.whole("burst")),
+            burst: Tokens(row.integer("burst")),
             class: row.parsed("class"),
             models: row.list("models"),
         }
@@ -262,11 +262,11 @@
 impl From<&Row<'_>> for ClassSpec {
     fn from(row: &Row<'_>) -> Self {
         Self {
-            priority: row.whole("priority"),
+            priority: row.integer("priority"),
             deadline: row.span("deadline"),
             total: row.span("total"),
-            retries: row.whole("retries"),
-            queue: Tokens(row.whole("queue")),
+            retries: row.integer("retries"),
+            queue: Tokens(row.integer("queue")),
             thrift: row.real("thrift"),
             hedge: row.flag("hedge"),
         }
@@ -276,11 +276,11 @@
 impl From<&Row<'_>> for ModelSpec {
     fn from(row: &Row<'_>) -> Self {
         Self {
-            version: WeightsVersion(row.whole("version")),
-            block: Tokens(row.whole("block")),
-            longest: Tokens(row.whole("longest")),
-            answer: Tokens(row.whole("answer")),
-            least: row.whole("least"),
+            version: WeightsVersion(row.integer("version")),
+            block: Tokens(row.integer("block")),
+            longest: Tokens(row.integer("longest")),
+            answer: Tokens(row.integer("answer")),
+            least: row.integer("least"),
             engines: row.list("engines"),
         }
     }
@@ -291,7 +291,7 @@
         Self {
             repeatable: row.flag("repeatable"),
             timeout: row.span("timeout"),
-            window: row.whole("window"),
+            window: row.integer("window"),
             body: row.size("body"),
         }
     }
--- a/crates/sesamegap/src/config/read.rs
+++ b/crates/sesamegap/src/config/read.rs
@@ -192,11 +192,11 @@
         Self {
             body: row.size("body"),
             receive: row.span("receive"),
-            flights: row.whole("flights"),
-            ring: row.whole("ring"),
+            flights: row.integer("flights"),
+            ring: row.integer("ring"),
             answer: row.size("answer"),
             kept: row.size("kept"),
-            connections: row.whole("connections"),
+            connections: row.integer("connections"),
         }
     }
 }
--- a/crates/sesamegap/src/local/demand.rs
+++ b/crates/sesamegap/src/local/demand.rs
@@ -161,14 +161,14 @@
         Self {
             class,
             share: row.real("share"),
-            dossiers: row.whole("dossiers"),
-            forms: row.whole("forms"),
+            dossiers: row.integer("dossiers"),
+            forms: row.integer("forms"),
             blocks: [
-                row.whole("preamble"),
-                row.whole("dossier"),
-                row.whole("form"),
+                row.integer("preamble"),
+                row.integer("dossier"),
+                row.integer("form"),
             ],
-            answer: row.whole("answer"),
+            answer: row.integer("answer"),
         }
     }
 }
--- a/crates/sesamegap/src/site/mod.rs
+++ b/crates/sesamegap/src/site/mod.rs
@@ -52,7 +52,7 @@
         let catalogue = Catalogue::resolve(&tree, findings);
         Some(Self {
             domains: row.list("domains"),
-            routers: row.whole("routers"),
+            routers: row.integer("routers"),
             clients: millis(&row, "clients_ms"),
             standins: standins(&row, &catalogue),
             tree,
@@ -76,7 +76,7 @@
 fn standins(row: &Row<'_>, catalogue: &Catalogue) -> Builder {
     let mut plan = Plan::builder()
         .domains(row.list("domains"))
-        .engines(row.whole("engines"))
+        .engines(row.integer("engines"))
         .between(millis(row, "between_ms"))
         .engine(engine(row))
         .platform(platform(row));
@@ -89,16 +89,16 @@
         plan = plan.model(model.clone(), &versions).block(spec.block);
     }
     for service in catalogue.services.keys() {
-        plan = plan.workers(service.clone(), row.whole("workers"));
+        plan = plan.workers(service.clone(), row.integer("workers"));
     }
     plan
 }
 
 fn engine(row: &Row<'_>) -> EngineLimits {
     EngineLimits {
-        slots: row.whole("slots"),
-        queue: row.whole("queue"),
-        capacity: row.whole("capacity"),
+        slots: row.integer("slots"),
+        queue: row.integer("queue"),
+        capacity: row.integer("capacity"),
         prefill: millis(row, "prefill_ms") / 1000,
         import: millis(row, "import_ms"),
         decode: millis(row, "decode_ms"),
@@ -108,7 +108,7 @@
 
 fn platform(row: &Row<'_>) -> PlatformLimits {
     PlatformLimits {
-        appends: row.whole("appends"),
+        appends: row.integer("appends"),
         retention: row.span("retention"),
         lag: row.span("lag"),
         load: row.span("load"),
