--- a/crates/sesamegap-settings/benches/fold.rs
+++ b/crates/sesamegap-settings/benches/fold.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Numbers of teams, for the slope; the last is the users' expected number in two years.
+/// Numbers of teams, for the slope. The last is the number that users expect in two years.
 const TEAMS: [usize; 3] = [3_500, 17_500, 35_000];
 
 /// Changes per day that the users expect.
@@ -81,7 +81,7 @@
     format!("groups/firm-{}/teams/team-{index}", index / GROUP)
 }
 
-/// A fold with `teams` teams in groups of equal size, each with its own key and a weight.
+/// A fold with `teams` teams in groups of equal size. Each has its own key and a weight.
 fn fold_with_teams(teams: usize) -> Fold {
     let mut fold = Fold::default();
     append(&mut fold, vec![edit("classes/standard", json!({}))]);
@@ -100,8 +100,9 @@
     fold
 }
 
-/// Applies a day's changes, each of one team; with `shared`, a clone of the catalogue is held as
-/// in the router.
+/// Applies a day's changes, each of one team.
+///
+/// With `shared`, a clone of the catalogue is held as in the router.
 fn day(fold: &mut Fold, teams: usize, shared: bool) {
     let mut kept = Arc::default();
     for turn in 0..DAY {
@@ -146,7 +147,7 @@
     IN_USE.load(Ordering::Relaxed) - before
 }
 
-/// Fills the history of ids and modified paths, the latter as far as there are paths.
+/// Fills the history of ids, and that of modified paths as far as possible.
 fn with_full_history(mut fold: Fold, teams: usize) -> Fold {
     const EDITS: usize = MAX_TRACKED_PATHS / MAX_CHANGE_IDS;
     for turn in 0..MAX_CHANGE_IDS {
--- a/crates/sesamegap-settings/src/catalogue/mod.rs
+++ b/crates/sesamegap-settings/src/catalogue/mod.rs
@@ -54,7 +54,7 @@
 pub struct ClassSpec {
     /// Higher is served first; under overload the lowest is rejected first.
     pub priority: u8,
-    /// Time from arrival within which the first token must be sent; a later answer is useless.
+    /// Time from arrival within which the first token must be sent. A later answer is useless.
     pub deadline: Duration,
     /// Time limit from arrival to the end of the answer.
     pub total: Duration,
@@ -62,10 +62,11 @@
     pub retries: u32,
     /// Prompt tokens that may wait in one router's queue for this class.
     pub queue: Tokens,
-    /// Weight of a recomputed token against waiting time: at 1 only time counts, above 1 tokens are
-    /// saved at the cost of time.
+    /// Weight of a recomputed token against waiting time.
+    ///
+    /// At 1 only time counts; above 1, tokens are saved at the cost of time.
     pub thrift: f64,
-    /// Whether a hedged second attempt may start while a late first one is still running.
+    /// Whether a second attempt may start while a late first one still runs.
     pub hedge: bool,
 }
 
--- a/crates/sesamegap-settings/src/catalogue/resolve.rs
+++ b/crates/sesamegap-settings/src/catalogue/resolve.rs
@@ -15,8 +15,9 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Path of the group that contains each object, by kind and name; names are unique per kind in the
-/// whole tree.
+/// Path of each object's group, by kind and name.
+///
+/// Names are unique per kind in the whole tree.
 pub(crate) type GroupIndex = [BTreeMap<SmolStr, SmolStr>; 4];
 
 /// A resolved object of any kind.
@@ -240,7 +241,9 @@
         }
     }
 
-    /// Resolves a whole tree and adds a finding for each invalid reference or combination of values.
+    /// Resolves a whole tree.
+    ///
+    /// Adds a finding for each invalid reference or combination of values.
     pub fn resolve(tree: &Tree, findings: &mut Findings) -> Self {
         resolve_all(tree, findings).0
     }
--- a/crates/sesamegap-settings/src/change/mod.rs
+++ b/crates/sesamegap-settings/src/change/mod.rs
@@ -14,10 +14,10 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Maximum size of a change's record in bytes; the log of changes is not a file store.
+/// Maximum size of a change's record in bytes. The log of changes is not a file store.
 pub const MAX_CHANGE: usize = 1 << 20;
 
-/// Maximum number of edits in one change, enough to create a thousand teams at once.
+/// Maximum number of edits in one change. Enough to create a thousand teams at once.
 pub const MAX_EDITS: usize = 1024;
 
 /// Maximum length of an author's name, in bytes.
--- a/crates/sesamegap-settings/src/document/mod.rs
+++ b/crates/sesamegap-settings/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing of settings files (JSON with comments) that keeps the source location of each value.
+//! Parsing of settings files, JSON with comments, with the location of each value.
 
 use crate::error::SettingsError;
 use crate::findings::{Finding, Findings, Place, shown};
@@ -9,7 +9,7 @@
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
-/// Maximum file size in bytes; the tree of 35,000 teams takes a third of it.
+/// Maximum file size in bytes. The tree of 35,000 teams takes a third of it.
 pub const MAX_FILE: usize = 32 << 20;
 
 /// Extensions to JSON that the parser accepts: comments and trailing commas only.
@@ -31,7 +31,7 @@
 pub struct Document {
     file: String,
     value: Value,
-    /// Byte offset of each value by path; of the first one where a key is duplicated.
+    /// Byte offset of each value by path. A duplicate key has the offset of its first value.
     starts: BTreeMap<String, usize>,
     /// Byte offset of the start of each line.
     lines: Vec<usize>,
@@ -79,9 +79,9 @@
         &self.value
     }
 
-    /// Adds to each finding the location of its path, or of the nearest ancestor in the file.
+    /// Adds locations to findings and sorts the findings by location.
     ///
-    /// Also sorts the findings by location.
+    /// A path that is not in the file gets the location of its nearest ancestor there.
     pub fn locate(&self, findings: &mut Findings) {
         for finding in findings.iter_mut() {
             finding.place = Some(self.place(self.start(&finding.path)));
--- a/crates/sesamegap-settings/src/error.rs
+++ b/crates/sesamegap-settings/src/error.rs
@@ -21,10 +21,10 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Oversized(what, most) => write!(f, "{what} too large: allowed are {most}"),
-            Self::Malformed(why) => write!(f, "not readable: {why}"),
+            Self::Oversized(what, most) => write!(f, "{what} too large: the limit is {most}"),
+            Self::Malformed(why) => write!(f, "cannot be decoded: {why}"),
             Self::Mismatch => f.write_str("the snapshot's state does not match its hash"),
-            Self::Invalid(findings) => write!(f, "settings with findings:\n{findings}"),
+            Self::Invalid(findings) => write!(f, "invalid settings:\n{findings}"),
         }
     }
 }
--- a/crates/sesamegap-settings/src/fold/memory.rs
+++ b/crates/sesamegap-settings/src/fold/memory.rs
@@ -1,11 +1,11 @@
 //! Bounded history of past changes, used for deduplication and conflict detection.
 //!
 //! - The last [`MAX_HISTORY`] changes with the details that operators query.
-//! - The ids of the last [`MAX_CHANGE_IDS`] changes with their verdict, to detect duplicate appends. A
-//!   duplicate that arrives after its id was evicted is evaluated as a new change: if the first
+//! - The ids of the last [`MAX_CHANGE_IDS`] changes with their verdict, to detect duplicate
+//!   appends. A duplicate that arrives after its id was evicted is evaluated as a new change: if the first
 //!   record was accepted, the duplicate conflicts with it, so it still takes effect only once.
-//! - The revision at which each path was last modified, for at most [`MAX_TRACKED_PATHS`] paths. Above that
-//!   bound the older half is evicted and the *horizon* rises to the newest evicted revision. A
+//! - The revision at which each path was last modified, for at most
+//!   [`MAX_TRACKED_PATHS`] paths. Above that bound the older half is evicted and the *horizon* rises to the newest evicted revision. A
 //!   change whose base is before the horizon is rejected as a conflict, because conflicts can no
 //!   longer be ruled out. A conflict therefore never turns into an acceptance.
 
@@ -135,7 +135,7 @@
         self.history.get(at)
     }
 
-    /// Checks the change's base; returns the outcome to report if it is stale or invalid.
+    /// Checks the change's base; returns an outcome if it is stale or invalid.
     pub(crate) fn conflict(&self, change: &Change, offset: Offset) -> Option<Outcome> {
         let first = &change.edits.first()?.path;
         if change.base < self.horizon {
--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -29,7 +29,9 @@
 use sesamegap_wire::Offset;
 use std::sync::Arc;
 
-/// The effective settings at a log position, with the state needed to evaluate the next record.
+/// The effective settings at a log position.
+///
+/// Also holds the state needed to evaluate the next record.
 #[derive(Debug, Clone, Default)]
 pub struct Fold {
     next: Offset,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Applies a change's edits to the tree and validates it; also returns the undo steps.
+    /// Applies a change's edits to the tree and validates it. Also returns the undo steps.
     fn stage(&mut self, change: &Change) -> (Vec<Step>, Result<Staged, Findings>) {
         let mut findings = Findings::default();
         let read = |edit| Some((edit, edit::step(edit, &mut findings)?));
--- a/crates/sesamegap-settings/src/fold/outcome.rs
+++ b/crates/sesamegap-settings/src/fold/outcome.rs
@@ -17,10 +17,11 @@
         /// The revision that the change created.
         revision: Offset,
     },
-    /// Another change modified the same path, or one above or below it, after this one's base.
+    /// Another change modified an overlapping path after this one's base.
     Conflict {
-        /// Revision of the conflicting change, or the oldest base that can still be checked if
-        /// this one's is older.
+        /// Revision of the conflicting change.
+        ///
+        /// The oldest base that can still be checked, if this change's base is older.
         winner: Offset,
         /// The path in conflict.
         path: TreePath,
@@ -34,7 +35,7 @@
         /// Offset of the first record of the change.
         of: Offset,
     },
-    /// A snapshot; it has no effect on a process that has applied all records before it.
+    /// A snapshot. It has no effect on a process that has applied all records before it.
     Snapshot,
     /// The record's format is unknown, or its content cannot be decoded.
     Unreadable,
@@ -60,10 +61,10 @@
                 f.write_str("; nothing of this change took effect")
             }
             Self::Invalid(findings) => write!(f, "refused, nothing took effect:\n{findings}"),
-            Self::Duplicate { of } => write!(f, "the change at offset {of} again"),
+            Self::Duplicate { of } => write!(f, "duplicate of the change at offset {of}"),
             Self::Snapshot => f.write_str("snapshot"),
-            Self::Unreadable => f.write_str("unreadable"),
-            Self::Passed => f.write_str("folded before"),
+            Self::Unreadable => f.write_str("record cannot be decoded"),
+            Self::Passed => f.write_str("already applied"),
             Self::Gap { next } => write!(f, "records are missing from offset {next} on"),
         }
     }
--- a/crates/sesamegap-settings/src/fold/snapshot.rs
+++ b/crates/sesamegap-settings/src/fold/snapshot.rs
@@ -1,4 +1,6 @@
-//! Snapshots of the fold's state as log records, so that retention can drop all earlier records.
+//! Snapshots of the fold's state as log records.
+//!
+//! After a snapshot, retention may drop all earlier records.
 
 use super::Fold;
 use super::memory::ChangeHistory;
--- a/crates/sesamegap-settings/src/keys/mod.rs
+++ b/crates/sesamegap-settings/src/keys/mod.rs
@@ -16,7 +16,7 @@
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Whether a key has this hash, compared in constant time; a malformed hash never matches.
+/// Whether a key has this hash, compared in constant time. A malformed hash never matches.
 pub fn matches(key: &str, hash: &str) -> bool {
     match Hash::from_hex(hash) {
         Ok(wanted) => blake3::hash(key.as_bytes()) == wanted,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Maps key hashes to teams; clones share one table until one of them is modified.
+/// Maps key hashes to teams. Clones share one table until one of them is modified.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Keys(Arc<BTreeMap<[u8; 32], TeamId>>);
 
@@ -42,7 +42,7 @@
         self.0.get(hash.as_bytes())
     }
 
-    /// Adds a team's key hash; a malformed one is ignored, since no key can match it.
+    /// Adds a team's key hash. A malformed one is ignored, since no key can match it.
     pub fn add(&mut self, hash: &str, team: &TeamId) {
         if let Ok(hash) = Hash::from_hex(hash) {
             Arc::make_mut(&mut self.0).insert(*hash.as_bytes(), team.clone());
@@ -58,7 +58,7 @@
 }
 
 impl<'a> FromIterator<&'a (TeamId, TeamSpec)> for Keys {
-    /// Collects the key hashes of teams; malformed ones are ignored, since no key can match them.
+    /// Collects the key hashes of teams. Malformed ones are ignored, since no key can match them.
     fn from_iter<I: IntoIterator<Item = &'a (TeamId, TeamSpec)>>(teams: I) -> Self {
         let hashes = |(id, team): &'a (TeamId, TeamSpec)| {
             let parse = |hash: &String| Hash::from_hex(hash).ok();
--- a/crates/sesamegap-settings/src/schema/reader.rs
+++ b/crates/sesamegap-settings/src/schema/reader.rs
@@ -8,7 +8,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Values set on an object, as pairs of field index and value, sorted by index.
+/// Values set on an object: pairs of field index and value, sorted by index.
 pub type Values = Vec<(u8, Value)>;
 
 /// Joins a path and a key with `/`; an empty path is the root.
@@ -42,12 +42,12 @@
     fits
 }
 
-/// Reads the fields set on an object and adds a finding for each invalid one.
+/// Reads the fields set on an object; adds a finding for each error.
 pub fn read(fields: &[Field], value: &Value, path: &str, findings: &mut Findings) -> Values {
     read_beside(fields, &[], value, path, findings)
 }
 
-/// Like [`read`], but accepts the keys in `others` and skips them; the caller reads those.
+/// Like [`read`], but skips the keys in `others`, which the caller reads.
 pub fn read_beside(
     fields: &[Field],
     others: &[&str],
@@ -83,7 +83,7 @@
     values
 }
 
-/// Fills in built-in defaults and adds a finding for each required field that is missing.
+/// Fills in built-in defaults; adds a finding for each missing required field.
 ///
 /// A field whose value was invalid already has a finding and does not get another.
 pub fn complete<'a>(
@@ -167,7 +167,7 @@
         units::span(self.raw_text(name)).unwrap_or_default()
     }
 
-    /// Value of a size field in bytes; 0 if it does not fit the target type.
+    /// Value of a size field in bytes. 0 if it does not fit the target type.
     pub fn size<T: TryFrom<u64> + Default>(&self, name: &str) -> T {
         T::try_from(units::size(self.raw_text(name)).unwrap_or_default()).unwrap_or_default()
     }
--- a/crates/sesamegap-settings/src/schema/specs.rs
+++ b/crates/sesamegap-settings/src/schema/specs.rs
@@ -1,4 +1,4 @@
-//! The four kinds of objects in the tree, their fields and the conversion to resolved specs.
+//! The four kinds of objects in the tree, their fields and resolved specs.
 
 use super::reader::Row;
 use super::{Field, Shape, field};
--- a/crates/sesamegap-settings/src/tree/edit.rs
+++ b/crates/sesamegap-settings/src/tree/edit.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// The value at a path: a whole group, all values of an object, or one value.
+/// Content of a path: a group, all values of an object, or one value.
 #[derive(Debug, Clone)]
 pub(crate) enum NodeValue {
     Group(Box<Group>),
--- a/crates/sesamegap-settings/src/tree/inherit.rs
+++ b/crates/sesamegap-settings/src/tree/inherit.rs
@@ -55,7 +55,7 @@
         self.defaults.last().map(|(_, group)| *group)
     }
 
-    /// Enters the root (if the name is empty) or a subgroup of the innermost group.
+    /// Enters a subgroup of the innermost group, or the root if `name` is empty.
     pub(crate) fn push(&mut self, name: &str, group: &'a Group) {
         let path = match (name, self.path().as_str()) {
             ("", _) => SmolStr::default(),
@@ -70,7 +70,8 @@
         self.defaults.pop();
     }
 
-    /// The effective value of a field and the depth of its origin; `None` for built-in defaults.
+    /// The effective value of a field and the depth of its origin. The depth is `None` for built-in
+    /// defaults.
     fn find(&self, kind: Kind, own: &'a Values, index: u8) -> (&'a Value, Option<usize>) {
         if let Some(value) = get(own, index) {
             return (value, Some(self.defaults.len()));
@@ -130,7 +131,7 @@
 }
 
 impl Tree {
-    /// The layers from the root to a group; `None` if the group does not exist.
+    /// The layers from the root to a group. `None` if the group does not exist.
     pub(crate) fn layers(&self, groups: &[SmolStr]) -> Option<Layers<'_>> {
         let mut layers = Layers::default();
         let mut group = &self.root;
@@ -142,9 +143,10 @@
         Some(layers)
     }
 
-    /// The effective values at the path of an object, a group's defaults or one of their fields.
+    /// The effective values at a path, with their origins.
     ///
-    /// `None` if the path does not exist or addresses a group, which has no values itself.
+    /// The path addresses an object, a group's defaults or one of their fields. `None` if it does
+    /// not exist or addresses a group, which has no values itself.
     pub fn effective(&self, path: &TreePath) -> Option<Vec<Effective>> {
         static NOTHING: Values = Values::new();
         let target = Target::parse(path).ok()?;
--- a/crates/sesamegap-settings/src/tree/mod.rs
+++ b/crates/sesamegap-settings/src/tree/mod.rs
@@ -26,7 +26,7 @@
 }
 
 impl Tree {
-    /// Reads a tree and adds a finding for each value that is invalid on its own.
+    /// Reads a tree; adds a finding for each value invalid on its own.
     ///
     /// References between objects are checked by [`Catalogue::resolve`](crate::Catalogue::resolve).
     pub fn read(value: &Value, path: &str, findings: &mut Findings) -> Self {
--- a/crates/sesamegap-settings/src/tree/path.rs
+++ b/crates/sesamegap-settings/src/tree/path.rs
@@ -17,12 +17,12 @@
 /// Maximum nesting depth of groups, far deeper than an operator can keep track of.
 pub const MAX_DEPTH: usize = 8;
 
-/// Maximum length of a path in bytes: groups at full depth with names of maximum length.
+/// Maximum length of a path in bytes. Fits groups at full depth with names of maximum length.
 pub const MAX_PATH: usize = 800;
 
 const ALLOWED: &str = "names joined by `/`, as in `groups/filing/teams/desk/weight`";
 
-/// A path as written by operators; its syntax is valid, but the node need not exist.
+/// A path as written by operators. Its syntax is valid, but the node need not exist.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TreePath(SmolStr);
 
@@ -32,7 +32,7 @@
         &self.0
     }
 
-    /// Key that sorts directly before all descendants of this path; not a valid path itself.
+    /// Key that sorts directly before all descendants of this path. Not a valid path itself.
     pub(crate) fn before_children(&self) -> Self {
         Self(smol_str::format_smolstr!("{}/", self.0))
     }
--- a/crates/sesamegap-settings/tests/testsuite/inherit.rs
+++ b/crates/sesamegap-settings/tests/testsuite/inherit.rs
@@ -1,4 +1,4 @@
-//! Inheritance compared with a walk to the root for each value, and diffs between trees.
+//! Inheritance compared with a naive walk to the root, and diffs between trees.
 
 use crate::support::naive::{tidy, walk};
 use crate::support::quick;
@@ -70,7 +70,7 @@
 
 type Resolve = fn(&Tree, &TreePath) -> Option<Vec<Effective>>;
 
-/// Compares each value of each object in a group and its subgroups with the naive walk.
+/// Compares all values in a group and its subgroups with the naive walk.
 fn compare(tree: &Tree, root: &Value, groups: &[&str], resolve: Resolve) -> Result<(), String> {
     let mut at = root;
     let mut prefix = String::new();
--- a/crates/sesamegap-settings/tests/testsuite/limits.rs
+++ b/crates/sesamegap-settings/tests/testsuite/limits.rs
@@ -1,4 +1,6 @@
-//! Bounds of the fold's history; evicting entries must not let a change take effect twice.
+//! Bounds of the fold's history.
+//!
+//! Evicting entries must not let a change take effect twice.
 
 use crate::support::{append, change, started};
 use serde_json::json;
--- a/crates/sesamegap-settings/tests/testsuite/support/naive.rs
+++ b/crates/sesamegap-settings/tests/testsuite/support/naive.rs
@@ -118,7 +118,7 @@
     findings.is_empty().then_some(catalogue)
 }
 
-/// Sets or removes the value at a path; `false` if the edit is not possible there.
+/// Sets or removes the value at a path. `false` if the edit is not possible there.
 fn set(at: &mut Value, parts: &[&str], value: Option<Value>) -> bool {
     let object = at.as_object_mut().expect("an object");
     match (parts, value) {
