--- a/crates/sesamegap-settings/src/fold/memory.rs
+++ b/crates/sesamegap-settings/src/fold/history.rs
@@ -2,12 +2,13 @@
 //!
 //! - The last [`MAX_HISTORY`] changes with the details that operators query.
 //! - The ids of the last [`MAX_CHANGE_IDS`] changes with their verdict, to detect duplicate
-//!   appends. A duplicate that arrives after its id was evicted is evaluated as a new change: if the first
-//!   record was accepted, the duplicate conflicts with it, so it still takes effect only once.
-//! - The revision at which each path was last modified, for at most
-//!   [`MAX_TRACKED_PATHS`] paths. Above that bound the older half is evicted and the *horizon* rises to the newest evicted revision. A
-//!   change whose base is before the horizon is rejected as a conflict, because conflicts can no
-//!   longer be ruled out. A conflict therefore never turns into an acceptance.
+//!   appends. A duplicate that arrives after its id was evicted is evaluated as a new change: if
+//!   the first record was accepted, the duplicate conflicts with it, so it still takes effect only
+//!   once.
+//! - The revision at which each path was last modified, for at most [`MAX_TRACKED_PATHS`] paths.
+//!   Above that bound the older half is evicted and the *horizon* rises to the newest evicted
+//!   revision. A change whose base is before the horizon is rejected as a conflict, because
+//!   conflicts can no longer be ruled out. A conflict therefore never turns into an acceptance.
 
 use super::Outcome;
 use crate::change::{Change, ChangeId};
--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -12,11 +12,11 @@
 //! covers no more than was already applied is not adopted. A reader whose next offset has expired
 //! finds a snapshot, adopts it and continues from [`Fold::next`].
 
-pub mod memory;
+pub mod history;
 pub mod outcome;
 pub mod snapshot;
 
-pub use memory::{Entry, MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
+pub use history::{Entry, MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
 pub use outcome::Outcome;
 
 use crate::catalogue::Catalogue;
@@ -25,7 +25,7 @@
 use crate::findings::Findings;
 use crate::tree::Tree;
 use crate::tree::edit::{self, Step};
-use memory::ChangeHistory;
+use history::ChangeHistory;
 use sesamegap_wire::Offset;
 use std::sync::Arc;
 
@@ -38,7 +38,7 @@
     tree: Tree,
     catalogue: Arc<Catalogue>,
     group_index: GroupIndex,
-    memory: ChangeHistory,
+    history: ChangeHistory,
 }
 
 impl Fold {
@@ -90,12 +90,12 @@
 
     /// Outcome of a change; `None` once its id has been evicted.
     pub fn outcome(&self, id: &ChangeId) -> Option<Outcome> {
-        self.memory.outcome(id)
+        self.history.outcome(id)
     }
 
     /// The last evaluated changes, oldest first, at most [`MAX_HISTORY`].
     pub fn history(&self) -> impl Iterator<Item = &Entry> {
-        self.memory.history()
+        self.history.history()
     }
 
     /// Evaluates a change as if it were the next record, without applying it.
@@ -103,10 +103,10 @@
     /// A router calls this before it appends, so that an invalid change costs no log record. The
     /// outcome at the record's actual offset is still the one that counts.
     pub fn dry_run(&mut self, change: &Change) -> Outcome {
-        if let Some(offset) = self.memory.seen(&change.id) {
+        if let Some(offset) = self.history.seen(&change.id) {
             return Outcome::Duplicate { of: offset };
         }
-        if let Some(conflict) = self.memory.conflict(change, self.next) {
+        if let Some(conflict) = self.history.conflict(change, self.next) {
             return conflict;
         }
         let (undo, staged) = self.stage(change);
@@ -120,14 +120,14 @@
     }
 
     fn judge(&mut self, offset: Offset, time_ms: u64, change: &Change) -> Outcome {
-        if let Some(first) = self.memory.seen(&change.id) {
+        if let Some(first) = self.history.seen(&change.id) {
             return Outcome::Duplicate { of: first };
         }
-        let outcome = match self.memory.conflict(change, offset) {
+        let outcome = match self.history.conflict(change, offset) {
             Some(conflict) => conflict,
             None => self.apply_change(offset, change),
         };
-        self.memory.note(offset, time_ms, change, &outcome);
+        self.history.note(offset, time_ms, change, &outcome);
         outcome
     }
 
--- a/crates/sesamegap-settings/src/fold/snapshot.rs
+++ b/crates/sesamegap-settings/src/fold/snapshot.rs
@@ -3,7 +3,7 @@
 //! After a snapshot, retention may drop all earlier records.
 
 use super::Fold;
-use super::memory::ChangeHistory;
+use super::history::ChangeHistory;
 use crate::catalogue::resolve::resolve_all;
 use crate::change::{RecordKind, decode, frame, unframe};
 use crate::error::SettingsError;
@@ -47,7 +47,7 @@
             next: self.next,
             revision: self.revision(),
             tree: self.tree.to_value(),
-            memory: &self.memory,
+            memory: &self.history,
         };
         let state = rmp_serde::to_vec_named(&state).expect("the state can be encoded");
         let record = SnapshotRecord {
@@ -102,9 +102,9 @@
     if !findings.is_empty() {
         return Err(SettingsError::Invalid(findings));
     }
-    let memory = state.memory.with_id_index();
-    let memory = memory.ok_or(SettingsError::Oversized(
-        "memory of a snapshot",
+    let history = state.memory.with_id_index();
+    let history = history.ok_or(SettingsError::Oversized(
+        "change history of a snapshot",
         super::MAX_TRACKED_PATHS,
     ))?;
     catalogue.revision = state.revision;
@@ -113,7 +113,7 @@
         tree,
         catalogue: Arc::new(catalogue),
         group_index,
-        memory,
+        history,
     })
 }
 
