--- a/crates/sesamegap-settings/src/catalogue/checks.rs
+++ b/crates/sesamegap-settings/src/catalogue/checks.rs
@@ -3,7 +3,7 @@
 //! Each check covers the objects affected by a change, and the rest of the tree only as far as an
 //! affected object refers to it or is referred to by it.
 
-use super::resolve::{GroupIndex, Spec, Staged, path_of};
+use super::resolve::{GroupIndex, Spec, StagedChange, item_path};
 use super::{Catalogue, ModelSpec, TeamSpec};
 use crate::findings::Findings;
 use crate::schema::Kind;
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Staged {
+impl StagedChange {
     /// Runs all checks.
     pub(super) fn check_all(
         &self,
@@ -41,7 +41,7 @@
             if let Some(other) = kept.or(seen.insert((*kind, name), group)) {
                 let there = join(&join(other, kind.plural()), name);
                 let wrong = format!("a {kind} of this name stands at {there} too");
-                findings.add(&path_of(item), wrong, "each name once in the whole tree");
+                findings.add(&item_path(item), wrong, "each name once in the whole tree");
             }
         }
     }
@@ -49,7 +49,7 @@
     /// Finds values that contradict each other within one object.
     fn check_specs(&self, findings: &mut Findings) {
         for (item, spec) in &self.after {
-            let path = path_of(item);
+            let path = item_path(item);
             match spec {
                 Spec::Class(class) if class.total < class.deadline => {
                     let wrong = "the whole answer is due before its first token";
@@ -82,10 +82,10 @@
 
     /// Finds references to objects that do not exist.
     fn check_references(&self, old: &Catalogue, group_index: &GroupIndex, findings: &mut Findings) {
-        let classes = self.names(Kind::Class, |name| {
+        let classes = self.existing_names(Kind::Class, |name| {
             old.classes.keys().any(|id| id.as_str() == name)
         });
-        let models = self.names(Kind::Model, |name| {
+        let models = self.existing_names(Kind::Model, |name| {
             old.models.keys().any(|id| id.as_str() == name)
         });
         let mut check = |path: &str, team: &TeamSpec| {
@@ -108,11 +108,11 @@
         };
         for (item, spec) in &self.after {
             if let Spec::Team(team) = spec {
-                check(&path_of(item), team);
+                check(&item_path(item), team);
             }
         }
-        if self.loses(Kind::Class) || self.loses(Kind::Model) {
-            let touched: BTreeSet<&str> = self.named(Kind::Team).collect();
+        if self.removes(Kind::Class) || self.removes(Kind::Model) {
+            let touched: BTreeSet<&str> = self.affected_names(Kind::Team).collect();
             let others = old
                 .teams
                 .iter()
@@ -121,7 +121,7 @@
                 let name = SmolStr::new(id.as_str());
                 let home = group_index[Kind::Team as usize].get(&name).cloned();
                 check(
-                    &path_of(&(Kind::Team, name, home.unwrap_or_default())),
+                    &item_path(&(Kind::Team, name, home.unwrap_or_default())),
                     team,
                 );
             }
@@ -130,7 +130,7 @@
 
     /// Finds keys shared by two teams; a caller could be identified as either.
     fn check_keys(&self, old: &Catalogue, findings: &mut Findings) {
-        let touched: BTreeSet<&str> = self.named(Kind::Team).collect();
+        let touched: BTreeSet<&str> = self.affected_names(Kind::Team).collect();
         let mut seen: BTreeMap<&str, &SmolStr> = BTreeMap::new();
         for (item, spec) in &self.after {
             let Spec::Team(team) = spec else {
@@ -142,7 +142,7 @@
                 let other = seen.insert(hash, &item.1).map(SmolStr::as_str);
                 if let Some(other) = kept.or(other) {
                     let wrong = format!("team `{other}` has this key too");
-                    let path = join(&path_of(item), "key_hashes");
+                    let path = join(&item_path(item), "key_hashes");
                     findings.add(&path, wrong, "a key of one team only");
                 }
             }
@@ -150,7 +150,7 @@
     }
 
     /// Names of affected objects of a kind, before or after the change.
-    pub(super) fn named(&self, kind: Kind) -> impl Iterator<Item = &str> {
+    pub(super) fn affected_names(&self, kind: Kind) -> impl Iterator<Item = &str> {
         let after = self.after.iter().map(|(item, _)| item);
         let all = self.before.iter().chain(after);
         all.filter(move |item| item.0 == kind)
@@ -158,7 +158,7 @@
     }
 
     /// Whether the change removes objects of a kind.
-    fn loses(&self, kind: Kind) -> bool {
+    fn removes(&self, kind: Kind) -> bool {
         let after = self.after.iter().filter(|(item, _)| item.0 == kind);
         let after: BTreeSet<&SmolStr> = after.map(|(item, _)| &item.1).collect();
         self.before
@@ -169,8 +169,8 @@
     /// Returns a predicate for whether a name of a kind exists after the change.
     ///
     /// `kept` answers for names that the change does not affect.
-    fn names(&self, kind: Kind, kept: impl Fn(&str) -> bool) -> impl Fn(&str) -> bool {
-        let touched: BTreeSet<&str> = self.named(kind).collect();
+    fn existing_names(&self, kind: Kind, kept: impl Fn(&str) -> bool) -> impl Fn(&str) -> bool {
+        let touched: BTreeSet<&str> = self.affected_names(kind).collect();
         let after = self.after.iter().filter(move |(item, _)| item.0 == kind);
         let after: BTreeSet<&str> = after.map(|(item, _)| item.1.as_str()).collect();
         move |name| {
--- a/crates/sesamegap-settings/src/catalogue/resolve.rs
+++ b/crates/sesamegap-settings/src/catalogue/resolve.rs
@@ -47,12 +47,12 @@
 pub(crate) type Items = BTreeSet<Item>;
 
 /// The full path of an object.
-pub(super) fn path_of(item: &Item) -> String {
+pub(super) fn item_path(item: &Item) -> String {
     join(&join(&item.2, item.0.plural()), &item.1)
 }
 
 /// Adds the objects that an edit of this path can affect.
-pub(crate) fn touched(tree: &Tree, target: &Target, items: &mut Items) {
+pub(crate) fn add_affected(tree: &Tree, target: &Target, items: &mut Items) {
     let Some(mut layers) = tree.layers(&target.groups) else {
         return;
     };
@@ -68,13 +68,13 @@
                 note(*kind, name, &layers, own);
             }
         }
-        Slot::Group => walk(&mut layers, group, &Kind::ALL, &mut note),
-        Slot::Defaults(kind, _) => walk(&mut layers, group, &[*kind], &mut note),
+        Slot::Group => visit_items(&mut layers, group, &Kind::ALL, &mut note),
+        Slot::Defaults(kind, _) => visit_items(&mut layers, group, &[*kind], &mut note),
     }
 }
 
 /// Visits each object of the given kinds in a group and its subgroups.
-fn walk<'a>(
+fn visit_items<'a>(
     layers: &mut Layers<'a>,
     group: &'a Group,
     kinds: &[Kind],
@@ -87,14 +87,14 @@
     }
     for (name, below) in &group.groups {
         layers.push(name, below);
-        walk(layers, below, kinds, visit);
+        visit_items(layers, below, kinds, visit);
         layers.pop();
     }
 }
 
 /// The affected objects before and after a change, ready to be committed.
 #[derive(Debug)]
-pub(crate) struct Staged {
+pub(crate) struct StagedChange {
     pub(super) before: Items,
     pub(super) after: Vec<(Item, Spec)>,
 }
@@ -107,7 +107,7 @@
     before: Items,
     after: Items,
     findings: &mut Findings,
-) -> Staged {
+) -> StagedChange {
     let resolve = |item: Item| {
         let groups = group_names(&item.2);
         let layers = tree.layers(&groups)?;
@@ -116,7 +116,7 @@
         Some((item, spec))
     };
     let after: Vec<(Item, Spec)> = after.into_iter().filter_map(resolve).collect();
-    let staged = Staged { before, after };
+    let staged = StagedChange { before, after };
     staged.check_all(old, group_index, findings);
     staged
 }
@@ -129,15 +129,15 @@
         .collect()
 }
 
-impl Staged {
+impl StagedChange {
     /// Applies the change to the catalogue and the group index.
     ///
     /// Keys that a team keeps are left alone. If no key changes, the key table stays shared with
     /// the previous catalogue and is not copied.
     pub(crate) fn commit(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
-        let names: BTreeSet<TeamId> = self.named(Kind::Team).map(id).collect();
+        let names: BTreeSet<TeamId> = self.affected_names(Kind::Team).map(id).collect();
         let before = team_keys(catalogue, &names);
-        self.replace(catalogue, group_index);
+        self.replace_items(catalogue, group_index);
         let after = team_keys(catalogue, &names);
         for (hash, _) in before.difference(&after) {
             catalogue.keys.remove(hash);
@@ -150,7 +150,7 @@
     /// Builds a catalogue from all objects.
     ///
     /// The maps are built in bulk, because they are then denser than if filled one by one.
-    fn whole(self) -> (Catalogue, GroupIndex) {
+    fn into_catalogue(self) -> (Catalogue, GroupIndex) {
         let mut catalogue = Catalogue::default();
         let mut group_index: [Vec<(SmolStr, SmolStr)>; 4] = Default::default();
         let mut teams = Vec::new();
@@ -170,7 +170,7 @@
     }
 
     /// Replaces the affected objects, but not the keys of teams.
-    fn replace(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
+    fn replace_items(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
         let mut gone = self.before;
         for ((kind, name, group), spec) in self.after {
             catalogue.insert(&name, spec);
@@ -254,7 +254,7 @@
     let mut layers = Layers::default();
     layers.push("", &tree.root);
     let mut after = Vec::new();
-    walk(
+    visit_items(
         &mut layers,
         &tree.root,
         &Kind::ALL,
@@ -263,10 +263,10 @@
             after.push((item, Spec::new(kind, &layers.row(kind, own))));
         },
     );
-    let staged = Staged {
+    let staged = StagedChange {
         before: Items::new(),
         after,
     };
     staged.check_all(&Catalogue::default(), &GroupIndex::default(), findings);
-    staged.whole()
+    staged.into_catalogue()
 }
--- a/crates/sesamegap-settings/src/change/mod.rs
+++ b/crates/sesamegap-settings/src/change/mod.rs
@@ -131,7 +131,7 @@
     /// # Errors
     /// If the change has no edits, exceeds one of this module's limits or cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, SettingsError> {
-        self.bounded()?;
+        self.check_limits()?;
         let body = frame(RecordKind::Change, self)?;
         if body.len() > MAX_CHANGE {
             return Err(SettingsError::Oversized("bytes of a change", MAX_CHANGE));
@@ -151,11 +151,11 @@
             return Err(SettingsError::Malformed("not a change".to_owned()));
         };
         let change: Self = decode(content)?;
-        change.bounded()?;
+        change.check_limits()?;
         Ok(change)
     }
 
-    fn bounded(&self) -> Result<(), SettingsError> {
+    fn check_limits(&self) -> Result<(), SettingsError> {
         if self.edits.is_empty() {
             return Err(SettingsError::Malformed(
                 "a change without edits".to_owned(),
--- a/crates/sesamegap-settings/src/document/mod.rs
+++ b/crates/sesamegap-settings/src/document/mod.rs
@@ -32,7 +32,7 @@
     file: String,
     value: Value,
     /// Byte offset of each value by path. A duplicate key has the offset of its first value.
-    starts: BTreeMap<String, usize>,
+    offsets: BTreeMap<String, usize>,
     /// Byte offset of the start of each line.
     lines: Vec<usize>,
     text: String,
@@ -51,14 +51,14 @@
         let mut document = Self {
             file: file.to_owned(),
             value: Value::Null,
-            starts: BTreeMap::new(),
-            lines: line_starts(text),
+            offsets: BTreeMap::new(),
+            lines: line_offsets(text),
             text: text.to_owned(),
         };
         let mut findings = Findings::default();
         match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
             Ok(parsed) => match parsed.value {
-                Some(root) => document.value = document.take(&root, "", &mut findings),
+                Some(root) => document.value = document.convert(&root, "", &mut findings),
                 None => findings.push(document.finding(0, "", "the file is empty", "an object")),
             },
             Err(error) => {
@@ -92,7 +92,7 @@
     fn start(&self, path: &str) -> usize {
         let mut path = path;
         loop {
-            if let Some(start) = self.starts.get(path) {
+            if let Some(start) = self.offsets.get(path) {
                 return *start;
             }
             path = path.rsplit_once('/').map_or("", |(above, _)| above);
@@ -122,8 +122,8 @@
     }
 
     /// Converts a syntax tree node to a value and records its byte offset.
-    fn take(&mut self, value: &ast::Value<'_>, path: &str, findings: &mut Findings) -> Value {
-        self.starts.entry(path.to_owned()).or_insert(value.start());
+    fn convert(&mut self, value: &ast::Value<'_>, path: &str, findings: &mut Findings) -> Value {
+        self.offsets.entry(path.to_owned()).or_insert(value.start());
         match value {
             ast::Value::StringLit(text) => Value::String(text.value.to_string()),
             ast::Value::BooleanLit(flag) => Value::Bool(flag.value),
@@ -133,7 +133,7 @@
                 let mut items = Vec::new();
                 for (index, item) in array.elements.iter().enumerate() {
                     let path = join(path, &index.to_string());
-                    items.push(self.take(item, &path, findings));
+                    items.push(self.convert(item, &path, findings));
                 }
                 Value::Array(items)
             }
@@ -155,7 +155,7 @@
                 let wrong = format!("`{}` stands twice", shown(key));
                 findings.push(self.finding(property.start(), &path, &wrong, "each key once"));
             }
-            let value = self.take(&property.value, &path, findings);
+            let value = self.convert(&property.value, &path, findings);
             map.insert(key.to_owned(), value);
         }
         map
@@ -171,7 +171,7 @@
     }
 }
 
-fn line_starts(text: &str) -> Vec<usize> {
+fn line_offsets(text: &str) -> Vec<usize> {
     let after = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
     std::iter::once(0)
         .chain(after.map(|(at, _)| at + 1))
--- a/crates/sesamegap-settings/src/error.rs
+++ b/crates/sesamegap-settings/src/error.rs
@@ -13,7 +13,7 @@
     /// The input cannot be decoded.
     Malformed(String),
     /// A snapshot is inconsistent: its state does not match its hash or its header.
-    Mismatch,
+    SnapshotMismatch,
     /// Validation reported findings.
     Invalid(Findings),
 }
@@ -23,7 +23,7 @@
         match self {
             Self::Oversized(what, most) => write!(f, "{what} too large: the limit is {most}"),
             Self::Malformed(why) => write!(f, "cannot be decoded: {why}"),
-            Self::Mismatch => f.write_str("the snapshot's state does not match its hash"),
+            Self::SnapshotMismatch => f.write_str("the snapshot's state does not match its hash"),
             Self::Invalid(findings) => write!(f, "invalid settings:\n{findings}"),
         }
     }
--- a/crates/sesamegap-settings/src/fold/history.rs
+++ b/crates/sesamegap-settings/src/fold/history.rs
@@ -190,7 +190,7 @@
     }
 
     /// Records an evaluated change and its outcome.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &mut self,
         offset: Offset,
         time_ms: u64,
--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -20,11 +20,11 @@
 pub use outcome::Outcome;
 
 use crate::catalogue::Catalogue;
-use crate::catalogue::resolve::{GroupIndex, Items, Staged, stage, touched};
+use crate::catalogue::resolve::{GroupIndex, Items, StagedChange, add_affected, stage};
 use crate::change::{Change, ChangeId, RecordKind, unframe};
 use crate::findings::Findings;
 use crate::tree::Tree;
-use crate::tree::edit::{self, Step};
+use crate::tree::edit::{self, TreeEdit};
 use history::ChangeHistory;
 use sesamegap_wire::Offset;
 use std::sync::Arc;
@@ -61,7 +61,7 @@
         match kind {
             Some(RecordKind::Snapshot) => Outcome::Snapshot,
             Some(RecordKind::Change) => match Change::decode(body) {
-                Ok(change) => self.judge(offset, time_ms, &change),
+                Ok(change) => self.evaluate(offset, time_ms, &change),
                 Err(_) => Outcome::Unreadable,
             },
             None => Outcome::Unreadable,
@@ -119,7 +119,7 @@
         }
     }
 
-    fn judge(&mut self, offset: Offset, time_ms: u64, change: &Change) -> Outcome {
+    fn evaluate(&mut self, offset: Offset, time_ms: u64, change: &Change) -> Outcome {
         if let Some(first) = self.history.seen(&change.id) {
             return Outcome::Duplicate { of: first };
         }
@@ -127,7 +127,7 @@
             Some(conflict) => conflict,
             None => self.apply_change(offset, change),
         };
-        self.history.note(offset, time_ms, change, &outcome);
+        self.history.record(offset, time_ms, change, &outcome);
         outcome
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Applies a change's edits to the tree and validates it. Also returns the undo steps.
-    fn stage(&mut self, change: &Change) -> (Vec<Step>, Result<Staged, Findings>) {
+    fn stage(&mut self, change: &Change) -> (Vec<TreeEdit>, Result<StagedChange, Findings>) {
         let mut findings = Findings::default();
         let read = |edit| Some((edit, edit::step(edit, &mut findings)?));
         let steps: Vec<_> = change.edits.iter().filter_map(read).collect();
@@ -160,7 +160,7 @@
         let items = |tree: &Tree| {
             let mut items = Items::new();
             for target in &targets {
-                touched(tree, target, &mut items);
+                add_affected(tree, target, &mut items);
             }
             items
         };
@@ -188,7 +188,7 @@
         }
     }
 
-    fn undo(&mut self, undo: Vec<Step>) {
+    fn undo(&mut self, undo: Vec<TreeEdit>) {
         for step in undo.into_iter().rev() {
             let back = self.tree.set(step);
             debug_assert!(back.is_ok(), "an undo step restores the previous value");
--- a/crates/sesamegap-settings/src/fold/snapshot.rs
+++ b/crates/sesamegap-settings/src/fold/snapshot.rs
@@ -71,11 +71,11 @@
         // A snapshot corrupted or truncated in transit would put wrong settings into effect on a
         // single router, unnoticed until callers complain.
         if blake3::hash(&record.state) != blake3::Hash::from_bytes(record.hash) {
-            return Err(SettingsError::Mismatch);
+            return Err(SettingsError::SnapshotMismatch);
         }
         let state: State<ChangeHistory> = decode(&record.state)?;
         if state.next != record.next || state.revision > state.next {
-            return Err(SettingsError::Mismatch);
+            return Err(SettingsError::SnapshotMismatch);
         }
         *self = restore(state)?;
         Ok(true)
--- a/crates/sesamegap-settings/src/schema/units.rs
+++ b/crates/sesamegap-settings/src/schema/units.rs
@@ -10,14 +10,14 @@
     ("B", 1),
 ];
 
-fn scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
     let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
     number.parse::<u64>().ok()?.checked_mul(*factor)
 }
 
-fn written(count: u64, units: &[(&str, u64)]) -> String {
+fn format_scaled(count: u64, units: &[(&str, u64)]) -> String {
     let fits = |(_, factor): &&(&str, u64)| count >= *factor && count.is_multiple_of(*factor);
     let best = units.iter().filter(fits).max_by_key(|(_, factor)| *factor);
     let (name, factor) = best.or(units.iter().min_by_key(|u| u.1)).expect("units");
@@ -26,20 +26,20 @@
 
 /// Parses a duration such as `250ms`, `2s`, `5m` or `1h`.
 pub fn span(text: &str) -> Option<Duration> {
-    scaled(text, &SPANS).map(Duration::from_millis)
+    parse_scaled(text, &SPANS).map(Duration::from_millis)
 }
 
 /// Formats a duration so that [`span`] can parse it.
 pub fn span_text(span: Duration) -> String {
-    written(u64::try_from(span.as_millis()).unwrap_or(u64::MAX), &SPANS)
+    format_scaled(u64::try_from(span.as_millis()).unwrap_or(u64::MAX), &SPANS)
 }
 
 /// Parses a size such as `512B`, `64KiB`, `8MiB` or `1GiB`.
 pub fn size(text: &str) -> Option<u64> {
-    scaled(text, &SIZES)
+    parse_scaled(text, &SIZES)
 }
 
 /// Formats a size so that [`size`] can parse it.
 pub fn size_text(bytes: u64) -> String {
-    written(bytes, &SIZES)
+    format_scaled(bytes, &SIZES)
 }
--- a/crates/sesamegap-settings/src/tree/edit.rs
+++ b/crates/sesamegap-settings/src/tree/edit.rs
@@ -19,13 +19,13 @@
 
 /// A validated edit: the target and its new value; `None` removes the current one.
 #[derive(Debug)]
-pub(crate) struct Step {
+pub(crate) struct TreeEdit {
     pub(crate) target: Target,
     pub(crate) piece: Option<NodeValue>,
 }
 
 /// Parses and validates an edit; adds findings and returns `None` if it is invalid.
-pub(crate) fn step(edit: &Edit, findings: &mut Findings) -> Option<Step> {
+pub(crate) fn step(edit: &Edit, findings: &mut Findings) -> Option<TreeEdit> {
     let path = edit.path.as_str();
     let target = match Target::parse(&edit.path) {
         Ok(target) => target,
@@ -39,7 +39,7 @@
         .value
         .as_ref()
         .and_then(|value| piece(&target, value, path, findings));
-    (findings.len() == before).then_some(Step { target, piece })
+    (findings.len() == before).then_some(TreeEdit { target, piece })
 }
 
 fn piece(target: &Target, value: &Value, path: &str, findings: &mut Findings) -> Option<NodeValue> {
@@ -64,8 +64,8 @@
 
 impl Tree {
     /// Applies a step and returns the step that undoes it.
-    pub(crate) fn set(&mut self, step: Step) -> Result<Step, EditError> {
-        let Step { target, piece } = step;
+    pub(crate) fn set(&mut self, step: TreeEdit) -> Result<TreeEdit, EditError> {
+        let TreeEdit { target, piece } = step;
         let (last, above) = match (&target.slot, target.groups.split_last()) {
             (Slot::Group, Some((last, above))) => (Some(last), above),
             _ => (None, &target.groups[..]),
@@ -89,7 +89,7 @@
                 set_values(own, *field, piece)?
             }
         };
-        Ok(Step { target, piece: old })
+        Ok(TreeEdit { target, piece: old })
     }
 
     fn descend(&mut self, names: &[SmolStr]) -> Result<&mut Group, EditError> {
--- a/crates/sesamegap-settings/tests/testsuite/fold.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fold.rs
@@ -179,7 +179,7 @@
     let at = damaged.windows(6).position(|w| w == b"weight").unwrap();
     damaged[at] ^= 1;
     let mut fresh = Fold::default();
-    assert_eq!(fresh.adopt(&damaged), Err(SettingsError::Mismatch));
+    assert_eq!(fresh.adopt(&damaged), Err(SettingsError::SnapshotMismatch));
     assert_eq!(fresh.next(), Offset(0));
 }
 
