--- a/crates/sesamegap-settings/src/fold/history.rs
+++ b/crates/sesamegap-settings/src/fold/history.rs
@@ -33,7 +33,7 @@
 
 /// A change that was evaluated, accepted or not.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct HistoryEntry {
     /// The change.
     pub id: ChangeId,
     /// Offset of its record in the log.
@@ -73,7 +73,7 @@
 /// The fold's record of past changes, stored in snapshots next to the tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ChangeHistory {
-    history: VecDeque<Entry>,
+    history: VecDeque<HistoryEntry>,
     order: VecDeque<JudgedId>,
     touched: BTreeMap<TreePath, Offset>,
     horizon: Offset,
@@ -124,11 +124,11 @@
         })
     }
 
-    pub(crate) fn history(&self) -> impl Iterator<Item = &Entry> {
+    pub(crate) fn history(&self) -> impl Iterator<Item = &HistoryEntry> {
         self.history.iter()
     }
 
-    fn entry(&self, offset: Offset) -> Option<&Entry> {
+    fn entry(&self, offset: Offset) -> Option<&HistoryEntry> {
         let at = self
             .history
             .binary_search_by_key(&offset, |entry| entry.offset)
@@ -221,7 +221,7 @@
             .iter()
             .take(MAX_DETAILS)
             .map(|edit| edit.path.clone());
-        self.history.push_back(Entry {
+        self.history.push_back(HistoryEntry {
             id: change.id,
             offset,
             time_ms,
--- a/crates/sesamegap-settings/src/fold/mod.rs
+++ b/crates/sesamegap-settings/src/fold/mod.rs
@@ -16,7 +16,7 @@
 pub mod outcome;
 pub mod snapshot;
 
-pub use history::{Entry, MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
+pub use history::{HistoryEntry, MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
 pub use outcome::Outcome;
 
 use crate::catalogue::Catalogue;
@@ -94,7 +94,7 @@
     }
 
     /// The last evaluated changes, oldest first, at most [`MAX_HISTORY`].
-    pub fn history(&self) -> impl Iterator<Item = &Entry> {
+    pub fn history(&self) -> impl Iterator<Item = &HistoryEntry> {
         self.history.history()
     }
 
--- a/crates/sesamegap/src/admin/mod.rs
+++ b/crates/sesamegap/src/admin/mod.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use sesamegap_settings::change::MAX_EDITS;
-use sesamegap_settings::fold::Entry;
+use sesamegap_settings::fold::HistoryEntry;
 use sesamegap_settings::{Change, ChangeId, Edit, Findings, Fold, Outcome, TreePath};
 use sesamegap_wire::Offset;
 use smol_str::{SmolStr, ToSmolStr};
@@ -246,12 +246,12 @@
     /// The revision in force.
     pub revision: Offset,
     /// The last changes judged, newest first.
-    pub changes: Vec<Entry>,
+    pub changes: Vec<HistoryEntry>,
 }
 
 /// The last changes judged.
 pub fn history(fold: &Fold) -> HistoryAnswer {
-    let mut changes: Vec<Entry> = fold.history().cloned().collect();
+    let mut changes: Vec<HistoryEntry> = fold.history().cloned().collect();
     changes.reverse();
     HistoryAnswer {
         revision: fold.revision(),
--- a/crates/sesamegap/src/ctl/render.rs
+++ b/crates/sesamegap/src/ctl/render.rs
@@ -3,7 +3,7 @@
 use crate::admin::{EffectiveAnswer, HistoryAnswer};
 use serde_json::Value;
 use sesamegap_settings::Edit;
-use sesamegap_settings::fold::Entry;
+use sesamegap_settings::fold::HistoryEntry;
 use std::fmt::Write;
 
 /// Edits, one a line: `+ path = value` sets, `- path` removes.
@@ -41,8 +41,8 @@
     out
 }
 
-fn entry_text(entry: &Entry) -> String {
-    let Entry {
+fn entry_text(entry: &HistoryEntry) -> String {
+    let HistoryEntry {
         id,
         offset,
         base,
