--- a/crates/sesamegap-settings/src/schema/reader.rs
+++ b/crates/sesamegap-settings/src/schema/reader.rs
@@ -44,11 +44,11 @@
 
 /// Reads the fields set on an object; adds a finding for each error.
 pub fn read(fields: &[Field], value: &Value, path: &str, findings: &mut Findings) -> Values {
-    read_beside(fields, &[], value, path, findings)
+    read_skipping(fields, &[], value, path, findings)
 }
 
 /// Like [`read`], but skips the keys in `others`, which the caller reads.
-pub fn read_beside(
+pub fn read_skipping(
     fields: &[Field],
     others: &[&str],
     value: &Value,
--- a/crates/sesamegap/src/config/read.rs
+++ b/crates/sesamegap/src/config/read.rs
@@ -3,7 +3,7 @@
 use super::fields::{BOUNDS, CTL, PROCESS, STANDIN, TIMING};
 use super::{Bounds, CtlConfig, ProcessConfig, StandinConfig, Timing};
 use serde_json::{Map, Value};
-use sesamegap_settings::schema::reader::{complete, join, read, read_beside};
+use sesamegap_settings::schema::reader::{complete, join, read, read_skipping};
 use sesamegap_settings::schema::{Field, Row, built_in};
 use sesamegap_settings::{Document, Findings, SettingsError};
 use std::fs;
@@ -82,7 +82,7 @@
 
 impl Config for ProcessConfig {
     fn from_value(value: &Value, findings: &mut Findings) -> Option<Self> {
-        let own = read_beside(PROCESS, &SECTIONS, value, "", findings);
+        let own = read_skipping(PROCESS, &SECTIONS, value, "", findings);
         let defaults = built_in(PROCESS);
         let row = complete(PROCESS, &own, &defaults, "", findings);
         let timing: Option<Timing> = section(TIMING, value, "timing", findings);
--- a/crates/sesamegap/src/local/demand.rs
+++ b/crates/sesamegap/src/local/demand.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 use sesamegap_settings::Findings;
-use sesamegap_settings::schema::reader::{complete, join, read, read_beside};
+use sesamegap_settings::schema::reader::{complete, join, read, read_skipping};
 use sesamegap_settings::schema::{Field, Row, Shape, built_in, field, required};
 use sesamegap_wire::{ClassId, ModelId, ServiceId};
 
@@ -115,7 +115,7 @@
     pub fn from_value(whole: &Value, findings: &mut Findings) -> Option<Self> {
         let nothing = Value::Object(Map::new());
         let value = whole.get("traffic").unwrap_or(&nothing);
-        let own = read_beside(DEMAND, &["flows"], value, "traffic", findings);
+        let own = read_skipping(DEMAND, &["flows"], value, "traffic", findings);
         let defaults = built_in(DEMAND);
         let row = complete(DEMAND, &own, &defaults, "traffic", findings);
         let flows = flows(value, findings);
