--- a/crates/sesamegap-settings/benches/fold.rs
+++ b/crates/sesamegap-settings/benches/fold.rs
@@ -129,7 +129,10 @@
         let record = change(&fold, vec![edit(&(team(0) + "/burst"), json!(7))]);
         let (kept, sent) = (snapshot.len(), record.len());
         println!("teams {teams}: fold {bytes} B, snapshot {kept} B, change {sent} B");
-        println!("teams {teams}: fold {} B after a start", started(&snapshot));
+        println!(
+            "teams {teams}: fold {} B after a start",
+            restored_size(&snapshot)
+        );
         let full = with_full_history(fold.clone(), teams).snapshot().len();
         println!("teams {teams}: snapshot {full} B with memories at their bounds");
         days(&fold, teams);
@@ -140,7 +143,7 @@
 }
 
 /// Memory used by a fold that was restored from a snapshot, in bytes.
-fn started(snapshot: &[u8]) -> usize {
+fn restored_size(snapshot: &[u8]) -> usize {
     let before = IN_USE.load(Ordering::Relaxed);
     let mut fresh = Fold::default();
     assert_eq!(fresh.adopt(snapshot), Ok(true));
--- a/crates/sesamegap-settings/src/fold/snapshot.rs
+++ b/crates/sesamegap-settings/src/fold/snapshot.rs
@@ -149,7 +149,7 @@
         }
 
         fn visit_seq<A: SeqAccess<'de>>(self, _: A) -> Result<Self::Value, A::Error> {
-            Err(A::Error::custom("a list in place of bytes"))
+            Err(A::Error::custom("expected bytes, found a sequence"))
         }
     }
 }
--- a/crates/sesamegap-settings/tests/testsuite/fold.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fold.rs
@@ -1,6 +1,6 @@
 //! Acceptance and rejection of changes and snapshots by the fold.
 
-use crate::support::{append, change, changes, started};
+use crate::support::{append, change, changes, populated_fold};
 use serde_json::{Value, json};
 use sesamegap_settings::{ChangeId, Fold, Outcome, SettingsError};
 use sesamegap_wire::{Offset, TeamId};
@@ -13,7 +13,7 @@
 fn racing_operators_get_one_winner_and_one_explained_conflict() {
     // Two operators read revision 1 and change the same team, and both appends reach the log.
     // Without the base check, the later change would silently overwrite the earlier one.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let first = append(&mut fold, &change(2, 1, "teams/a/weight", json!(7)));
     assert_eq!(
         first,
@@ -37,7 +37,7 @@
 
 #[test]
 fn changes_of_different_paths_do_not_conflict() {
-    let mut fold = started();
+    let mut fold = populated_fold();
     append(&mut fold, &change(2, 1, "teams/a/weight", json!(7)));
     let other = append(&mut fold, &change(3, 1, "teams/a/burst", json!(70)));
     assert_eq!(
@@ -52,7 +52,7 @@
 fn a_repeated_append_is_the_same_change() {
     // The log stores an append but the response is lost, so the router appends again. Treated as
     // a new change, it would conflict with itself and the operator would see a false conflict.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let lost = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &lost);
     append(&mut fold, &change(3, 2, "teams/a/weight", json!(8)));
@@ -74,7 +74,7 @@
 fn a_change_that_breaks_validation_is_refused_with_all_findings() {
     // One of three edits is valid. Applying it alone would leave the tree in a state that no
     // operator wrote.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let before = (fold.tree().clone(), fold.catalogue());
     let broken = changes(
         2,
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_class_in_use_cannot_be_removed() {
-    let mut fold = started();
+    let mut fold = populated_fold();
     let outcome = append(&mut fold, &change(2, 1, "classes/standard", Value::Null));
     let Outcome::Invalid(findings) = outcome else {
         panic!("the class of two teams was removed");
@@ -106,7 +106,7 @@
 
 #[test]
 fn one_key_never_belongs_to_two_teams() {
-    let mut fold = started();
+    let mut fold = populated_fold();
     let hash = json!([sesamegap_settings::key_hash("k")]);
     append(&mut fold, &change(2, 1, "teams/a/key_hashes", hash.clone()));
     let catalogue = fold.catalogue();
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_team_moves_between_groups_in_one_change() {
-    let mut fold = started();
+    let mut fold = populated_fold();
     let moved = changes(
         2,
         1,
@@ -139,7 +139,7 @@
 fn positions_only_move_forward() {
     // A lagging peer sends an old snapshot, and the log is read again from an old offset. Applying
     // either would restore settings that have been replaced since.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let old = fold.snapshot();
     let later = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &later);
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn a_snapshot_stands_for_all_before_it() {
-    let mut fold = started();
+fn a_snapshot_replaces_all_earlier_records() {
+    let mut fold = populated_fold();
     append(&mut fold, &change(2, 1, "teams/a/weight", json!(7)));
     let snapshot = fold.snapshot();
     let mut fresh = Fold::default();
@@ -173,7 +173,7 @@
 fn a_snapshot_that_does_not_match_its_hash_is_refused() {
     // A snapshot is corrupted in transit from a peer. Adopting it would make a single router apply
     // settings that nobody published.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let mut damaged = fold.snapshot();
     append(&mut fold, &change(2, 1, "teams/a/weight", json!(7)));
     let at = damaged.windows(6).position(|w| w == b"weight").unwrap();
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_base_ahead_of_the_log_is_refused() {
-    let mut fold = started();
+    let mut fold = populated_fold();
     let outcome = append(&mut fold, &change(2, 900, "teams/a/weight", json!(7)));
     assert!(matches!(outcome, Outcome::Invalid(_)));
 }
--- a/crates/sesamegap-settings/tests/testsuite/fuzz.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fuzz.rs
@@ -6,7 +6,7 @@
 //! process must be in the oracle's state for its position, and no position may decrease.
 
 use crate::support::naive::{Oracle, agrees, tidy};
-use crate::support::quick;
+use crate::support::property_test;
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Value, json};
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
@@ -133,7 +133,7 @@
     /// A repeated append is treated as a new change.
     ForgetsIds,
     /// Any snapshot is adopted, even an older one.
-    Reverts,
+    AdoptsOlderSnapshots,
     /// Missing records are skipped instead of reported as a gap.
     SkipsGaps,
 }
@@ -172,7 +172,7 @@
     }
 
     fn adopt(&mut self, snapshot: &[u8], fault: Fault) -> bool {
-        if fault == Fault::Reverts {
+        if fault == Fault::AdoptsOlderSnapshots {
             let mut fresh = Fold::default();
             let taken = fresh.adopt(snapshot) == Ok(true);
             if taken {
@@ -333,24 +333,24 @@
 
 #[test]
 fn all_processes_agree_with_the_oracle_and_nothing_reverts() {
-    let sound: fn(Script) -> Result<(), String> = |script| run(&script, Fault::None);
-    quick(0x5e77, 300, 60).quickcheck(sound);
+    let property: fn(Script) -> Result<(), String> = |script| run(&script, Fault::None);
+    property_test(0x5e77, 300, 60).quickcheck(property);
 }
 
 #[test]
-fn broken_folds_are_caught() {
-    fn caught(property: fn(Script) -> Result<(), String>) {
-        assert!(quick(0x5e78, 300, 60).quicktest(property).is_err());
+fn injected_faults_are_detected() {
+    fn assert_detected(property: fn(Script) -> Result<(), String>) {
+        assert!(property_test(0x5e78, 300, 60).quicktest(property).is_err());
     }
-    caught(|script| run(&script, Fault::IgnoresBase));
-    caught(|script| run(&script, Fault::AppliesPartially));
-    caught(|script| run(&script, Fault::ForgetsIds));
-    caught(|script| run(&script, Fault::Reverts));
-    caught(|script| run(&script, Fault::SkipsGaps));
+    assert_detected(|script| run(&script, Fault::IgnoresBase));
+    assert_detected(|script| run(&script, Fault::AppliesPartially));
+    assert_detected(|script| run(&script, Fault::ForgetsIds));
+    assert_detected(|script| run(&script, Fault::AdoptsOlderSnapshots));
+    assert_detected(|script| run(&script, Fault::SkipsGaps));
 }
 
 #[test]
-fn the_scripts_reach_what_they_are_for() {
+fn the_scripts_produce_each_outcome() {
     // If all changes were rejected for one reason, the fuzz test could not fail.
     let mut g = Gen::from_size_and_seed(60, 0x5e79);
     let mut seen = [0; 4];
@@ -384,13 +384,13 @@
     for (offset, body) in (0..).map(Offset).zip(&cluster.log) {
         if let Ok(change) = Change::decode(body) {
             let before = (fold.snapshot(), fold.catalogue());
-            let told = dry_run(&mut fold, &change);
+            let predicted = dry_run(&mut fold, &change);
             if (fold.snapshot(), fold.catalogue()) != before {
                 return Err(format!("the dry run at {offset} changed the state"));
             }
             let judged = fold.apply(offset, 0, body);
-            if told != judged {
-                return Err(format!("told {told}, judged {judged}"));
+            if predicted != judged {
+                return Err(format!("predicted {predicted}, judged {judged}"));
             }
         } else {
             fold.apply(offset, 0, body);
@@ -401,17 +401,18 @@
 
 #[test]
 fn a_dry_run_predicts_the_outcome_and_changes_nothing() {
-    let sound: fn(Script) -> Result<(), String> = |script| compare_dry_runs(&script, Fold::dry_run);
-    quick(0x5e7a, 300, 60).quickcheck(sound);
+    let property: fn(Script) -> Result<(), String> =
+        |script| compare_dry_runs(&script, Fold::dry_run);
+    property_test(0x5e7a, 300, 60).quickcheck(property);
 }
 
 #[test]
-fn a_dry_run_that_takes_effect_is_caught() {
+fn a_dry_run_that_takes_effect_is_detected() {
     let broken: fn(Script) -> Result<(), String> = |script| {
         compare_dry_runs(&script, |fold, change| {
             let body = change.encode().expect("within bounds");
             fold.apply(fold.next(), 0, &body)
         })
     };
-    assert!(quick(0x5e7b, 300, 60).quicktest(broken).is_err());
+    assert!(property_test(0x5e7b, 300, 60).quicktest(broken).is_err());
 }
--- a/crates/sesamegap-settings/tests/testsuite/inherit.rs
+++ b/crates/sesamegap-settings/tests/testsuite/inherit.rs
@@ -1,7 +1,7 @@
 //! Inheritance compared with a naive walk to the root, and diffs between trees.
 
 use crate::support::naive::{tidy, walk};
-use crate::support::quick;
+use crate::support::property_test;
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Map, Value, json};
 use sesamegap_settings::schema::Kind;
@@ -119,12 +119,13 @@
 
 #[test]
 fn each_value_is_the_nearest_on_the_way_to_the_root() {
-    let sound: fn(RandomTree) -> Result<(), String> = |random| inherits(&random, Tree::effective);
-    quick(0x1e, 200, 30).quickcheck(sound);
+    let property: fn(RandomTree) -> Result<(), String> =
+        |random| inherits(&random, Tree::effective);
+    property_test(0x1e, 200, 30).quickcheck(property);
 }
 
 #[test]
-fn broken_inheritance_is_caught() {
+fn an_injected_inheritance_fault_is_detected() {
     /// Faulty resolution in which the root's defaults override those of subgroups.
     fn root_defaults_win(tree: &Tree, path: &TreePath) -> Option<Vec<Effective>> {
         let kind = if path.as_str().contains("teams/") {
@@ -143,11 +144,11 @@
     }
     let broken: fn(RandomTree) -> Result<(), String> =
         |random| inherits(&random, root_defaults_win);
-    assert!(quick(0x1f, 200, 30).quicktest(broken).is_err());
+    assert!(property_test(0x1f, 200, 30).quicktest(broken).is_err());
 }
 
 #[test]
-fn the_differences_lead_from_one_tree_to_the_other() {
+fn a_diff_turns_one_tree_into_the_other() {
     fn publish(fold: &mut Fold, random: &RandomTree) -> Result<(), String> {
         let mut findings = Findings::default();
         let wanted = Tree::read(&random.0, "", &mut findings);
@@ -172,7 +173,7 @@
             Err("another tree".to_owned())
         }
     }
-    let sound: fn(RandomTree, RandomTree) -> Result<(), String> = |first, second| {
+    let property: fn(RandomTree, RandomTree) -> Result<(), String> = |first, second| {
         let mut fold = Fold::default();
         publish(&mut fold, &first)?;
         publish(&mut fold, &second)?;
@@ -185,5 +186,5 @@
             Err("another catalogue".to_owned())
         }
     };
-    quick(0x20, 100, 30).quickcheck(sound);
+    property_test(0x20, 100, 30).quickcheck(property);
 }
--- a/crates/sesamegap-settings/tests/testsuite/input.rs
+++ b/crates/sesamegap-settings/tests/testsuite/input.rs
@@ -1,6 +1,6 @@
 //! Handling of invalid input: settings files with errors, and arbitrary bytes.
 
-use crate::support::{change, quick, started};
+use crate::support::{change, populated_fold, property_test};
 use quickcheck::TestResult;
 use serde_json::{Value, json};
 use sesamegap_settings::{Catalogue, Change, Document, Findings, Fold, SettingsError, Tree};
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_json_says_where() {
+fn json_errors_have_a_location() {
     assert!(findings("{\n  \"a\": ,\n}")[0].starts_with("site.jsonc:2:8: "));
     assert!(findings("{ \"teams\": {}, \"teams\": {} }")[0].contains("`teams` stands twice"));
     assert!(findings("{ 'teams': {} }")[0].starts_with("site.jsonc:1:3: "));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_class_that_is_not_there_is_found() {
+fn a_missing_class_is_reported() {
     let found = findings(r#"{ "teams": { "a": {} } }"#);
     assert_eq!(
         found,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn decoders_take_any_bytes() {
+fn decoders_accept_arbitrary_bytes_without_a_panic() {
     let any: fn(Vec<u8>) -> bool = |bytes| {
         let framed = |kind| [&[1, kind], &bytes[..]].concat();
         let mut fold = Fold::default();
@@ -96,14 +96,14 @@
         let _ = Document::parse("any", &String::from_utf8_lossy(&bytes));
         true
     };
-    quick(0xa0, 2000, 200).quickcheck(any);
+    property_test(0xa0, 2000, 200).quickcheck(any);
 }
 
 #[test]
 fn a_snapshot_with_any_byte_changed_is_refused_or_the_same() {
     // Corruption of one byte of a snapshot in transit from a peer.
-    let sound: fn(usize, u8) -> TestResult = |at, flip| {
-        let whole = started().snapshot();
+    let property: fn(usize, u8) -> TestResult = |at, flip| {
+        let whole = populated_fold().snapshot();
         let mut body = whole.clone();
         let at = at % body.len();
         body[at] ^= flip;
@@ -113,13 +113,13 @@
             _ => TestResult::from_bool(fresh.next() == Fold::default().next()),
         }
     };
-    quick(0xa1, 3000, 5000).quickcheck(sound);
+    property_test(0xa1, 3000, 5000).quickcheck(property);
 }
 
 #[test]
 fn a_change_with_any_byte_changed_is_judged_without_a_panic() {
     let any: fn(usize, u8) -> bool = |at, flip| {
-        let mut fold = started();
+        let mut fold = populated_fold();
         let change = change(2, 1, "groups/desk", json!({"teams": {"x": {"weight": 3}}}));
         let mut body = change.encode().expect("within bounds");
         let at = at % body.len();
@@ -128,7 +128,7 @@
         fold.apply(next, 0, &body);
         fold.next() > next
     };
-    quick(0xa2, 2000, 500).quickcheck(any);
+    property_test(0xa2, 2000, 500).quickcheck(any);
 }
 
 #[test]
@@ -142,8 +142,8 @@
 
 #[test]
 fn change_ids_are_read_as_written() {
-    let sound: fn(u128) -> bool = |id| ChangeId(id).to_string().parse() == Ok(ChangeId(id));
-    quick(0xa3, 200, 100).quickcheck(sound);
+    let property: fn(u128) -> bool = |id| ChangeId(id).to_string().parse() == Ok(ChangeId(id));
+    property_test(0xa3, 200, 100).quickcheck(property);
     assert!("+1".parse::<ChangeId>().is_err());
     assert!("".parse::<ChangeId>().is_err());
 }
--- a/crates/sesamegap-settings/tests/testsuite/limits.rs
+++ b/crates/sesamegap-settings/tests/testsuite/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! Evicting entries must not let a change take effect twice.
 
-use crate::support::{append, change, started};
+use crate::support::{append, change, populated_fold};
 use serde_json::json;
 use sesamegap_settings::change::MAX_EDITS;
 use sesamegap_settings::fold::{MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
@@ -25,7 +25,7 @@
 fn a_change_whose_id_was_forgotten_still_takes_effect_once() {
     // An append is repeated after its id was evicted. It must not overwrite values that other
     // operators have set since.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let first = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &first);
     append(&mut fold, &change(3, 2, "teams/a/weight", json!(8)));
@@ -49,7 +49,7 @@
 fn a_base_older_than_what_is_remembered_is_a_conflict() {
     // So many paths were modified that the fold no longer knows all modifications since the base.
     // Assuming that there were none could revert an evicted change.
-    let mut fold = started();
+    let mut fold = populated_fold();
     let old = change(2, 1, "teams/a/weight", json!(7));
     let mut names = 0..;
     while fold.dry_run(&old)
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn findings_leave_the_history_before_the_verdict_leaves_memory() {
-    let mut fold = started();
+fn the_verdict_is_kept_after_its_findings_are_evicted() {
+    let mut fold = populated_fold();
     append(&mut fold, &change(2, 1, "teams/a/weight", json!(-7)));
     let detailed = fold
         .outcome(&ChangeId(2))
--- a/crates/sesamegap-settings/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-settings/tests/testsuite/support/mod.rs
@@ -33,7 +33,7 @@
 }
 
 /// A fold at revision 1 with a class, a model and two teams.
-pub fn started() -> Fold {
+pub fn populated_fold() -> Fold {
     let mut fold = Fold::default();
     let first = changes(
         1,
@@ -59,7 +59,7 @@
 }
 
 /// A property test with a fixed seed; `SESAMEGAP_CASES` can raise the number of cases.
-pub fn quick(seed: u64, cases: u64, size: usize) -> QuickCheck {
+pub fn property_test(seed: u64, cases: u64, size: usize) -> QuickCheck {
     let asked = std::env::var("SESAMEGAP_CASES").ok();
     let asked = asked.and_then(|text| text.parse().ok()).unwrap_or(0);
     let cases = cases.max(asked);
