--- a/crates/sesamegap-settings/src/catalogue/checks.rs
+++ b/crates/sesamegap-settings/src/catalogue/checks.rs
@@ -40,12 +40,8 @@
             });
             if let Some(other) = kept.or(seen.insert((*kind, name), group)) {
                 let there = join(&join(other, kind.plural()), name);
-                let wrong = format!("a {kind} with this name also exists at {there}");
-                findings.add(
-                    &item_path(item),
-                    wrong,
-                    "names that are unique in the whole tree",
-                );
+                let wrong = format!("a {kind} of this name stands at {there} too");
+                findings.add(&item_path(item), wrong, "each name once in the whole tree");
             }
         }
     }
@@ -56,8 +52,7 @@
             let path = item_path(item);
             match spec {
                 Spec::Class(class) if class.total < class.deadline => {
-                    let wrong =
-                        "the time limit for the whole answer is shorter than for its first token";
+                    let wrong = "the whole answer is due before its first token";
                     findings.add(
                         &join(&path, "total"),
                         wrong,
@@ -73,7 +68,7 @@
                     );
                 }
                 Spec::Model(model) if exceeds_engines(model) => {
-                    let wrong = "more engines are required than the deployment may use";
+                    let wrong = "more engines are wanted than the deployment may use";
                     findings.add(
                         &join(&path, "least"),
                         wrong,
@@ -146,9 +141,9 @@
                 let kept = kept.filter(|team| !touched.contains(team));
                 let other = seen.insert(hash, &item.1).map(SmolStr::as_str);
                 if let Some(other) = kept.or(other) {
-                    let wrong = format!("team `{other}` also has this key");
+                    let wrong = format!("team `{other}` has this key too");
                     let path = join(&item_path(item), "key_hashes");
-                    findings.add(&path, wrong, "keys that belong to one team only");
+                    findings.add(&path, wrong, "a key of one team only");
                 }
             }
         }
--- a/crates/sesamegap-settings/src/fold/history.rs
+++ b/crates/sesamegap-settings/src/fold/history.rs
@@ -150,7 +150,7 @@
             // A base ahead of the log is fabricated or belongs to another log. Trusting it would
             // hide every conflict.
             let mut findings = Findings::default();
-            let wrong = format!("revision {} does not exist yet", change.base);
+            let wrong = format!("revision {} is not there yet", change.base);
             findings.add("base", wrong, format!("a revision up to {offset}"));
             return Some(Outcome::Invalid(findings));
         }
--- a/crates/sesamegap-settings/src/tree/edit.rs
+++ b/crates/sesamegap-settings/src/tree/edit.rs
@@ -110,7 +110,7 @@
 fn missing() -> EditError {
     (
         "there is nothing to remove here".to_owned(),
-        "removing a value that is set in the tree",
+        "to remove what stands in the tree",
     )
 }
 
--- a/crates/sesamegap-settings/src/tree/path.rs
+++ b/crates/sesamegap-settings/src/tree/path.rs
@@ -111,7 +111,7 @@
 }
 
 fn slot(parts: &[&str], in_group: bool) -> Result<Slot, (String, String)> {
-    let nowhere = || Err(("no such path in the tree".to_owned(), PLACES.to_owned()));
+    let nowhere = || Err(("no such place in the tree".to_owned(), PLACES.to_owned()));
     match *parts {
         [] if in_group => Ok(Slot::Group),
         ["defaults", kind] | ["defaults", kind, _] => {
