--- a/crates/sesamegap-settings/src/findings/mod.rs
+++ b/crates/sesamegap-settings/src/findings/mod.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Maximum number of findings kept. A file with more is probably not a settings file at all.
+/// Maximum number of findings kept. A file with more is probably not the one its author meant.
 pub const MAX_FINDINGS: usize = 200;
 
 /// Maximum length of input text quoted in a finding, in characters.
