--- a/crates/sesamegap-settings/benches/fold.rs
+++ b/crates/sesamegap-settings/benches/fold.rs
@@ -1,15 +1,15 @@
-//! What the fold costs at growing numbers of teams.
+//! Cost of the fold by number of teams.
 //!
-//! `cargo bench -p sesamegap-settings --bench fold` measures a change of one team, one of all
-//! teams' defaults, a day of 9,700 changes, a snapshot and a start from one, at three sizes, and
-//! prints the bytes that a fold and its snapshot take.
+//! `cargo bench -p sesamegap-settings --bench fold` measures a change of one team, a change of the
+//! defaults of all teams, a day of 9,700 changes, taking a snapshot and starting from one, at
+//! three sizes. It also prints the memory used by a fold and the size of its snapshot.
 
 use criterion::measurement::WallTime;
 use criterion::{
     BatchSize, BenchmarkGroup, BenchmarkId, Criterion, criterion_group, criterion_main,
 };
 use serde_json::{Value, json};
-use sesamegap_settings::fold::{IDS, TOUCHED};
+use sesamegap_settings::fold::{MAX_CHANGE_IDS, MAX_TRACKED_PATHS};
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -17,16 +17,16 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Sizes whose figures give the slope; the last is the users' in two years.
+/// Numbers of teams, for the slope. The last is the number that users expect in two years.
 const TEAMS: [usize; 3] = [3_500, 17_500, 35_000];
 
-/// Changes of a day, as the users expect.
+/// Changes per day that the users expect.
 const DAY: usize = 9_700;
 
-/// Teams in one group.
+/// Number of teams in one group.
 const GROUP: usize = 500;
 
-/// Counts the bytes in use.
+/// Allocator that counts the bytes in use.
 struct Counting;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
@@ -35,7 +35,7 @@
     unsafe_code,
     reason = "an allocator can only be wrapped by unsafe functions"
 )]
-// SAFETY: every call is passed on to the system's allocator unchanged.
+// SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
@@ -81,8 +81,8 @@
     format!("groups/firm-{}/teams/team-{index}", index / GROUP)
 }
 
-/// A fold with so many teams in groups of equal size, each with a key and a weight of its own.
-fn peopled(teams: usize) -> Fold {
+/// A fold with `teams` teams in groups of equal size. Each has its own key and a weight.
+fn fold_with_teams(teams: usize) -> Fold {
     let mut fold = Fold::default();
     append(&mut fold, vec![edit("classes/standard", json!({}))]);
     for group in 0..teams / GROUP {
@@ -100,7 +100,9 @@
     fold
 }
 
-/// Takes in a day's changes, each of one team, as the router does: with the catalogue shared.
+/// Applies a day's changes, each of one team.
+///
+/// With `shared`, a clone of the catalogue is held as in the router.
 fn day(fold: &mut Fold, teams: usize, shared: bool) {
     let mut kept = Arc::default();
     for turn in 0..DAY {
@@ -121,14 +123,17 @@
     group.measurement_time(Duration::from_secs(2));
     for teams in TEAMS {
         let before = IN_USE.load(Ordering::Relaxed);
-        let fold = peopled(teams);
+        let fold = fold_with_teams(teams);
         let bytes = IN_USE.load(Ordering::Relaxed) - before;
         let snapshot = fold.snapshot();
         let record = change(&fold, vec![edit(&(team(0) + "/burst"), json!(7))]);
         let (kept, sent) = (snapshot.len(), record.len());
         println!("teams {teams}: fold {bytes} B, snapshot {kept} B, change {sent} B");
-        println!("teams {teams}: fold {} B after a start", started(&snapshot));
-        let full = remembering(fold.clone(), teams).snapshot().len();
+        println!(
+            "teams {teams}: fold {} B after a start",
+            restored_size(&snapshot)
+        );
+        let full = with_full_history(fold.clone(), teams).snapshot().len();
         println!("teams {teams}: snapshot {full} B with memories at their bounds");
         days(&fold, teams);
         changes(&mut group, &fold, teams);
@@ -137,18 +142,18 @@
     group.finish();
 }
 
-/// Bytes of a fold that started from a snapshot.
-fn started(snapshot: &[u8]) -> usize {
+/// Memory used by a fold that was restored from a snapshot, in bytes.
+fn restored_size(snapshot: &[u8]) -> usize {
     let before = IN_USE.load(Ordering::Relaxed);
     let mut fresh = Fold::default();
     assert_eq!(fresh.adopt(snapshot), Ok(true));
     IN_USE.load(Ordering::Relaxed) - before
 }
 
-/// Fills the memories of ids and of touched paths, as far as there are paths.
-fn remembering(mut fold: Fold, teams: usize) -> Fold {
-    const EDITS: usize = TOUCHED / IDS;
-    for turn in 0..IDS {
+/// Fills the history of ids, and that of modified paths as far as possible.
+fn with_full_history(mut fold: Fold, teams: usize) -> Fold {
+    const EDITS: usize = MAX_TRACKED_PATHS / MAX_CHANGE_IDS;
+    for turn in 0..MAX_CHANGE_IDS {
         let index = |part: usize| (turn * EDITS + part) % (2 * teams);
         let one = |at: usize| {
             edit(
--- a/crates/sesamegap-settings/src/catalogue/resolve.rs
+++ b/crates/sesamegap-settings/src/catalogue/resolve.rs
@@ -1,8 +1,8 @@
-//! Making a catalogue from a tree, whole or only where a change touched it.
+//! Resolves a tree into a catalogue, either whole or incrementally for one change.
 //!
-//! A change is staged first: the objects at the touched paths are listed before and after the
-//! edits, resolved and checked against one another and against the rest. Only a change without
-//! findings is then committed, so no reader ever sees one half applied.
+//! A change is staged first: the objects affected by its paths are listed before and after the
+//! edits, resolved, and validated against one another and against the rest of the tree. Only a
+//! change without findings is committed, so readers never see a partially applied change.
 
 use super::{Catalogue, ClassSpec, ModelSpec, ServiceSpec, TeamSpec};
 use crate::findings::Findings;
@@ -15,10 +15,12 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The group each object stands in, by kind and name, as names are unique over the whole tree.
-pub(crate) type Homes = [BTreeMap<SmolStr, SmolStr>; 4];
+/// Path of each object's group, by kind and name.
+///
+/// Names are unique per kind in the whole tree.
+pub(crate) type GroupIndex = [BTreeMap<SmolStr, SmolStr>; 4];
 
-/// A resolved object.
+/// A resolved object of any kind.
 #[derive(Debug)]
 pub(super) enum Spec {
     Team(TeamSpec),
@@ -38,19 +40,19 @@
     }
 }
 
-/// An object's kind, name and group.
+/// An object's kind, name and the path of its group.
 pub(crate) type Item = (Kind, SmolStr, SmolStr);
 
-/// Objects at touched paths.
+/// Objects affected by a change.
 pub(crate) type Items = BTreeSet<Item>;
 
-/// An object's whole path.
-pub(super) fn path_of(item: &Item) -> String {
+/// The full path of an object.
+pub(super) fn item_path(item: &Item) -> String {
     join(&join(&item.2, item.0.plural()), &item.1)
 }
 
-/// Lists the objects that an edit of this path can alter.
-pub(crate) fn touched(tree: &Tree, target: &Target, items: &mut Items) {
+/// Adds the objects that an edit of this path can affect.
+pub(crate) fn add_affected(tree: &Tree, target: &Target, items: &mut Items) {
     let Some(mut layers) = tree.layers(&target.groups) else {
         return;
     };
@@ -66,13 +68,13 @@
                 note(*kind, name, &layers, own);
             }
         }
-        Slot::Group => walk(&mut layers, group, &Kind::ALL, &mut note),
-        Slot::Defaults(kind, _) => walk(&mut layers, group, &[*kind], &mut note),
+        Slot::Group => visit_items(&mut layers, group, &Kind::ALL, &mut note),
+        Slot::Defaults(kind, _) => visit_items(&mut layers, group, &[*kind], &mut note),
     }
 }
 
-/// Visits each object of the given kinds in a group and below.
-fn walk<'a>(
+/// Visits each object of the given kinds in a group and its subgroups.
+fn visit_items<'a>(
     layers: &mut Layers<'a>,
     group: &'a Group,
     kinds: &[Kind],
@@ -85,27 +87,27 @@
     }
     for (name, below) in &group.groups {
         layers.push(name, below);
-        walk(layers, below, kinds, visit);
+        visit_items(layers, below, kinds, visit);
         layers.pop();
     }
 }
 
-/// A checked step from one catalogue to the next.
+/// The affected objects before and after a change, ready to be committed.
 #[derive(Debug)]
-pub(crate) struct Staged {
+pub(crate) struct StagedChange {
     pub(super) before: Items,
     pub(super) after: Vec<(Item, Spec)>,
 }
 
-/// Resolves the touched objects of a changed tree and checks them.
+/// Resolves and validates the affected objects of a modified tree.
 pub(crate) fn stage(
     old: &Catalogue,
-    homes: &Homes,
+    group_index: &GroupIndex,
     tree: &Tree,
     before: Items,
     after: Items,
     findings: &mut Findings,
-) -> Staged {
+) -> StagedChange {
     let resolve = |item: Item| {
         let groups = group_names(&item.2);
         let layers = tree.layers(&groups)?;
@@ -114,8 +116,8 @@
         Some((item, spec))
     };
     let after: Vec<(Item, Spec)> = after.into_iter().filter_map(resolve).collect();
-    let staged = Staged { before, after };
-    staged.check_all(old, homes, findings);
+    let staged = StagedChange { before, after };
+    staged.check_all(old, group_index, findings);
     staged
 }
 
@@ -127,16 +129,16 @@
         .collect()
 }
 
-impl Staged {
-    /// Takes the step.
+impl StagedChange {
+    /// Applies the change to the catalogue and the group index.
     ///
-    /// Keys that a team keeps are not touched: the table of all keys is then still shared with
-    /// the catalogue before, and need not be copied.
-    pub(crate) fn commit(self, catalogue: &mut Catalogue, homes: &mut Homes) {
-        let names: BTreeSet<TeamId> = self.named(Kind::Team).map(id).collect();
-        let before = holdings(catalogue, &names);
-        self.replace(catalogue, homes);
-        let after = holdings(catalogue, &names);
+    /// Keys that a team keeps are left alone. If no key changes, the key table stays shared with
+    /// the previous catalogue and is not copied.
+    pub(crate) fn commit(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
+        let names: BTreeSet<TeamId> = self.affected_names(Kind::Team).map(id).collect();
+        let before = team_keys(catalogue, &names);
+        self.replace_items(catalogue, group_index);
+        let after = team_keys(catalogue, &names);
         for (hash, _) in before.difference(&after) {
             catalogue.keys.remove(hash);
         }
@@ -145,43 +147,48 @@
         }
     }
 
-    /// Makes a catalogue of all objects; maps made at once are denser than those that grew.
-    fn whole(self) -> (Catalogue, Homes) {
+    /// Builds a catalogue from all objects.
+    ///
+    /// The maps are built in bulk, because they are then denser than if filled one by one.
+    fn into_catalogue(self) -> (Catalogue, GroupIndex) {
         let mut catalogue = Catalogue::default();
-        let mut homes: [Vec<(SmolStr, SmolStr)>; 4] = Default::default();
+        let mut group_index: [Vec<(SmolStr, SmolStr)>; 4] = Default::default();
         let mut teams = Vec::new();
         for ((kind, name, group), spec) in self.after {
             match spec {
                 Spec::Team(team) => teams.push((id::<TeamId>(&name), team)),
                 other => catalogue.insert(&name, other),
             }
-            homes[kind as usize].push((name, group));
+            group_index[kind as usize].push((name, group));
         }
         catalogue.keys = teams.iter().collect();
         catalogue.teams = teams.into_iter().collect();
-        (catalogue, homes.map(|homes| homes.into_iter().collect()))
+        (
+            catalogue,
+            group_index.map(|group_index| group_index.into_iter().collect()),
+        )
     }
 
-    /// Replaces the objects, but not the keys of teams.
-    fn replace(self, catalogue: &mut Catalogue, homes: &mut Homes) {
+    /// Replaces the affected objects, but not the keys of teams.
+    fn replace_items(self, catalogue: &mut Catalogue, group_index: &mut GroupIndex) {
         let mut gone = self.before;
         for ((kind, name, group), spec) in self.after {
             catalogue.insert(&name, spec);
             gone.remove(&(kind, name.clone(), group.clone()));
-            let former = homes[kind as usize].insert(name.clone(), group);
+            let former = group_index[kind as usize].insert(name.clone(), group);
             former.map(|home| gone.remove(&(kind, name, home)));
         }
         for (kind, name, _) in gone {
-            homes[kind as usize].remove(&name);
+            group_index[kind as usize].remove(&name);
             catalogue.remove(kind, &name);
         }
     }
 }
 
-/// A key's hash and the team that has it.
-type Holding = (String, TeamId);
+/// A key hash and the team it belongs to.
+type TeamKey = (String, TeamId);
 
-fn holdings(catalogue: &Catalogue, names: &BTreeSet<TeamId>) -> BTreeSet<Holding> {
+fn team_keys(catalogue: &Catalogue, names: &BTreeSet<TeamId>) -> BTreeSet<TeamKey> {
     let mut all = BTreeSet::new();
     for name in names {
         let team = catalogue.teams.get(name);
@@ -191,7 +198,7 @@
     all
 }
 
-/// Reads a name that was checked when the tree was read.
+/// Parses a name that was validated when the tree was read.
 fn id<T: std::str::FromStr>(name: &str) -> T {
     name.parse()
         .ok()
@@ -199,7 +206,7 @@
 }
 
 impl Catalogue {
-    /// Puts an object in; a team's keys are up to the caller.
+    /// Inserts an object; the function that calls this updates the keys of teams.
     fn insert(&mut self, name: &str, spec: Spec) {
         match spec {
             Spec::Team(spec) => {
@@ -234,18 +241,20 @@
         }
     }
 
-    /// Resolves a whole tree, with a finding for each reference or value that does not hold.
+    /// Resolves a whole tree.
+    ///
+    /// Adds a finding for each invalid reference or combination of values.
     pub fn resolve(tree: &Tree, findings: &mut Findings) -> Self {
         resolve_all(tree, findings).0
     }
 }
 
-/// Resolves a whole tree and says where each object stands.
-pub(crate) fn resolve_all(tree: &Tree, findings: &mut Findings) -> (Catalogue, Homes) {
+/// Resolves a whole tree and also returns the group of each object.
+pub(crate) fn resolve_all(tree: &Tree, findings: &mut Findings) -> (Catalogue, GroupIndex) {
     let mut layers = Layers::default();
     layers.push("", &tree.root);
     let mut after = Vec::new();
-    walk(
+    visit_items(
         &mut layers,
         &tree.root,
         &Kind::ALL,
@@ -254,10 +263,10 @@
             after.push((item, Spec::new(kind, &layers.row(kind, own))));
         },
     );
-    let staged = Staged {
+    let staged = StagedChange {
         before: Items::new(),
         after,
     };
-    staged.check_all(&Catalogue::default(), &Homes::default(), findings);
-    staged.whole()
+    staged.check_all(&Catalogue::default(), &GroupIndex::default(), findings);
+    staged.into_catalogue()
 }
--- a/crates/sesamegap-settings/src/document/mod.rs
+++ b/crates/sesamegap-settings/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! A settings file in JSON with comments, with the place of each value.
+//! Parsing of settings files, JSON with comments, with the location of each value.
 
 use crate::error::SettingsError;
 use crate::findings::{Finding, Findings, Place, shown};
@@ -9,10 +9,10 @@
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
-/// Largest file read, in bytes; the tree of 35,000 teams is a third of it.
+/// Maximum file size in bytes. The tree of 35,000 teams takes a third of it.
 pub const MAX_FILE: usize = 32 << 20;
 
-/// What the parser takes besides plain JSON: comments and trailing commas, nothing looser.
+/// Extensions to JSON that the parser accepts: comments and trailing commas only.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -26,23 +26,24 @@
     allow_extended_string_escapes: false,
 };
 
-/// A file that was read.
+/// A parsed settings file.
 #[derive(Debug)]
 pub struct Document {
     file: String,
     value: Value,
-    /// Byte position of each value, or of its key, by path.
-    starts: BTreeMap<String, usize>,
-    /// Byte position of the start of each line.
+    /// Byte offset of each value by path. A duplicate key has the offset of its first value.
+    offsets: BTreeMap<String, usize>,
+    /// Byte offset of the start of each line.
     lines: Vec<usize>,
     text: String,
 }
 
 impl Document {
-    /// Parses a file's text; `file` is the name that findings show.
+    /// Parses the text of a file; `file` is the name shown in findings.
     ///
     /// # Errors
-    /// With findings, if the text is not JSON with comments or has a key twice.
+    /// If the text exceeds [`MAX_FILE`], or with findings if it is not JSON with comments or
+    /// contains a duplicate key.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         if text.len() > MAX_FILE {
             return Err(SettingsError::Oversized("bytes of a file", MAX_FILE));
@@ -50,14 +51,14 @@
         let mut document = Self {
             file: file.to_owned(),
             value: Value::Null,
-            starts: BTreeMap::new(),
-            lines: line_starts(text),
+            offsets: BTreeMap::new(),
+            lines: line_offsets(text),
             text: text.to_owned(),
         };
         let mut findings = Findings::default();
         match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
             Ok(parsed) => match parsed.value {
-                Some(root) => document.value = document.take(&root, "", &mut findings),
+                Some(root) => document.value = document.convert(&root, "", &mut findings),
                 None => findings.push(document.finding(0, "", "the file is empty", "an object")),
             },
             Err(error) => {
@@ -73,14 +74,14 @@
         }
     }
 
-    /// The content.
+    /// The parsed content.
     pub fn value(&self) -> &Value {
         &self.value
     }
 
-    /// Adds to each finding the place of its path, or of the nearest one above that is there.
+    /// Adds locations to findings and sorts the findings by location.
     ///
-    /// Afterwards they stand in the order of their places.
+    /// A path that is not in the file gets the location of its nearest ancestor there.
     pub fn locate(&self, findings: &mut Findings) {
         for finding in findings.iter_mut() {
             finding.place = Some(self.place(self.start(&finding.path)));
@@ -91,7 +92,7 @@
     fn start(&self, path: &str) -> usize {
         let mut path = path;
         loop {
-            if let Some(start) = self.starts.get(path) {
+            if let Some(start) = self.offsets.get(path) {
                 return *start;
             }
             path = path.rsplit_once('/').map_or("", |(above, _)| above);
@@ -120,9 +121,9 @@
         }
     }
 
-    /// Takes a value out of the syntax tree and notes where it stood.
-    fn take(&mut self, value: &ast::Value<'_>, path: &str, findings: &mut Findings) -> Value {
-        self.starts.entry(path.to_owned()).or_insert(value.start());
+    /// Converts a syntax tree node to a value and records its byte offset.
+    fn convert(&mut self, value: &ast::Value<'_>, path: &str, findings: &mut Findings) -> Value {
+        self.offsets.entry(path.to_owned()).or_insert(value.start());
         match value {
             ast::Value::StringLit(text) => Value::String(text.value.to_string()),
             ast::Value::BooleanLit(flag) => Value::Bool(flag.value),
@@ -132,7 +133,7 @@
                 let mut items = Vec::new();
                 for (index, item) in array.elements.iter().enumerate() {
                     let path = join(path, &index.to_string());
-                    items.push(self.take(item, &path, findings));
+                    items.push(self.convert(item, &path, findings));
                 }
                 Value::Array(items)
             }
@@ -154,7 +155,7 @@
                 let wrong = format!("`{}` stands twice", shown(key));
                 findings.push(self.finding(property.start(), &path, &wrong, "each key once"));
             }
-            let value = self.take(&property.value, &path, findings);
+            let value = self.convert(&property.value, &path, findings);
             map.insert(key.to_owned(), value);
         }
         map
@@ -170,7 +171,7 @@
     }
 }
 
-fn line_starts(text: &str) -> Vec<usize> {
+fn line_offsets(text: &str) -> Vec<usize> {
     let after = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
     std::iter::once(0)
         .chain(after.map(|(at, _)| at + 1))
--- a/crates/sesamegap-settings/src/error.rs
+++ b/crates/sesamegap-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error of this crate.
+//! The error type of this crate.
 
 use crate::findings::Findings;
 use std::error::Error;
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// Larger than allowed; what, and by which bound.
+    /// A size limit is exceeded; holds what is limited and the limit.
     Oversized(&'static str, usize),
-    /// Not in the format of its kind.
+    /// The input cannot be decoded.
     Malformed(String),
-    /// The state of a snapshot does not match the snapshot's hash.
-    Mismatch,
-    /// Well-formed, but with findings.
+    /// A snapshot is inconsistent: its state does not match its hash or its header.
+    SnapshotMismatch,
+    /// Validation reported findings.
     Invalid(Findings),
 }
 
@@ -23,7 +23,7 @@
         match self {
             Self::Oversized(what, most) => write!(f, "{what} too large: allowed are {most}"),
             Self::Malformed(why) => write!(f, "not readable: {why}"),
-            Self::Mismatch => f.write_str("the snapshot's state does not match its hash"),
+            Self::SnapshotMismatch => f.write_str("the snapshot's state does not match its hash"),
             Self::Invalid(findings) => write!(f, "settings with findings:\n{findings}"),
         }
     }
--- a/crates/sesamegap-settings/src/schema/specs.rs
+++ b/crates/sesamegap-settings/src/schema/specs.rs
@@ -1,4 +1,4 @@
-//! The four kinds of object in the tree, their fields and their resolved form.
+//! The four kinds of objects in the tree, their fields and resolved specs.
 
 use super::reader::Row;
 use super::{Field, Shape, field};
@@ -11,7 +11,7 @@
 /// A kind of object in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A team of callers.
+    /// A team that callers belong to.
     Team,
     /// A traffic class.
     Class,
@@ -25,7 +25,7 @@
     /// All kinds.
     pub const ALL: [Self; 4] = [Self::Team, Self::Class, Self::Model, Self::Service];
 
-    /// Key of the kind among a group's defaults.
+    /// Key of the kind in a group's `defaults`.
     pub fn single(self) -> &'static str {
         match self {
             Self::Team => "team",
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Key of a group's objects of the kind.
+    /// Key of a group's objects of this kind.
     pub fn plural(self) -> &'static str {
         match self {
             Self::Team => "teams",
@@ -45,17 +45,17 @@
         }
     }
 
-    /// The kind with this key among defaults.
+    /// The kind with this key in `defaults`.
     pub fn from_single(key: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.single() == key)
     }
 
-    /// The kind with this key among objects.
+    /// The kind whose objects have this key.
     pub fn from_plural(key: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.plural() == key)
     }
 
-    /// What can be set on an object of the kind.
+    /// Fields that can be set on objects of this kind.
     pub fn fields(self) -> &'static [Field] {
         match self {
             Self::Team => TEAM,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The built-in value of each field.
+    /// Built-in default of each field.
     pub fn defaults(self) -> &'static [Value] {
         &BUILT_IN[self as usize]
     }
@@ -80,7 +80,7 @@
 static BUILT_IN: LazyLock<[Vec<Value>; 4]> =
     LazyLock::new(|| Kind::ALL.map(|kind| built_in(kind.fields())));
 
-/// Parses the built-in value of each field.
+/// Parses the built-in default of each field.
 ///
 /// # Panics
 /// If a table holds a default that is not JSON.
@@ -252,7 +252,7 @@
             key_hashes: row.list("key_hashes"),
             weight: row.real("weight"),
             rate: row.rate("rate"),
-            burst: Tokens(row.whole("burst")),
+            burst: Tokens(row.integer("burst")),
             class: row.parsed("class"),
             models: row.list("models"),
         }
@@ -262,11 +262,11 @@
 impl From<&Row<'_>> for ClassSpec {
     fn from(row: &Row<'_>) -> Self {
         Self {
-            priority: row.whole("priority"),
+            priority: row.integer("priority"),
             deadline: row.span("deadline"),
             total: row.span("total"),
-            retries: row.whole("retries"),
-            queue: Tokens(row.whole("queue")),
+            retries: row.integer("retries"),
+            queue: Tokens(row.integer("queue")),
             thrift: row.real("thrift"),
             hedge: row.flag("hedge"),
         }
@@ -276,11 +276,11 @@
 impl From<&Row<'_>> for ModelSpec {
     fn from(row: &Row<'_>) -> Self {
         Self {
-            version: WeightsVersion(row.whole("version")),
-            block: Tokens(row.whole("block")),
-            longest: Tokens(row.whole("longest")),
-            answer: Tokens(row.whole("answer")),
-            least: row.whole("least"),
+            version: WeightsVersion(row.integer("version")),
+            block: Tokens(row.integer("block")),
+            longest: Tokens(row.integer("longest")),
+            answer: Tokens(row.integer("answer")),
+            least: row.integer("least"),
             engines: row.list("engines"),
         }
     }
@@ -291,7 +291,7 @@
         Self {
             repeatable: row.flag("repeatable"),
             timeout: row.span("timeout"),
-            window: row.whole("window"),
+            window: row.integer("window"),
             body: row.size("body"),
         }
     }
--- a/crates/sesamegap-settings/tests/testsuite/fuzz.rs
+++ b/crates/sesamegap-settings/tests/testsuite/fuzz.rs
@@ -1,12 +1,12 @@
-//! Stateful fuzzing of the fold against a simple oracle.
+//! Stateful fuzzing of the fold against a reference oracle.
 //!
-//! A script of actions drives several processes over one log: operators race, appends are
-//! repeated after lost answers, records expire, snapshots are appended and sent from peer to peer,
-//! processes restart, and garbage gets into the log. After each action every process must be in
-//! the very state that the oracle has for its position, and no position may go back.
+//! A script of actions drives several processes over one log: operators publish concurrently,
+//! appends are repeated after lost responses, records expire, snapshots are appended and sent
+//! between peers, processes restart, and garbage is appended to the log. After each action every
+//! process must be in the oracle's state for its position, and no position may decrease.
 
 use crate::support::naive::{Oracle, agrees, tidy};
-use crate::support::quick;
+use crate::support::property_test;
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Value, json};
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
@@ -33,14 +33,14 @@
     "teams/nobody/weight",
 ];
 
-/// One thing that happens.
+/// One step of a script.
 #[derive(Debug, Clone)]
-enum Act {
+enum Action {
     /// An operator publishes edits, based on a revision this many records old.
     Publish(Vec<(u8, u8)>, u8),
-    /// A former append is repeated.
+    /// An earlier append is repeated.
     Repeat(u8),
-    /// Something that is no record gets into the log.
+    /// Arbitrary bytes are appended to the log.
     Garbage(Vec<u8>),
     /// A process reads this many records.
     Read(u8, u8),
@@ -48,13 +48,13 @@
     Snapshot(u8),
     /// The log drops this many of its oldest records.
     Expire(u8),
-    /// A process starts anew.
+    /// A process restarts with an empty fold.
     Restart(u8),
     /// A process sends its state to a peer.
     Send(u8, u8),
 }
 
-impl Arbitrary for Act {
+impl Arbitrary for Action {
     fn arbitrary(g: &mut Gen) -> Self {
         let byte = u8::arbitrary;
         match byte(g) % 16 {
@@ -77,14 +77,14 @@
 }
 
 #[derive(Debug, Clone)]
-struct Script(Vec<Act>);
+struct Script(Vec<Action>);
 
 impl Arbitrary for Script {
     fn arbitrary(g: &mut Gen) -> Self {
-        // Most scripts start from a tree in which something can go on.
+        // Start from a populated tree, so that later edits can succeed.
         let start =
-            [(0, 0), (2, 0), (3, 0), (4, 1), (9, 0)].map(|edit| Act::Publish(vec![edit], 0));
-        let acts: Vec<Act> = Vec::arbitrary(g);
+            [(0, 0), (2, 0), (3, 0), (4, 1), (9, 0)].map(|edit| Action::Publish(vec![edit], 0));
+        let acts: Vec<Action> = Vec::arbitrary(g);
         Self(start.into_iter().chain(acts).collect())
     }
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// The value that an edit sets; some make no sense where they are put.
+/// The value that an edit sets; some are invalid at their path.
 fn value(path: &str, choice: u8) -> Option<Value> {
     let hash = sesamegap_settings::key_hash("k");
     let object = |choice: u8| match choice % 3 {
@@ -122,23 +122,23 @@
     })
 }
 
-/// A way in which the code under test can be broken.
+/// A fault injected into the code under test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// A change wins over what its author has not seen.
+    /// A change overwrites modifications that its author has not read.
     IgnoresBase,
-    /// The edits of a change take effect one by one.
-    Halves,
-    /// A repeated append counts as a change of its own.
+    /// Only the first edit of a change takes effect.
+    AppliesPartially,
+    /// A repeated append is treated as a new change.
     ForgetsIds,
-    /// Any snapshot is taken over, also an older one.
-    Reverts,
-    /// A record before which others are missing is taken for the next one.
+    /// Any snapshot is adopted, even an older one.
+    AdoptsOlderSnapshots,
+    /// Missing records are skipped instead of reported as a gap.
     SkipsGaps,
 }
 
-/// A process under test, broken or not.
+/// A process under test, possibly with a fault.
 #[derive(Debug, Default)]
 struct Process(Fold);
 
@@ -155,7 +155,7 @@
                 let base = self.0.revision();
                 self.feed(offset, &Change { id, base, ..change });
             }
-            (Fault::Halves, Ok(change)) if change.edits.len() > 1 => {
+            (Fault::AppliesPartially, Ok(change)) if change.edits.len() > 1 => {
                 let mut first = change.clone();
                 first.edits.truncate(1);
                 self.feed(offset, &first);
@@ -172,7 +172,7 @@
     }
 
     fn adopt(&mut self, snapshot: &[u8], fault: Fault) -> bool {
-        if fault == Fault::Reverts {
+        if fault == Fault::AdoptsOlderSnapshots {
             let mut fresh = Fold::default();
             let taken = fresh.adopt(snapshot) == Ok(true);
             if taken {
@@ -184,8 +184,8 @@
     }
 }
 
-/// The log, the processes, and what the oracle says of each position.
-struct World {
+/// The log, the processes and the oracle's state at each position.
+struct Cluster {
     fault: Fault,
     log: Vec<Vec<u8>>,
     oldest: usize,
@@ -195,7 +195,7 @@
     snapshots: Vec<Option<Vec<u8>>>,
 }
 
-impl World {
+impl Cluster {
     fn new(fault: Fault) -> Self {
         Self {
             fault,
@@ -216,31 +216,31 @@
         self.log.push(body);
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &Action) {
         match act {
-            Act::Publish(edits, old) => self.publish(edits, usize::from(*old)),
-            Act::Repeat(which) if !self.sent.is_empty() => {
+            Action::Publish(edits, old) => self.publish(edits, usize::from(*old)),
+            Action::Repeat(which) if !self.sent.is_empty() => {
                 let body = self.sent[usize::from(*which) % self.sent.len()].clone();
                 self.append(body);
             }
-            Act::Repeat(_) => {}
-            Act::Garbage(bytes) => self.append(bytes.clone()),
-            Act::Read(who, count) => {
+            Action::Repeat(_) => {}
+            Action::Garbage(bytes) => self.append(bytes.clone()),
+            Action::Read(who, count) => {
                 for _ in 0..*count {
                     self.read(usize::from(*who) % PROCESSES);
                 }
             }
-            Act::Snapshot(who) => {
+            Action::Snapshot(who) => {
                 let body = self.processes[usize::from(*who) % PROCESSES].0.snapshot();
                 self.append(body);
             }
-            Act::Expire(count) => {
+            Action::Expire(count) => {
                 self.oldest = (self.oldest + usize::from(*count)).min(self.log.len());
             }
-            Act::Restart(who) => {
+            Action::Restart(who) => {
                 self.processes[usize::from(*who) % PROCESSES] = Process::default();
             }
-            Act::Send(from, to) => {
+            Action::Send(from, to) => {
                 let body = self.processes[usize::from(*from) % PROCESSES].0.snapshot();
                 let fault = self.fault;
                 self.processes[usize::from(*to) % PROCESSES].adopt(&body, fault);
@@ -269,7 +269,7 @@
         self.append(body);
     }
 
-    /// Reads one record, or looks for a snapshot where the next record has expired.
+    /// Applies one record, or adopts a snapshot if the next record has expired.
     fn read(&mut self, who: usize) {
         let fault = self.fault;
         let process = &mut self.processes[who];
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Compares each process with the oracle and with the others at its position.
+    /// Compares each process with the oracle and with other processes at the same position.
     fn check(&mut self) -> Result<(), String> {
         for process in &self.processes {
             let fold = &process.0;
@@ -316,51 +316,51 @@
 }
 
 fn run(script: &Script, fault: Fault) -> Result<(), String> {
-    let mut world = World::new(fault);
+    let mut cluster = Cluster::new(fault);
     for act in &script.0 {
-        let before: Vec<Offset> = world.processes.iter().map(|p| p.0.next()).collect();
-        world.act(act);
-        let restarted = matches!(act, Act::Restart(_));
-        for (process, before) in world.processes.iter().zip(before) {
+        let before: Vec<Offset> = cluster.processes.iter().map(|p| p.0.next()).collect();
+        cluster.act(act);
+        let restarted = matches!(act, Action::Restart(_));
+        for (process, before) in cluster.processes.iter().zip(before) {
             if process.0.next() < before && !restarted {
                 return Err(format!("went back from {before}"));
             }
         }
-        world.check()?;
+        cluster.check()?;
     }
     Ok(())
 }
 
 #[test]
 fn all_processes_agree_with_the_oracle_and_nothing_reverts() {
-    let sound: fn(Script) -> Result<(), String> = |script| run(&script, Fault::None);
-    quick(0x5e77, 300, 60).quickcheck(sound);
+    let property: fn(Script) -> Result<(), String> = |script| run(&script, Fault::None);
+    property_test(0x5e77, 300, 60).quickcheck(property);
 }
 
 #[test]
-fn broken_folds_are_caught() {
-    fn caught(property: fn(Script) -> Result<(), String>) {
-        assert!(quick(0x5e78, 300, 60).quicktest(property).is_err());
+fn injected_faults_are_detected() {
+    fn assert_detected(property: fn(Script) -> Result<(), String>) {
+        assert!(property_test(0x5e78, 300, 60).quicktest(property).is_err());
     }
-    caught(|script| run(&script, Fault::IgnoresBase));
-    caught(|script| run(&script, Fault::Halves));
-    caught(|script| run(&script, Fault::ForgetsIds));
-    caught(|script| run(&script, Fault::Reverts));
-    caught(|script| run(&script, Fault::SkipsGaps));
+    assert_detected(|script| run(&script, Fault::IgnoresBase));
+    assert_detected(|script| run(&script, Fault::AppliesPartially));
+    assert_detected(|script| run(&script, Fault::ForgetsIds));
+    assert_detected(|script| run(&script, Fault::AdoptsOlderSnapshots));
+    assert_detected(|script| run(&script, Fault::SkipsGaps));
 }
 
 #[test]
-fn the_scripts_reach_what_they_are_for() {
-    // A fuzzer whose changes are all refused for one reason would pass whatever the fold does.
+fn the_scripts_produce_each_outcome() {
+    // If all changes were rejected for one reason, the fuzz test could not fail.
     let mut g = Gen::from_size_and_seed(60, 0x5e79);
     let mut seen = [0; 4];
     for _ in 0..200 {
-        let mut world = World::new(Fault::None);
+        let mut cluster = Cluster::new(Fault::None);
         for act in &Script::arbitrary(&mut g).0 {
-            world.act(act);
+            cluster.act(act);
         }
         let mut fold = Fold::default();
-        for (offset, body) in (0..).map(Offset).zip(&world.log) {
+        for (offset, body) in (0..).map(Offset).zip(&cluster.log) {
             match fold.apply(offset, 0, body) {
                 Outcome::Accepted { .. } => seen[0] += 1,
                 Outcome::Conflict { .. } => seen[1] += 1,
@@ -373,21 +373,24 @@
     assert!(seen.iter().all(|count| *count > 100), "{seen:?}");
 }
 
-/// Rehearses each change of a script right before it is judged.
-fn rehearses(script: &Script, rehearse: fn(&mut Fold, &Change) -> Outcome) -> Result<(), String> {
-    let mut world = World::new(Fault::None);
-    script.0.iter().for_each(|act| world.act(act));
+/// Runs each change of a script as a dry run right before applying it.
+fn compare_dry_runs(
+    script: &Script,
+    dry_run: fn(&mut Fold, &Change) -> Outcome,
+) -> Result<(), String> {
+    let mut cluster = Cluster::new(Fault::None);
+    script.0.iter().for_each(|act| cluster.act(act));
     let mut fold = Fold::default();
-    for (offset, body) in (0..).map(Offset).zip(&world.log) {
+    for (offset, body) in (0..).map(Offset).zip(&cluster.log) {
         if let Ok(change) = Change::decode(body) {
             let before = (fold.snapshot(), fold.catalogue());
-            let told = rehearse(&mut fold, &change);
+            let predicted = dry_run(&mut fold, &change);
             if (fold.snapshot(), fold.catalogue()) != before {
-                return Err(format!("the rehearsal at {offset} left something behind"));
+                return Err(format!("the dry run at {offset} changed the state"));
             }
             let judged = fold.apply(offset, 0, body);
-            if told != judged {
-                return Err(format!("told {told}, judged {judged}"));
+            if predicted != judged {
+                return Err(format!("predicted {predicted}, judged {judged}"));
             }
         } else {
             fold.apply(offset, 0, body);
@@ -397,18 +400,19 @@
 }
 
 #[test]
-fn a_rehearsal_tells_the_outcome_and_changes_nothing() {
-    let sound: fn(Script) -> Result<(), String> = |script| rehearses(&script, Fold::rehearse);
-    quick(0x5e7a, 300, 60).quickcheck(sound);
+fn a_dry_run_predicts_the_outcome_and_changes_nothing() {
+    let property: fn(Script) -> Result<(), String> =
+        |script| compare_dry_runs(&script, Fold::dry_run);
+    property_test(0x5e7a, 300, 60).quickcheck(property);
 }
 
 #[test]
-fn a_rehearsal_that_takes_effect_is_caught() {
+fn a_dry_run_that_takes_effect_is_detected() {
     let broken: fn(Script) -> Result<(), String> = |script| {
-        rehearses(&script, |fold, change| {
+        compare_dry_runs(&script, |fold, change| {
             let body = change.encode().expect("within bounds");
             fold.apply(fold.next(), 0, &body)
         })
     };
-    assert!(quick(0x5e7b, 300, 60).quicktest(broken).is_err());
+    assert!(property_test(0x5e7b, 300, 60).quicktest(broken).is_err());
 }
--- a/crates/sesamegap-settings/tests/testsuite/inherit.rs
+++ b/crates/sesamegap-settings/tests/testsuite/inherit.rs
@@ -1,7 +1,7 @@
-//! Inheritance against walking to the root each time, and differences between trees.
+//! Inheritance compared with a naive walk to the root, and diffs between trees.
 
 use crate::support::naive::{tidy, walk};
-use crate::support::quick;
+use crate::support::property_test;
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Map, Value, json};
 use sesamegap_settings::schema::Kind;
@@ -9,11 +9,11 @@
 use sesamegap_settings::{Catalogue, Change, ChangeId, Findings, Fold, Outcome, Tree, TreePath};
 use sesamegap_wire::Offset;
 
-/// A valid tree of groups three deep, with names drawn from one sequence.
+/// A random valid tree with groups up to three levels deep and unique names.
 #[derive(Debug, Clone)]
-struct Wood(Value);
+struct RandomTree(Value);
 
-impl Arbitrary for Wood {
+impl Arbitrary for RandomTree {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut root = group(g, 3, &mut 0);
         root["classes"]["standard"] = json!({});
@@ -70,7 +70,7 @@
 
 type Resolve = fn(&Tree, &TreePath) -> Option<Vec<Effective>>;
 
-/// Compares each value of each object in a group and below.
+/// Compares all values in a group and its subgroups with the naive walk.
 fn compare(tree: &Tree, root: &Value, groups: &[&str], resolve: Resolve) -> Result<(), String> {
     let mut at = root;
     let mut prefix = String::new();
@@ -102,31 +102,32 @@
     Ok(())
 }
 
-fn inherits(wood: &Wood, resolve: Resolve) -> Result<(), String> {
+fn inherits(random: &RandomTree, resolve: Resolve) -> Result<(), String> {
     let mut findings = Findings::default();
-    let tree = Tree::read(&wood.0, "", &mut findings);
+    let tree = Tree::read(&random.0, "", &mut findings);
     let catalogue = Catalogue::resolve(&tree, &mut findings);
     if !findings.is_empty() {
         return Err(findings.to_string());
     }
-    compare(&tree, &wood.0, &[], resolve)?;
-    if tree.to_value() == tidy(&wood.0) && catalogue.revision == Offset(0) {
+    compare(&tree, &random.0, &[], resolve)?;
+    if tree.to_value() == tidy(&random.0) && catalogue.revision == Offset(0) {
         Ok(())
     } else {
-        Err("the tree is written otherwise than read".to_owned())
+        Err("the tree is not written as it was read".to_owned())
     }
 }
 
 #[test]
 fn each_value_is_the_nearest_on_the_way_to_the_root() {
-    let sound: fn(Wood) -> Result<(), String> = |wood| inherits(&wood, Tree::effective);
-    quick(0x1e, 200, 30).quickcheck(sound);
+    let property: fn(RandomTree) -> Result<(), String> =
+        |random| inherits(&random, Tree::effective);
+    property_test(0x1e, 200, 30).quickcheck(property);
 }
 
 #[test]
-fn broken_inheritance_is_caught() {
-    /// Lets the root's defaults win over those of the groups below.
-    fn upside_down(tree: &Tree, path: &TreePath) -> Option<Vec<Effective>> {
+fn an_injected_inheritance_fault_is_detected() {
+    /// Faulty resolution in which the root's defaults override those of subgroups.
+    fn root_defaults_win(tree: &Tree, path: &TreePath) -> Option<Vec<Effective>> {
         let kind = if path.as_str().contains("teams/") {
             "team"
         } else {
@@ -141,15 +142,16 @@
         }
         Some(all)
     }
-    let broken: fn(Wood) -> Result<(), String> = |wood| inherits(&wood, upside_down);
-    assert!(quick(0x1f, 200, 30).quicktest(broken).is_err());
+    let broken: fn(RandomTree) -> Result<(), String> =
+        |random| inherits(&random, root_defaults_win);
+    assert!(property_test(0x1f, 200, 30).quicktest(broken).is_err());
 }
 
 #[test]
-fn the_differences_lead_from_one_tree_to_the_other() {
-    fn publish(fold: &mut Fold, wood: &Wood) -> Result<(), String> {
+fn a_diff_turns_one_tree_into_the_other() {
+    fn publish(fold: &mut Fold, random: &RandomTree) -> Result<(), String> {
         let mut findings = Findings::default();
-        let wanted = Tree::read(&wood.0, "", &mut findings);
+        let wanted = Tree::read(&random.0, "", &mut findings);
         let edits = diff(fold.tree(), &wanted);
         if !edits.is_empty() {
             let change = Change {
@@ -171,7 +173,7 @@
             Err("another tree".to_owned())
         }
     }
-    let sound: fn(Wood, Wood) -> Result<(), String> = |first, second| {
+    let property: fn(RandomTree, RandomTree) -> Result<(), String> = |first, second| {
         let mut fold = Fold::default();
         publish(&mut fold, &first)?;
         publish(&mut fold, &second)?;
@@ -184,5 +186,5 @@
             Err("another catalogue".to_owned())
         }
     };
-    quick(0x20, 100, 30).quickcheck(sound);
+    property_test(0x20, 100, 30).quickcheck(property);
 }
--- a/crates/sesamegap-settings/tests/testsuite/limits.rs
+++ b/crates/sesamegap-settings/tests/testsuite/limits.rs
@@ -1,13 +1,15 @@
-//! What the fold forgets when it remembers too much, and that nothing runs twice for it.
+//! Bounds of the fold's history.
+//!
+//! Evicting entries must not let a change take effect twice.
 
-use crate::support::{append, change, started};
+use crate::support::{append, change, populated_fold};
 use serde_json::json;
 use sesamegap_settings::change::MAX_EDITS;
-use sesamegap_settings::fold::{HISTORY, IDS, TOUCHED};
+use sesamegap_settings::fold::{MAX_CHANGE_IDS, MAX_HISTORY, MAX_TRACKED_PATHS};
 use sesamegap_settings::{Change, ChangeId, Edit, Fold, Outcome};
 use sesamegap_wire::Offset;
 
-/// Appends as many changes of nothing in particular.
+/// Appends `count` unrelated changes.
 fn fill(fold: &mut Fold, count: usize) {
     for _ in 0..count {
         let id = 1_000 + u128::from(fold.next().0);
@@ -21,13 +23,13 @@
 
 #[test]
 fn a_change_whose_id_was_forgotten_still_takes_effect_once() {
-    // An append is repeated so late that its id is no longer known. It must not bring back what
-    // other operators have replaced since.
-    let mut fold = started();
+    // An append is repeated after its id was evicted. It must not overwrite values that other
+    // operators have set since.
+    let mut fold = populated_fold();
     let first = change(2, 1, "teams/a/weight", json!(7));
     append(&mut fold, &first);
     append(&mut fold, &change(3, 2, "teams/a/weight", json!(8)));
-    fill(&mut fold, IDS);
+    fill(&mut fold, MAX_CHANGE_IDS);
     assert_eq!(fold.outcome(&ChangeId(2)), None);
     let again = append(&mut fold, &first);
     assert!(
@@ -40,17 +42,17 @@
         ),
         "{again}"
     );
-    assert_eq!(fold.history().count(), HISTORY);
+    assert_eq!(fold.history().count(), MAX_HISTORY);
 }
 
 #[test]
 fn a_base_older_than_what_is_remembered_is_a_conflict() {
-    // So many paths were touched that the fold cannot tell any more what happened since the base.
-    // To guess that nothing did could revert a change that nobody remembers.
-    let mut fold = started();
+    // So many paths were modified that the fold no longer knows all modifications since the base.
+    // Assuming that there were none could revert an evicted change.
+    let mut fold = populated_fold();
     let old = change(2, 1, "teams/a/weight", json!(7));
     let mut names = 0..;
-    while fold.rehearse(&old)
+    while fold.dry_run(&old)
         == (Outcome::Accepted {
             revision: fold.next().next(),
         })
@@ -68,8 +70,8 @@
         };
         assert!(matches!(append(&mut fold, &more), Outcome::Accepted { .. }));
         assert!(
-            names.start <= TOUCHED + 2 * MAX_EDITS,
-            "nothing is ever forgotten"
+            names.start <= MAX_TRACKED_PATHS + 2 * MAX_EDITS,
+            "no path is ever evicted"
         );
     }
     let outcome = append(&mut fold, &old);
@@ -85,14 +87,14 @@
 }
 
 #[test]
-fn findings_leave_the_history_before_the_verdict_leaves_memory() {
-    let mut fold = started();
+fn the_verdict_is_kept_after_its_findings_are_evicted() {
+    let mut fold = populated_fold();
     append(&mut fold, &change(2, 1, "teams/a/weight", json!(-7)));
     let detailed = fold
         .outcome(&ChangeId(2))
         .map(|outcome| outcome.to_string());
     assert!(detailed.is_some_and(|text| text.contains("`-7` is not valid")));
-    fill(&mut fold, HISTORY);
+    fill(&mut fold, MAX_HISTORY);
     let brief = fold.outcome(&ChangeId(2));
     assert!(matches!(brief, Some(Outcome::Invalid(_))));
 }
--- a/crates/sesamegap/src/config/read.rs
+++ b/crates/sesamegap/src/config/read.rs
@@ -3,7 +3,7 @@
 use super::fields::{BOUNDS, CTL, PROCESS, STANDIN, TIMING};
 use super::{Bounds, CtlConfig, ProcessConfig, StandinConfig, Timing};
 use serde_json::{Map, Value};
-use sesamegap_settings::schema::reader::{complete, join, read, read_beside};
+use sesamegap_settings::schema::reader::{complete, join, read, read_skipping};
 use sesamegap_settings::schema::{Field, Row, built_in};
 use sesamegap_settings::{Document, Findings, SettingsError};
 use std::fs;
@@ -82,7 +82,7 @@
 
 impl Config for ProcessConfig {
     fn from_value(value: &Value, findings: &mut Findings) -> Option<Self> {
-        let own = read_beside(PROCESS, &SECTIONS, value, "", findings);
+        let own = read_skipping(PROCESS, &SECTIONS, value, "", findings);
         let defaults = built_in(PROCESS);
         let row = complete(PROCESS, &own, &defaults, "", findings);
         let timing: Option<Timing> = section(TIMING, value, "timing", findings);
@@ -99,11 +99,11 @@
             } else {
                 "listen"
             }),
-            log: row.smol("log"),
-            vms: row.smol("vms"),
-            weights: row.smol("weights"),
-            secret: row.smol("secret"),
-            operator: row.smol("operator"),
+            log: row.text("log"),
+            vms: row.text("vms"),
+            weights: row.text("weights"),
+            secret: row.text("secret"),
+            operator: row.text("operator"),
             json_logs: row.flag("json_logs"),
             timing: timing?,
             bounds: bounds?,
@@ -148,8 +148,8 @@
         object(CTL, value, "", findings, |row| Self {
             routers: row.list("routers"),
             locators: row.list("locators"),
-            key: row.has("key").then(|| row.smol("key")),
-            by: row.smol("by"),
+            key: row.has("key").then(|| row.text("key")),
+            by: row.text("by"),
             call: row.span("call"),
             patience: row.span("patience"),
         })
@@ -160,9 +160,9 @@
     fn from_value(value: &Value, findings: &mut Findings) -> Option<Self> {
         object(STANDIN, value, "", findings, |row| Self {
             listen: row.parsed("listen"),
-            operator: row.smol("operator"),
-            secret: row.smol("secret"),
-            site: row.smol("site"),
+            operator: row.text("operator"),
+            secret: row.text("secret"),
+            site: row.text("site"),
             json_logs: row.flag("json_logs"),
         })
     }
@@ -192,11 +192,11 @@
         Self {
             body: row.size("body"),
             receive: row.span("receive"),
-            flights: row.whole("flights"),
-            ring: row.whole("ring"),
+            flights: row.integer("flights"),
+            ring: row.integer("ring"),
             answer: row.size("answer"),
             kept: row.size("kept"),
-            connections: row.whole("connections"),
+            connections: row.integer("connections"),
         }
     }
 }
--- a/crates/sesamegap/src/local/demand.rs
+++ b/crates/sesamegap/src/local/demand.rs
@@ -4,13 +4,13 @@
 
 use serde_json::{Map, Value};
 use sesamegap_settings::Findings;
-use sesamegap_settings::schema::reader::{complete, join, read, read_beside};
-use sesamegap_settings::schema::{Field, Row, Shape, built_in, field, needed};
+use sesamegap_settings::schema::reader::{complete, join, read, read_skipping};
+use sesamegap_settings::schema::{Field, Row, Shape, built_in, field, required};
 use sesamegap_wire::{ClassId, ModelId, ServiceId};
 
 const DEMAND: &[Field] = &[
-    needed("model", Shape::Name, "model that callers ask"),
-    needed("service", Shape::Name, "plain service that callers use"),
+    required("model", Shape::Name, "model that callers ask"),
+    required("service", Shape::Name, "plain service that callers use"),
     field(
         "rate",
         Shape::Real(0.1, 10_000.0, "requests/s"),
@@ -115,7 +115,7 @@
     pub fn from_value(whole: &Value, findings: &mut Findings) -> Option<Self> {
         let nothing = Value::Object(Map::new());
         let value = whole.get("traffic").unwrap_or(&nothing);
-        let own = read_beside(DEMAND, &["flows"], value, "traffic", findings);
+        let own = read_skipping(DEMAND, &["flows"], value, "traffic", findings);
         let defaults = built_in(DEMAND);
         let row = complete(DEMAND, &own, &defaults, "traffic", findings);
         let flows = flows(value, findings);
@@ -161,14 +161,14 @@
         Self {
             class,
             share: row.real("share"),
-            dossiers: row.whole("dossiers"),
-            forms: row.whole("forms"),
+            dossiers: row.integer("dossiers"),
+            forms: row.integer("forms"),
             blocks: [
-                row.whole("preamble"),
-                row.whole("dossier"),
-                row.whole("form"),
+                row.integer("preamble"),
+                row.integer("dossier"),
+                row.integer("form"),
             ],
-            answer: row.whole("answer"),
+            answer: row.integer("answer"),
         }
     }
 }
