--- a/crates/sesamegap-settings/src/change/mod.rs
+++ b/crates/sesamegap-settings/src/change/mod.rs
@@ -158,7 +158,7 @@
     fn check_limits(&self) -> Result<(), SettingsError> {
         if self.edits.is_empty() {
             return Err(SettingsError::Malformed(
-                "the change has no edits".to_owned(),
+                "a change without edits".to_owned(),
             ));
         }
         if self.edits.len() > MAX_EDITS {
--- a/crates/sesamegap-settings/src/fold/history.rs
+++ b/crates/sesamegap-settings/src/fold/history.rs
@@ -117,7 +117,7 @@
                 findings.add(
                     "change",
                     "its findings are no longer kept",
-                    "checking the change again",
+                    "to check it again",
                 );
                 Outcome::Invalid(findings)
             }
--- a/crates/sesamegap-settings/src/fold/outcome.rs
+++ b/crates/sesamegap-settings/src/fold/outcome.rs
@@ -61,10 +61,10 @@
                 f.write_str("; nothing of this change took effect")
             }
             Self::Invalid(findings) => write!(f, "refused, nothing took effect:\n{findings}"),
-            Self::Duplicate { of } => write!(f, "duplicate of the change at offset {of}"),
+            Self::Duplicate { of } => write!(f, "the change at offset {of} again"),
             Self::Snapshot => f.write_str("snapshot"),
-            Self::Unreadable => f.write_str("record cannot be decoded"),
-            Self::Passed => f.write_str("already applied"),
+            Self::Unreadable => f.write_str("unreadable"),
+            Self::Passed => f.write_str("folded before"),
             Self::Gap { next } => write!(f, "records are missing from offset {next} on"),
         }
     }
