--- a/crates/sesamegap-wire/src/chain.rs
+++ b/crates/sesamegap-wire/src/chain.rs
@@ -1,9 +1,10 @@
-//! Keys under which the prefixes of a prompt are found again.
+//! Prefix cache keys of a prompt.
 //!
-//! A prompt is cut into blocks of equal size and hashed as a chain, each key over its predecessor
-//! and the block's bytes. The chain is seeded with team, model and weights version, so an entry
-//! of another team or of older weights cannot match by construction. The hash is keyed BLAKE3
-//! cut to 128 bits: with a fast unkeyed hash a caller could craft two prompts with one key.
+//! A prompt is split into blocks of equal size, which form a hash chain: each key covers the
+//! previous key and the block's bytes. The chain is seeded with the team, the model and the
+//! weights version, so that a cache entry of another team or of older weights never matches. The
+//! hash is keyed BLAKE3 truncated to 128 bits; with a fast unkeyed hash, a caller could construct
+//! two prompts with the same key.
 
 use crate::error::ParseError;
 use crate::ids::{ModelId, TeamId};
@@ -14,12 +15,12 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Bytes that stand for one token where no tokenizer is at hand.
+/// Assumed number of bytes per token, used where no tokenizer is available.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
 const CONTEXT: &str = "sesamegap 2026 prompt block chain v1";
 
-/// The key of one block and of all that comes before it.
+/// The hash of a block and all blocks before it in the prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BlockKey(pub u128);
 
@@ -47,7 +48,7 @@
 }
 
 impl Serialize for BlockKey {
-    /// Sixteen bytes in binary formats, hexadecimal text in readable ones.
+    /// Serializes as 16 bytes in binary formats and as hexadecimal text in human-readable ones.
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         if to.is_human_readable() {
             to.collect_str(self)
@@ -88,30 +89,31 @@
     }
 }
 
-/// The block keys of one prompt, outermost prefix first.
+/// The block keys of a prompt, shortest prefix first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chain {
-    /// One key for each whole block.
+    /// One key per full block.
     pub keys: Arc<[BlockKey]>,
-    /// Number of blocks at the end of each nested level, rising.
+    /// Cumulative number of full blocks at the end of each prompt part, strictly increasing; a part
+    /// that completes no block has no entry.
     pub levels: Arc<[u16]>,
-    /// Length of the whole prompt, the part after the last whole block included.
+    /// Estimated length of the prompt, including the bytes after the last full block.
     pub tokens: Tokens,
 }
 
-/// What a chain is seeded with.
+/// The values that seed a chain.
 #[derive(Debug, Clone, Copy)]
 pub struct Seed<'a> {
-    /// Team that asks.
+    /// Team that sends the request.
     pub team: &'a TeamId,
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a ModelId,
-    /// Weights the answer must come from.
+    /// Weights version that must produce the answer.
     pub version: WeightsVersion,
 }
 
 impl Chain {
-    /// Hashes the parts of a prompt, one part a nested level.
+    /// Hashes the concatenated parts of a prompt; each part is one level of the chain.
     ///
     /// `block` is the block size in tokens and must not be zero.
     pub fn of_parts(seed: Seed<'_>, parts: &[&str], block: Tokens) -> Self {
@@ -134,7 +136,7 @@
     }
 }
 
-/// Cuts a stream of bytes into blocks and hashes each onto the last key.
+/// Splits a byte stream into blocks and hashes each one together with the previous key.
 struct Cutter {
     size: usize,
     root: [u8; 32],
--- a/crates/sesamegap-wire/src/codec.rs
+++ b/crates/sesamegap-wire/src/codec.rs
@@ -1,14 +1,14 @@
-//! Encoding of messages between sesamegap's own processes.
+//! MessagePack encoding of the messages between sesamegap's own processes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::error::Error;
 use std::fmt;
 
-/// Largest message taken from a peer, in bytes; a larger one is refused before it is decoded.
+/// Maximum size of a message in bytes; a larger one is rejected before it is decoded.
 pub const MAX_MESSAGE: usize = 8 << 20;
 
-/// A message that could not be encoded or decoded.
+/// An error while encoding or decoding a message.
 #[derive(Debug)]
 pub struct CodecError {
     what: &'static str,
@@ -17,16 +17,16 @@
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "message not {}: {}", self.what, self.cause)
+        write!(f, "message could not be {}: {}", self.what, self.cause)
     }
 }
 
 impl Error for CodecError {}
 
-/// Encodes a message with named fields, so that an older reader skips what it does not know.
+/// Encodes a message with named fields, so that an older version can skip fields it does not know.
 ///
 /// # Errors
-/// If the value cannot be represented, which is a bug of its type.
+/// Returns an error if the value cannot be represented, which is a bug in its type.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, CodecError> {
     rmp_serde::to_vec_named(value).map_err(|e| CodecError {
         what: "encoded",
@@ -37,12 +37,12 @@
 /// Decodes a message from a peer.
 ///
 /// # Errors
-/// If the bytes are too many or are no message of this type.
+/// Returns an error if the message exceeds the maximum size or is not a valid `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     if bytes.len() > MAX_MESSAGE {
         return Err(CodecError {
             what: "decoded",
-            cause: format!("{} bytes, allowed are {MAX_MESSAGE}", bytes.len()),
+            cause: format!("{} bytes exceed the limit of {MAX_MESSAGE} bytes", bytes.len()),
         });
     }
     rmp_serde::from_slice(bytes).map_err(|e| CodecError {
--- a/crates/sesamegap-wire/src/engine.rs
+++ b/crates/sesamegap-wire/src/engine.rs
@@ -1,7 +1,7 @@
-//! What the system and its upstreams tell each other, whatever protocol carries it.
+//! Messages between the system and its upstreams, independent of the transport protocol.
 //!
-//! These types stand here, and not beside the clients, so that decisions can read them without
-//! knowing of sockets.
+//! They are defined here rather than with the clients, so that policy code can use them without
+//! depending on network code.
 
 use crate::chain::BlockKey;
 use crate::ids::{DomainId, ModelId, RequestId, UpstreamId};
@@ -10,69 +10,69 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// A model engine as the VM list names it.
+/// A model engine as listed in the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEntry {
     /// The engine's name.
     pub id: UpstreamId,
-    /// Failure domain it stands in.
+    /// Failure domain of the engine.
     pub domain: DomainId,
-    /// Whether it is leaving and must get no new work.
+    /// Whether the engine is draining and must get no new requests.
     pub leaving: bool,
 }
 
-/// One request as sent to an engine.
+/// A request as sent to an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The request, by which answers and resumptions are matched.
+    /// Id that matches answers and resumed attempts to the request.
     pub request: RequestId,
-    /// Counts attempts at this request on any engine, from 0.
+    /// Number of this attempt at the request, counted from 0 across all engines.
     pub attempt: u32,
-    /// Incarnation of the engine that the placement relied on.
+    /// Incarnation of the engine that the placement decision assumed.
     pub incarnation: Incarnation,
-    /// Model to answer with.
+    /// Model that must produce the answer.
     pub model: ModelId,
-    /// Weights to answer with.
+    /// Weights version that must produce the answer.
     pub version: WeightsVersion,
-    /// Keys of the prompt's whole blocks.
+    /// Keys of the prompt's full blocks.
     pub blocks: Vec<BlockKey>,
     /// The prompt.
     pub prompt: String,
-    /// Text already sent to the caller, which the answer continues.
+    /// Text already sent to the caller, which the engine continues.
     pub prefix: String,
-    /// Number of tokens in `prefix`: the answer's first chunk has this place.
+    /// Number of tokens in `prefix`, and so the sequence number of the first chunk.
     pub start: Seq,
-    /// Tokens to answer at most, `prefix` included.
+    /// Maximum number of tokens in the answer, including `prefix`.
     pub answer: Tokens,
-    /// Higher goes first in the engine's own batch.
+    /// Priority in the engine's own batch; higher values go first.
     pub priority: u8,
-    /// Where cache blocks may be imported from first, if that is worth it.
+    /// Upstream to import cache blocks from before prefill, if that is worthwhile.
     pub import: Option<UpstreamId>,
     /// Idempotency key, for upstreams that record executions.
     pub key: Option<SmolStr>,
 }
 
-/// One event of an answer's stream.
+/// An event in the stream of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Chunk {
-    /// The engine has taken the request and looked up its cache.
+    /// The engine has accepted the request and looked up its cache.
     Start {
         /// Prompt tokens found in the engine's cache.
         cached: Tokens,
     },
-    /// One token of the answer.
+    /// A token of the answer.
     Token {
-        /// Its place.
+        /// Position of the token in the answer.
         seq: Seq,
-        /// Its text.
+        /// Text of the token.
         text: SmolStr,
     },
-    /// The engine is still at work.
+    /// Heartbeat: the engine is still working on the answer.
     Beat,
-    /// The whole answer was sent.
+    /// The answer is complete.
     End {
-        /// Number of tokens of the whole answer.
+        /// Number of tokens in the complete answer.
         count: Seq,
     },
 }
@@ -81,100 +81,100 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum CacheEvent {
-    /// Blocks are now held.
+    /// Blocks were added to the cache.
     Stored {
-        /// Their keys.
+        /// Keys of the blocks.
         keys: Vec<BlockKey>,
     },
-    /// Blocks are held no longer.
+    /// Blocks were removed from the cache.
     Evicted {
-        /// Their keys.
+        /// Keys of the blocks.
         keys: Vec<BlockKey>,
     },
 }
 
-/// Cache events in order; a jump in the numbers is a gap.
+/// Cache events in order; a jump in the event numbers means that events were missed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheBatch {
     /// Incarnation the events belong to.
     pub incarnation: Incarnation,
-    /// Events with their numbers, rising.
+    /// Events with their numbers, in increasing order.
     pub events: Vec<(u64, CacheEvent)>,
     /// Number of the newest event published so far.
     pub newest: u64,
 }
 
-/// All blocks an engine holds.
+/// A full listing of the blocks in an engine's cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     /// Incarnation the listing belongs to.
     pub incarnation: Incarnation,
-    /// Number of the newest event the listing takes in.
+    /// Number of the newest event that the listing includes.
     pub newest: u64,
-    /// Keys of all blocks held.
+    /// Keys of all cached blocks.
     pub keys: Vec<BlockKey>,
 }
 
-/// What an engine says of itself, with a lag.
+/// The load that an engine reports, with a delay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Present incarnation.
+    /// Current incarnation of the engine.
     pub incarnation: Incarnation,
-    /// How old the figures are.
+    /// Age of the figures.
     pub age: Duration,
-    /// Requests being answered.
+    /// Number of requests being answered.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens not yet computed.
+    /// Prompt tokens that await prefill.
     pub prefill: Tokens,
-    /// Blocks the cache can hold.
+    /// Capacity of the cache in blocks.
     pub capacity: u64,
-    /// Weights loaded.
+    /// Loaded weights versions per model.
     pub loaded: Vec<(ModelId, WeightsVersion)>,
-    /// Whether a load is under way.
+    /// Whether the engine is loading weights.
     pub loading: bool,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining and accepts no new requests.
     pub leaving: bool,
-    /// Highest fencing number seen, if the engine checks them.
+    /// Highest fencing number seen, or `None` if the engine does not check them.
     pub fence: Option<Fence>,
 }
 
-/// The state an engine is ordered into.
+/// The desired state of the weights on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Wanted {
-    /// Hold these weights.
+    /// Have this version loaded.
     Load {
         /// Model to load.
         model: ModelId,
         /// Version to load.
         version: WeightsVersion,
     },
-    /// Hold no version of this model below the given one.
+    /// Have no version of this model below the given one loaded.
     Drop {
-        /// Model to drop.
+        /// Model whose older versions are unloaded.
         model: ModelId,
         /// Lowest version to keep.
         below: WeightsVersion,
     },
 }
 
-/// An order, which states a wanted state and may be repeated.
+/// A command to an engine. It states a desired state, so it is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Lease under which the order is given.
+    /// Fencing number of the lease under which the order is given.
     pub fence: Fence,
-    /// The wanted state.
+    /// The desired state.
     pub wanted: Wanted,
 }
 
-/// What an engine said to an order.
+/// An engine's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAnswer {
-    /// Taken; the load report shows when it is done.
+    /// Accepted; the load report shows when the order is carried out.
     Taken,
-    /// Refused, because an order with a higher fencing number came before.
+    /// Rejected, because the engine has seen an order with a higher fencing number.
     Fenced,
 }
--- a/crates/sesamegap-wire/src/error.rs
+++ b/crates/sesamegap-wire/src/error.rs
@@ -1,9 +1,9 @@
-//! The error of reading an identifier or a quantity from text.
+//! The error for parsing an identifier or a quantity.
 
 use std::error::Error;
 use std::fmt;
 
-/// Text that is not a valid value of the wanted type.
+/// An error for text that is not a valid value of the expected type.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError {
     kind: &'static str,
@@ -12,7 +12,7 @@
 }
 
 impl ParseError {
-    /// Records what was read, as which kind, and what would have been allowed.
+    /// Creates an error for `text`, which is not a valid `kind`; `allowed` describes the accepted form.
     pub fn new(kind: &'static str, text: impl Into<String>, allowed: &'static str) -> Self {
         Self {
             kind,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// What would have been allowed, in words.
+    /// A description of the accepted form.
     pub fn allowed(&self) -> &'static str {
         self.allowed
     }
@@ -31,7 +31,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "`{}` is not a valid {}: allowed is {}",
+            "`{}` is not a valid {}: expected {}",
             self.text, self.kind, self.allowed
         )
     }
--- a/crates/sesamegap-wire/src/fingerprint.rs
+++ b/crates/sesamegap-wire/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What makes two sends the same request.
+//! Request fingerprints, which recognize a request that is sent again.
 //!
-//! Ids, deadlines and whatever else a proper request's headers carry differ between two sends of it; its
-//! target, its caller and its body do not. The hash is one for which nobody can find a second request, so that no
-//! caller can have another's taken for its own.
+//! Ids, deadlines and other headers may differ between two sends of a request; its target, caller
+//! and body do not. The hash is collision resistant, so that no caller can craft a request that
+//! is taken for another caller's.
 
 use crate::error::ParseError;
 use serde::de::{SeqAccess, Visitor};
@@ -10,10 +10,10 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Separates these hashes from all others.
+/// Domain separation string of the hash.
 const CONTEXT: &str = "sesamegap request fingerprint v1";
 
-/// Bytes of a fingerprint.
+/// Size of a fingerprint in bytes.
 const LENGTH: usize = 16;
 
 /// A hash of a request's target, caller and body.
@@ -21,10 +21,10 @@
 pub struct Fingerprint([u8; LENGTH]);
 
 impl Fingerprint {
-    /// The fingerprint of a request; no caller for one that shows no key.
+    /// Hashes a request; `caller` is `None` for a request without a key.
     pub fn of(target: &str, caller: Option<&str>, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
-        // Lengths keep the end of one field from counting as the begin of the next.
+        // Length prefixes mark where each field ends, so that bytes cannot shift between fields.
         for field in [target, caller.unwrap_or_default()] {
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field.as_bytes());
@@ -80,14 +80,14 @@
     type Value = Fingerprint;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{LENGTH} bytes or as many hexadecimal pairs")
+        write!(f, "a fingerprint of {LENGTH} bytes or twice as many hexadecimal digits")
     }
 
     fn visit_bytes<E: serde::de::Error>(self, bytes: &[u8]) -> Result<Fingerprint, E> {
         let bytes = bytes.try_into();
         bytes
             .map(Fingerprint)
-            .map_err(|_| E::custom("a fingerprint of another length"))
+            .map_err(|_| E::custom("invalid fingerprint length"))
     }
 
     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Fingerprint, E> {
@@ -98,7 +98,7 @@
         let mut bytes = [0; LENGTH];
         for byte in &mut bytes {
             let next = seq.next_element()?;
-            *byte = next.ok_or_else(|| serde::de::Error::custom("a fingerprint that is cut"))?;
+            *byte = next.ok_or_else(|| serde::de::Error::custom("fingerprint is too short"))?;
         }
         Ok(Fingerprint(bytes))
     }
--- a/crates/sesamegap-wire/src/ids/mod.rs
+++ b/crates/sesamegap-wire/src/ids/mod.rs
@@ -1,7 +1,7 @@
-//! Names of the things that sesamegap deals with.
+//! Identifier types.
 //!
-//! A name is short text of letters, digits, `-`, `_`, `.` and `:`; anything else is refused when
-//! it is read, so that a name can stand in a path, a header or a log line without escaping.
+//! A name is a short string of ASCII letters, digits, `-`, `_`, `.` and `:`; anything else is
+//! rejected when parsed, so that a name needs no escaping in a path, a header or a log line.
 
 mod request;
 
@@ -13,7 +13,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest name in bytes; a longer one is a mistake or an attack on memory.
+/// Maximum length of a name in bytes. A longer one is a mistake or an attempt to exhaust memory.
 pub const MAX_NAME: usize = 64;
 
 const ALLOWED: &str = "1 to 64 letters, digits, `-`, `_`, `.` or `:`";
@@ -77,12 +77,12 @@
     "team"
 );
 name!(
-    /// A traffic class, which sets priority and deadline.
+    /// A traffic class, which determines priority and deadline.
     ClassId,
     "class"
 );
 name!(
-    /// A model as callers name it.
+    /// A model, by the name that callers use.
     ModelId,
     "model"
 );
@@ -97,7 +97,7 @@
     "service"
 );
 name!(
-    /// An entry VM, on which the system's own processes run.
+    /// An entry VM, which runs the system's own processes.
     VmId,
     "VM"
 );
--- a/crates/sesamegap-wire/src/ids/request.rs
+++ b/crates/sesamegap-wire/src/ids/request.rs
@@ -1,4 +1,4 @@
-//! The identifier of one request, which names the router that minted it.
+//! Request ids, which contain the router that issued them.
 
 use super::VmId;
 use crate::error::ParseError;
@@ -9,17 +9,17 @@
 
 const ALLOWED: &str = "`VM~INCARNATION~SEQUENCE`, the numbers in hexadecimal";
 
-/// One request, named by the incarnation of the router that took it in.
+/// The id of a request, which includes the incarnation of the router that accepted it.
 ///
-/// A restarted router has a new incarnation, so it can never mint an id twice, and any router can
-/// tell from the id alone where the request ran.
+/// A restarted router has a new incarnation, so it never issues the same id twice, and any router
+/// can tell from the id alone which router handled the request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
-    /// VM of the router that minted the id.
+    /// VM of the router that issued the id.
     pub vm: VmId,
     /// That router's incarnation.
     pub incarnation: Incarnation,
-    /// Counts the requests of this incarnation.
+    /// Sequence number of the request within this incarnation.
     pub seq: u64,
 }
 
--- a/crates/sesamegap-wire/src/lib.rs
+++ b/crates/sesamegap-wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! Identifiers, quantities and messages shared by sesamegap's processes.
 //!
-//! Every other crate builds on this one, so it knows nothing of sockets or decisions. [`ids`]
-//! names the things of the world (teams, models, engines, VMs), [`quantity`] counts them (tokens,
-//! offsets, moments), [`chain`] holds the keys under which prompt prefixes are found again,
-//! [`fingerprint`] tells whether two sends are of the same request, [`engine`] what is said to and by
-//! model engines, and [`peer`] the messages that routers send each other, encoded with [`codec`].
+//! Every other crate depends on this one, so it contains neither network I/O nor policy. [`ids`]
+//! defines identifiers (of teams, models, engines, VMs), [`quantity`] numbers with a unit (tokens,
+//! offsets, moments), [`chain`] the prefix cache keys of prompts, [`fingerprint`] the hash that
+//! recognizes a request sent again, [`engine`] the messages to and from model engines, and
+//! [`peer`] the messages between routers, which [`codec`] encodes.
 
 pub mod chain;
 pub mod codec;
--- a/crates/sesamegap-wire/src/peer.rs
+++ b/crates/sesamegap-wire/src/peer.rs
@@ -1,53 +1,53 @@
-//! Messages that routers send each other.
+//! Messages between routers.
 
 use crate::chain::BlockKey;
 use crate::ids::{TeamId, UpstreamId};
 use crate::quantity::{Incarnation, Tokens};
 use serde::{Deserialize, Serialize};
 
-/// What a router tells its peers of the traffic it sees, once a second or so.
+/// A summary of a router's traffic, sent to its peers about once a second.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The hottest prefixes with their rate in requests a second, hottest first.
+    /// The most requested prefixes with their rates in requests per second, highest rate first.
     pub heat: Vec<(BlockKey, f32)>,
-    /// Demand of each team in prompt tokens a second.
+    /// Demand of each team in prompt tokens per second.
     pub demand: Vec<(TeamId, f64)>,
-    /// Prompt tokens this router has sent to each engine and that are not yet computed.
+    /// Prompt tokens that this router has sent to each engine and that await prefill.
     pub prefill: Vec<(UpstreamId, Tokens)>,
-    /// Long prompts that an engine is computing for this router, with their blocks.
+    /// Long prompts of this router in prefill on an engine, with their blocks.
     #[serde(default)]
     pub cold: Vec<ColdPrompt>,
 }
 
-/// A long prompt under way.
+/// A long prompt in prefill.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ColdPrompt {
-    /// The engine that computes it.
+    /// Engine that runs the prefill.
     pub engine: UpstreamId,
-    /// Incarnation of the engine it was sent to.
+    /// Incarnation of the engine that the prompt was sent to.
     pub incarnation: Incarnation,
-    /// The prompt's blocks, outermost first.
+    /// Keys of the prompt's blocks, shortest prefix first.
     pub keys: Vec<BlockKey>,
 }
 
-/// Cache contents a router believes in, for a peer that has just started.
+/// A router's view of the engines' caches, sent to a peer that has just started.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Warmth {
-    /// The engines' contents.
+    /// Cache contents per engine.
     pub engines: Vec<EngineCache>,
-    /// The sender's own traffic and what it knows of its peers'.
+    /// Traffic of the sender and, as far as it knows, of its peers.
     pub digest: Digest,
 }
 
-/// What one engine is believed to hold.
+/// A router's view of one engine's cache, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineCache {
     /// The engine.
     pub engine: UpstreamId,
     /// Incarnation the contents belong to.
     pub incarnation: Incarnation,
-    /// Number of the newest event taken in.
+    /// Number of the newest cache event applied.
     pub newest: u64,
-    /// Keys held, most recently used first.
+    /// Keys of the cached blocks, most recently used first.
     pub keys: Vec<BlockKey>,
 }
--- a/crates/sesamegap-wire/src/quantity/mod.rs
+++ b/crates/sesamegap-wire/src/quantity/mod.rs
@@ -1,4 +1,4 @@
-//! Quantities with a unit, so that two kinds of number cannot be mixed up.
+//! Newtypes for numbers, so that two kinds of number cannot be confused.
 
 use crate::error::ParseError;
 use serde::{Deserialize, Serialize};
@@ -42,13 +42,13 @@
     "number of tokens"
 );
 number!(
-    /// A version of a model's weights; a new one makes all older cache entries useless.
+    /// A version of a model's weights; a new version invalidates all older cache entries.
     WeightsVersion,
     u32,
     "weights version"
 );
 number!(
-    /// One life of a process; a restart takes a higher one.
+    /// Identifies one run of a process; each restart takes a higher number.
     Incarnation,
     u64,
     "incarnation"
@@ -60,13 +60,13 @@
     "offset"
 );
 number!(
-    /// A history of the platform's log; it rises by one each time the log is restored from a copy.
+    /// A history of the platform's log; increases by one each time the log is restored from a copy.
     Timeline,
     u64,
     "timeline"
 );
 number!(
-    /// A fencing number: the position of the lease record under which an order is given.
+    /// A fencing number: the log position of the lease record under which an order is given.
     Fence,
     u64,
     "fencing number"
@@ -78,7 +78,7 @@
     "sequence number"
 );
 number!(
-    /// Microseconds on a process's own monotonic clock; meaningless to any other process.
+    /// Microseconds on the monotonic clock of a process; not comparable between processes.
     Moment,
     u64,
     "moment"
@@ -92,22 +92,22 @@
     }
 }
 
-/// A record's position in the platform's log, across restorations.
+/// A record's position in the platform's log that stays ordered when the log is restored.
 ///
-/// Offsets go back when the log is restored, and are given out again. Positions compare by timeline first, so
-/// one of a newer timeline comes after all of an older one.
+/// Restoring the log moves its end back, so offsets are reused. Positions compare by timeline
+/// first, so any position of a newer timeline comes after all positions of an older one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// The history that the offset belongs to.
+    /// Timeline that the offset belongs to.
     pub timeline: Timeline,
-    /// The offset in it.
+    /// Offset within the timeline.
     pub offset: Offset,
 }
 
 impl LogPosition {
-    /// An offset in a timeline.
+    /// Creates a position from a timeline and an offset.
     #[must_use]
     pub fn new(timeline: Timeline, offset: Offset) -> Self {
         Self { timeline, offset }
@@ -119,7 +119,7 @@
         Self::new(self.timeline, self.offset.next())
     }
 
-    /// The position before this one in the same timeline.
+    /// The position before this one in the same timeline, or `None` at offset 0.
     #[must_use]
     pub fn previous(self) -> Option<Self> {
         let offset = self.offset.0.checked_sub(1)?;
@@ -162,20 +162,20 @@
 impl Sub for Tokens {
     type Output = Self;
 
-    /// Subtracts down to zero, never below.
+    /// Saturates at zero.
     fn sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 }
 
 impl Moment {
-    /// Time passed since `earlier`, zero if that lies ahead.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment that lies a span before, or the first one there is.
+    /// The moment `span` before this one, saturating at zero.
     #[must_use]
     pub fn less(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
