--- a/crates/sesamegap-wire/src/chain.rs
+++ b/crates/sesamegap-wire/src/chain.rs
@@ -18,7 +18,7 @@
 /// Assumed number of bytes per token, used where no tokenizer is available.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
-const CONTEXT: &str = "sesamegap 2026 prompt block chain v1";
+const KEY_CONTEXT: &str = "sesamegap 2026 prompt block chain v1";
 
 /// The hash of a block and all blocks before it in the prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -34,16 +34,16 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || {
+        let invalid = || {
             let shown: String = text.chars().take(40).collect();
             ParseError::new("block key", shown, "32 hexadecimal digits")
         };
         if text.len() != 32 {
-            return Err(wrong());
+            return Err(invalid());
         }
         u128::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| wrong())
+            .map_err(|_| invalid())
     }
 }
 
@@ -58,9 +58,9 @@
     }
 }
 
-struct KeyVisitor;
+struct BlockKeyVisitor;
 
-impl Visitor<'_> for KeyVisitor {
+impl Visitor<'_> for BlockKeyVisitor {
     type Value = BlockKey;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -82,9 +82,9 @@
 impl<'de> Deserialize<'de> for BlockKey {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         if from.is_human_readable() {
-            from.deserialize_str(KeyVisitor)
+            from.deserialize_str(BlockKeyVisitor)
         } else {
-            from.deserialize_bytes(KeyVisitor)
+            from.deserialize_bytes(BlockKeyVisitor)
         }
     }
 }
@@ -115,21 +115,21 @@
 impl Chain {
     /// Hashes the concatenated parts of a prompt; each part is one level of the chain.
     ///
-    /// `block` is the block size in tokens and must not be zero.
-    pub fn of_parts(seed: Seed<'_>, parts: &[&str], block: Tokens) -> Self {
-        let size = usize::try_from(block.0 * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
-        let mut hasher = Cutter::new(seed, size);
+    /// `block_size` is in tokens and must not be zero.
+    pub fn of_parts(seed: Seed<'_>, parts: &[&str], block_size: Tokens) -> Self {
+        let block_bytes = usize::try_from(block_size.0 * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
+        let mut blocks = BlockHasher::new(seed, block_bytes);
         let mut levels = Vec::with_capacity(parts.len());
         for part in parts {
-            hasher.add(part.as_bytes());
-            let count = u16::try_from(hasher.keys.len()).unwrap_or(u16::MAX);
+            blocks.update(part.as_bytes());
+            let count = u16::try_from(blocks.keys.len()).unwrap_or(u16::MAX);
             if count > levels.last().copied().unwrap_or(0) {
                 levels.push(count);
             }
         }
         let bytes: usize = parts.iter().map(|part| part.len()).sum();
         Self {
-            keys: hasher.keys.into(),
+            keys: blocks.keys.into(),
             levels: levels.into(),
             tokens: Tokens((bytes as u64).div_ceil(BYTES_PER_TOKEN)),
         }
@@ -137,18 +137,18 @@
 }
 
 /// Splits a byte stream into blocks and hashes each one together with the previous key.
-struct Cutter {
-    size: usize,
+struct BlockHasher {
+    block_bytes: usize,
     root: [u8; 32],
-    prior: BlockKey,
-    filled: usize,
+    previous: BlockKey,
+    filled_bytes: usize,
     hasher: blake3::Hasher,
     keys: Vec<BlockKey>,
 }
 
-impl Cutter {
-    fn new(seed: Seed<'_>, size: usize) -> Self {
-        let mut root = blake3::Hasher::new_derive_key(CONTEXT);
+impl BlockHasher {
+    fn new(seed: Seed<'_>, block_bytes: usize) -> Self {
+        let mut root = blake3::Hasher::new_derive_key(KEY_CONTEXT);
         for name in [seed.team.as_str(), seed.model.as_str()] {
             root.update(&(name.len() as u64).to_le_bytes());
             root.update(name.as_bytes());
@@ -156,42 +156,42 @@
         root.update(&seed.version.0.to_le_bytes());
         let root = *root.finalize().as_bytes();
         let mut cutter = Self {
-            size: size.max(1),
+            block_bytes: block_bytes.max(1),
             root,
-            prior: BlockKey(0),
-            filled: 0,
+            previous: BlockKey(0),
+            filled_bytes: 0,
             hasher: blake3::Hasher::new_keyed(&root),
             keys: Vec::new(),
         };
-        cutter.open();
+        cutter.start_block();
         cutter
     }
 
-    fn open(&mut self) {
+    fn start_block(&mut self) {
         self.hasher = blake3::Hasher::new_keyed(&self.root);
-        self.hasher.update(&self.prior.0.to_be_bytes());
-        self.filled = 0;
+        self.hasher.update(&self.previous.0.to_be_bytes());
+        self.filled_bytes = 0;
     }
 
-    fn add(&mut self, mut bytes: &[u8]) {
+    fn update(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let room = self.size - self.filled;
-            let (now, later) = bytes.split_at(room.min(bytes.len()));
-            self.hasher.update(now);
-            self.filled += now.len();
-            bytes = later;
-            if self.filled == self.size {
-                self.close();
+            let room = self.block_bytes - self.filled_bytes;
+            let (head, tail) = bytes.split_at(room.min(bytes.len()));
+            self.hasher.update(head);
+            self.filled_bytes += head.len();
+            bytes = tail;
+            if self.filled_bytes == self.block_bytes {
+                self.finish_block();
             }
         }
     }
 
-    fn close(&mut self) {
+    fn finish_block(&mut self) {
         let digest = self.hasher.finalize();
-        let mut half = [0; 16];
-        half.copy_from_slice(&digest.as_bytes()[..16]);
-        self.prior = BlockKey(u128::from_be_bytes(half));
-        self.keys.push(self.prior);
-        self.open();
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&digest.as_bytes()[..16]);
+        self.previous = BlockKey(u128::from_be_bytes(truncated));
+        self.keys.push(self.previous);
+        self.start_block();
     }
 }
--- a/crates/sesamegap-wire/src/codec.rs
+++ b/crates/sesamegap-wire/src/codec.rs
@@ -11,13 +11,13 @@
 /// An error while encoding or decoding a message.
 #[derive(Debug)]
 pub struct CodecError {
-    what: &'static str,
+    action: &'static str,
     cause: String,
 }
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "message could not be {}: {}", self.what, self.cause)
+        write!(f, "message could not be {}: {}", self.action, self.cause)
     }
 }
 
@@ -29,7 +29,7 @@
 /// Returns an error if the value cannot be represented, which is a bug in its type.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, CodecError> {
     rmp_serde::to_vec_named(value).map_err(|e| CodecError {
-        what: "encoded",
+        action: "encoded",
         cause: e.to_string(),
     })
 }
@@ -41,12 +41,15 @@
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     if bytes.len() > MAX_MESSAGE {
         return Err(CodecError {
-            what: "decoded",
-            cause: format!("{} bytes exceed the limit of {MAX_MESSAGE} bytes", bytes.len()),
+            action: "decoded",
+            cause: format!(
+                "{} bytes exceed the limit of {MAX_MESSAGE} bytes",
+                bytes.len()
+            ),
         });
     }
     rmp_serde::from_slice(bytes).map_err(|e| CodecError {
-        what: "decoded",
+        action: "decoded",
         cause: e.to_string(),
     })
 }
--- a/crates/sesamegap-wire/src/engine.rs
+++ b/crates/sesamegap-wire/src/engine.rs
@@ -126,7 +126,7 @@
     pub running: u32,
     /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens that await prefill.
+    /// Prompt tokens whose prefill is not finished.
     pub prefill: Tokens,
     /// Capacity of the cache in blocks.
     pub capacity: u64,
--- a/crates/sesamegap-wire/src/fingerprint.rs
+++ b/crates/sesamegap-wire/src/fingerprint.rs
@@ -1,7 +1,7 @@
 //! Request fingerprints, which recognize a request that is sent again.
 //!
 //! Ids, deadlines and other headers may differ between two sends of a request; its target, caller
-//! and body do not. The hash is collision resistant, so that no caller can craft a request that
+//! and body do not. The hash resists second preimages, so that no caller can craft a request that
 //! is taken for another caller's.
 
 use crate::error::ParseError;
@@ -11,19 +11,19 @@
 use std::str::FromStr;
 
 /// Domain separation string of the hash.
-const CONTEXT: &str = "sesamegap request fingerprint v1";
+const KEY_CONTEXT: &str = "sesamegap request fingerprint v1";
 
 /// Size of a fingerprint in bytes.
-const LENGTH: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
 /// A hash of a request's target, caller and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Fingerprint([u8; LENGTH]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
     /// Hashes a request; `caller` is `None` for a request without a key.
     pub fn of(target: &str, caller: Option<&str>, body: &[u8]) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(KEY_CONTEXT);
         // Length prefixes mark where each field ends, so that bytes cannot shift between fields.
         for field in [target, caller.unwrap_or_default()] {
             hasher.update(&(field.len() as u64).to_le_bytes());
@@ -31,7 +31,7 @@
         }
         hasher.update(&[u8::from(caller.is_some())]);
         hasher.update(body);
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Self(bytes)
     }
@@ -47,19 +47,19 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let error = || {
+        let invalid = || {
             ParseError::new(
                 "fingerprint",
                 text.chars().take(64).collect::<String>(),
                 "32 hexadecimal digits",
             )
         };
-        if text.len() != 2 * LENGTH || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(error());
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
+            return Err(invalid());
         }
-        let mut bytes = [0; LENGTH];
-        for (no, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * no..2 * no + 2], 16).map_err(|_| error())?;
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        for (i, byte) in bytes.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| invalid())?;
         }
         Ok(Self(bytes))
     }
@@ -74,13 +74,16 @@
     }
 }
 
-struct Reader;
+struct FingerprintVisitor;
 
-impl<'de> Visitor<'de> for Reader {
+impl<'de> Visitor<'de> for FingerprintVisitor {
     type Value = Fingerprint;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a fingerprint of {LENGTH} bytes or twice as many hexadecimal digits")
+        write!(
+            f,
+            "a fingerprint of {FINGERPRINT_BYTES} bytes or twice as many hexadecimal digits"
+        )
     }
 
     fn visit_bytes<E: serde::de::Error>(self, bytes: &[u8]) -> Result<Fingerprint, E> {
@@ -95,7 +98,7 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Fingerprint, A::Error> {
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for byte in &mut bytes {
             let next = seq.next_element()?;
             *byte = next.ok_or_else(|| serde::de::Error::custom("fingerprint is too short"))?;
@@ -107,8 +110,8 @@
 impl<'de> Deserialize<'de> for Fingerprint {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         if from.is_human_readable() {
-            return from.deserialize_str(Reader);
+            return from.deserialize_str(FingerprintVisitor);
         }
-        from.deserialize_bytes(Reader)
+        from.deserialize_bytes(FingerprintVisitor)
     }
 }
--- a/crates/sesamegap-wire/src/ids/request.rs
+++ b/crates/sesamegap-wire/src/ids/request.rs
@@ -33,20 +33,20 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || {
+        let invalid = || {
             let shown: String = text.chars().take(128).collect();
             ParseError::new("request id", shown, ALLOWED)
         };
         let mut parts = text.split('~');
-        let (Some(vm), Some(inc), Some(seq), None) =
+        let (Some(vm), Some(incarnation), Some(seq), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(wrong());
+            return Err(invalid());
         };
         Ok(Self {
-            vm: vm.parse().map_err(|_| wrong())?,
-            incarnation: Incarnation(u64::from_str_radix(inc, 16).map_err(|_| wrong())?),
-            seq: u64::from_str_radix(seq, 16).map_err(|_| wrong())?,
+            vm: vm.parse().map_err(|_| invalid())?,
+            incarnation: Incarnation(u64::from_str_radix(incarnation, 16).map_err(|_| invalid())?),
+            seq: u64::from_str_radix(seq, 16).map_err(|_| invalid())?,
         })
     }
 }
--- a/crates/sesamegap-wire/src/peer.rs
+++ b/crates/sesamegap-wire/src/peer.rs
@@ -12,7 +12,7 @@
     pub heat: Vec<(BlockKey, f32)>,
     /// Demand of each team in prompt tokens per second.
     pub demand: Vec<(TeamId, f64)>,
-    /// Prompt tokens that this router has sent to each engine and that await prefill.
+    /// Prompt tokens that this router has sent to each engine and whose prefill is not finished.
     pub prefill: Vec<(UpstreamId, Tokens)>,
     /// Long prompts of this router in prefill on an engine, with their blocks.
     #[serde(default)]
--- a/crates/sesamegap-wire/src/quantity/mod.rs
+++ b/crates/sesamegap-wire/src/quantity/mod.rs
@@ -66,7 +66,7 @@
     "timeline"
 );
 number!(
-    /// A fencing number: the log position of the lease record under which an order is given.
+    /// A fencing number: the position of the lease record under which an order is given.
     Fence,
     u64,
     "fencing number"
