--- a/crates/sesamegap-wire/src/codec.rs
+++ b/crates/sesamegap-wire/src/codec.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Maximum size of a message in bytes; a larger one is rejected before it is decoded.
-pub const MAX_MESSAGE: usize = 8 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// An error while encoding or decoding a message.
 #[derive(Debug)]
@@ -39,11 +39,11 @@
 /// # Errors
 /// Returns an error if the message exceeds the maximum size or is not a valid `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
-    if bytes.len() > MAX_MESSAGE {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(CodecError {
             action: "decoded",
             cause: format!(
-                "{} bytes exceed the limit of {MAX_MESSAGE} bytes",
+                "{} bytes exceed the limit of {MAX_MESSAGE_BYTES} bytes",
                 bytes.len()
             ),
         });
--- a/crates/sesamegap/src/router/peers/endpoints.rs
+++ b/crates/sesamegap/src/router/peers/endpoints.rs
@@ -162,7 +162,7 @@
             message,
         ));
     }
-    let read = body.into_bytes_limit(codec::MAX_MESSAGE);
+    let read = body.into_bytes_limit(codec::MAX_MESSAGE_BYTES);
     let bytes = tokio::time::timeout(core.config.bounds.receive, read).await;
     let bytes = bytes.ok().and_then(Result::ok);
     let message = bytes.and_then(|bytes| codec::decode(&bytes).ok());
