--- a/crates/sesamegap-measure/src/slopes/chain.rs
+++ b/crates/sesamegap-measure/src/slopes/chain.rs
@@ -23,7 +23,7 @@
         };
         let start = Instant::now();
         for _ in 0..turns {
-            black_box(Chain::of_parts(seed, &[&prompt], Tokens(4_096)));
+            black_box(Chain::from_parts(seed, &[&prompt], Tokens(4_096)));
         }
         let megabytes = (turns * size).div_ceil(1_000_000);
         rows.time(*size, "hash a prompt, for each MB", start, megabytes);
--- a/crates/sesamegap-wire/src/chain.rs
+++ b/crates/sesamegap-wire/src/chain.rs
@@ -116,7 +116,7 @@
     /// Hashes the concatenated parts of a prompt; each part is one level of the chain.
     ///
     /// `block_size` is in tokens and must not be zero.
-    pub fn of_parts(seed: Seed<'_>, parts: &[&str], block_size: Tokens) -> Self {
+    pub fn from_parts(seed: Seed<'_>, parts: &[&str], block_size: Tokens) -> Self {
         let block_bytes = usize::try_from(block_size.0 * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
         let mut blocks = BlockHasher::new(seed, block_bytes);
         let mut levels = Vec::with_capacity(parts.len());
--- a/crates/sesamegap/src/local/traffic.rs
+++ b/crates/sesamegap/src/local/traffic.rs
@@ -83,7 +83,7 @@
             model: &demand.model,
             version,
         };
-        Chain::of_parts(seed, &parts, Tokens(BLOCK))
+        Chain::from_parts(seed, &parts, Tokens(BLOCK))
     }
 
     fn parts(&self) -> Vec<String> {
--- a/crates/sesamegap/src/router/callers/chat.rs
+++ b/crates/sesamegap/src/router/callers/chat.rs
@@ -130,7 +130,7 @@
         model: &model,
         version,
     };
-    let chain = Chain::of_parts(seed, &parts, spec.block);
+    let chain = Chain::from_parts(seed, &parts, spec.block);
     if chain.tokens > spec.longest {
         return Err(too_long(chain.tokens, spec.longest));
     }
