--- a/crates/sesamegap-entry/src/clock.rs
+++ b/crates/sesamegap-entry/src/clock.rs
@@ -29,7 +29,7 @@
 
 /// Returns the time that lies this long before the current one.
 pub fn ago(duration: Duration) -> Moment {
-    now().less(duration)
+    now().saturating_sub(duration)
 }
 
 /// Converts a duration to whole milliseconds, in the width used in messages.
--- a/crates/sesamegap-entry/src/fleet/selection.rs
+++ b/crates/sesamegap-entry/src/fleet/selection.rs
@@ -155,7 +155,7 @@
             };
             let served = found
                 .served_ms
-                .map(|ms| now.less(Duration::from_millis(u64::from(ms))));
+                .map(|ms| now.saturating_sub(Duration::from_millis(u64::from(ms))));
             let mut flight = self.begin(&mut fleet, selection, chosen, now)?;
             flight.running = found.running;
             flight.ahead = found.ahead;
--- a/crates/sesamegap-policy/src/routing/weights.rs
+++ b/crates/sesamegap-policy/src/routing/weights.rs
@@ -74,7 +74,7 @@
     /// Estimated naming time for weights that are discovered now and were named before.
     pub fn estimate(&self, now: Moment) -> Named {
         let age = self.bound.saturating_sub(GUESSED_LEFT);
-        Named::Guessed(now.less(age))
+        Named::Guessed(now.saturating_sub(age))
     }
 
     /// Estimated naming time for weights that are discovered now, by a VM that knew all namings up to `known`.
--- a/crates/sesamegap-wire/src/quantity/mod.rs
+++ b/crates/sesamegap-wire/src/quantity/mod.rs
@@ -177,7 +177,7 @@
 
     /// The moment `span` before this one, saturating at zero.
     #[must_use]
-    pub fn less(self, span: Duration) -> Self {
+    pub fn saturating_sub(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
