--- a/crates/sesamegap-settings/src/schema/shape.rs
+++ b/crates/sesamegap-settings/src/schema/shape.rs
@@ -11,7 +11,7 @@
 pub const MAX_LIST: usize = 256;
 
 /// Longest name, the bound of `sesamegap-wire`'s identifiers.
-const MAX_NAME: usize = sesamegap_wire::ids::MAX_NAME;
+const MAX_NAME: usize = sesamegap_wire::ids::MAX_NAME_BYTES;
 
 /// The word for a rate without a limit.
 pub const UNLIMITED: &str = "unlimited";
--- a/crates/sesamegap-wire/src/ids/mod.rs
+++ b/crates/sesamegap-wire/src/ids/mod.rs
@@ -14,12 +14,12 @@
 use std::str::FromStr;
 
 /// Maximum length of a name in bytes. A longer one is a mistake or an attempt to exhaust memory.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 const ALLOWED: &str = "1 to 64 letters, digits, `-`, `_`, `.` or `:`";
 
 fn is_name(text: &str) -> bool {
-    let fits = (1..=MAX_NAME).contains(&text.len());
+    let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
     fits && text
         .bytes()
         .all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b))
@@ -51,7 +51,7 @@
                 if is_name(text) {
                     Ok(Self(SmolStr::new(text)))
                 } else {
-                    Err(ParseError::new($kind, text.chars().take(MAX_NAME).collect::<String>(), ALLOWED))
+                    Err(ParseError::new($kind, text.chars().take(MAX_NAME_BYTES).collect::<String>(), ALLOWED))
                 }
             }
         }
