--- a/crates/sesamegap-wire/src/chain.rs
+++ b/crates/sesamegap-wire/src/chain.rs
@@ -49,11 +49,11 @@
 
 impl Serialize for BlockKey {
     /// Serializes as 16 bytes in binary formats and as hexadecimal text in human-readable ones.
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        if to.is_human_readable() {
-            to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        if serializer.is_human_readable() {
+            serializer.collect_str(self)
         } else {
-            to.serialize_bytes(&self.0.to_be_bytes())
+            serializer.serialize_bytes(&self.0.to_be_bytes())
         }
     }
 }
@@ -80,11 +80,11 @@
 }
 
 impl<'de> Deserialize<'de> for BlockKey {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        if from.is_human_readable() {
-            from.deserialize_str(BlockKeyVisitor)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        if deserializer.is_human_readable() {
+            deserializer.deserialize_str(BlockKeyVisitor)
         } else {
-            from.deserialize_bytes(BlockKeyVisitor)
+            deserializer.deserialize_bytes(BlockKeyVisitor)
         }
     }
 }
@@ -139,7 +139,7 @@
 /// Splits a byte stream into blocks and hashes each one together with the previous key.
 struct BlockHasher {
     block_bytes: usize,
-    root: [u8; 32],
+    chain_key: [u8; 32],
     previous: BlockKey,
     filled_bytes: usize,
     hasher: blake3::Hasher,
@@ -148,19 +148,19 @@
 
 impl BlockHasher {
     fn new(seed: Seed<'_>, block_bytes: usize) -> Self {
-        let mut root = blake3::Hasher::new_derive_key(KEY_CONTEXT);
+        let mut chain_key = blake3::Hasher::new_derive_key(KEY_CONTEXT);
         for name in [seed.team.as_str(), seed.model.as_str()] {
-            root.update(&(name.len() as u64).to_le_bytes());
-            root.update(name.as_bytes());
+            chain_key.update(&(name.len() as u64).to_le_bytes());
+            chain_key.update(name.as_bytes());
         }
-        root.update(&seed.version.0.to_le_bytes());
-        let root = *root.finalize().as_bytes();
+        chain_key.update(&seed.version.0.to_le_bytes());
+        let chain_key = *chain_key.finalize().as_bytes();
         let mut cutter = Self {
             block_bytes: block_bytes.max(1),
-            root,
+            chain_key,
             previous: BlockKey(0),
             filled_bytes: 0,
-            hasher: blake3::Hasher::new_keyed(&root),
+            hasher: blake3::Hasher::new_keyed(&chain_key),
             keys: Vec::new(),
         };
         cutter.start_block();
@@ -168,7 +168,7 @@
     }
 
     fn start_block(&mut self) {
-        self.hasher = blake3::Hasher::new_keyed(&self.root);
+        self.hasher = blake3::Hasher::new_keyed(&self.chain_key);
         self.hasher.update(&self.previous.0.to_be_bytes());
         self.filled_bytes = 0;
     }
--- a/crates/sesamegap-wire/src/codec.rs
+++ b/crates/sesamegap-wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! MessagePack encoding of the messages between sesamegap's own processes.
+//! `MessagePack` encoding of the messages between sesamegap's own processes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/sesamegap-wire/src/fingerprint.rs
+++ b/crates/sesamegap-wire/src/fingerprint.rs
@@ -66,11 +66,11 @@
 }
 
 impl Serialize for Fingerprint {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        if to.is_human_readable() {
-            return to.collect_str(self);
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        if serializer.is_human_readable() {
+            return serializer.collect_str(self);
         }
-        to.serialize_bytes(&self.0)
+        serializer.serialize_bytes(&self.0)
     }
 }
 
@@ -108,10 +108,10 @@
 }
 
 impl<'de> Deserialize<'de> for Fingerprint {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        if from.is_human_readable() {
-            return from.deserialize_str(FingerprintVisitor);
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        if deserializer.is_human_readable() {
+            return deserializer.deserialize_str(FingerprintVisitor);
         }
-        from.deserialize_bytes(FingerprintVisitor)
+        deserializer.deserialize_bytes(FingerprintVisitor)
     }
 }
--- a/crates/sesamegap-wire/src/ids/mod.rs
+++ b/crates/sesamegap-wire/src/ids/mod.rs
@@ -18,7 +18,7 @@
 
 const ALLOWED: &str = "1 to 64 letters, digits, `-`, `_`, `.` or `:`";
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
     fits && text
         .bytes()
@@ -48,7 +48,7 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     Ok(Self(SmolStr::new(text)))
                 } else {
                     Err(ParseError::new($kind, text.chars().take(MAX_NAME_BYTES).collect::<String>(), ALLOWED))
@@ -57,14 +57,14 @@
         }
 
         impl Serialize for $type {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                to.serialize_str(&self.0)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.serialize_str(&self.0)
             }
         }
 
         impl<'de> Deserialize<'de> for $type {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                let text = SmolStr::deserialize(from)?;
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let text = SmolStr::deserialize(deserializer)?;
                 text.parse().map_err(serde::de::Error::custom)
             }
         }
--- a/crates/sesamegap-wire/src/ids/request.rs
+++ b/crates/sesamegap-wire/src/ids/request.rs
@@ -52,14 +52,14 @@
 }
 
 impl Serialize for RequestId {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for RequestId {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
     }
 }
