--- a/crates/sesamegap-wire/src/chain.rs
+++ b/crates/sesamegap-wire/src/chain.rs
@@ -148,13 +148,13 @@
 
 impl BlockHasher {
     fn new(seed: Seed<'_>, block_bytes: usize) -> Self {
-        let mut chain_key = blake3::Hasher::new_derive_key(KEY_CONTEXT);
+        let mut key_hasher = blake3::Hasher::new_derive_key(KEY_CONTEXT);
         for name in [seed.team.as_str(), seed.model.as_str()] {
-            chain_key.update(&(name.len() as u64).to_le_bytes());
-            chain_key.update(name.as_bytes());
+            key_hasher.update(&(name.len() as u64).to_le_bytes());
+            key_hasher.update(name.as_bytes());
         }
-        chain_key.update(&seed.version.0.to_le_bytes());
-        let chain_key = *chain_key.finalize().as_bytes();
+        key_hasher.update(&seed.version.0.to_le_bytes());
+        let chain_key = *key_hasher.finalize().as_bytes();
         let mut cutter = Self {
             block_bytes: block_bytes.max(1),
             chain_key,
