--- a/crates/sesamegap-settings/src/schema/shape.rs
+++ b/crates/sesamegap-settings/src/schema/shape.rs
@@ -11,7 +11,7 @@
 pub const MAX_LIST: usize = 256;
 
 /// Maximum length of a name, the limit of identifiers in `sesamegap-wire`.
-const MAX_NAME: usize = sesamegap_wire::ids::MAX_NAME;
+const MAX_NAME: usize = sesamegap_wire::ids::MAX_NAME_BYTES;
 
 /// Keyword for an unlimited rate.
 pub const UNLIMITED: &str = "unlimited";
--- a/crates/sesamegap-wire/src/chain.rs
+++ b/crates/sesamegap-wire/src/chain.rs
@@ -1,9 +1,10 @@
-//! Keys under which the prefixes of a prompt are found again.
+//! Prefix cache keys of a prompt.
 //!
-//! A prompt is cut into blocks of equal size and hashed as a chain, each key over its predecessor
-//! and the block's bytes. The chain is seeded with team, model and weights version, so an entry
-//! of another team or of older weights cannot match by construction. The hash is keyed BLAKE3
-//! cut to 128 bits: with a fast unkeyed hash a caller could craft two prompts with one key.
+//! A prompt is split into blocks of equal size, which form a hash chain: each key covers the
+//! previous key and the block's bytes. The chain is seeded with the team, the model and the
+//! weights version, so that a cache entry of another team or of older weights never matches. The
+//! hash is keyed BLAKE3 truncated to 128 bits; with a fast unkeyed hash, a caller could construct
+//! two prompts with the same key.
 
 use crate::error::ParseError;
 use crate::ids::{ModelId, TeamId};
@@ -14,12 +15,12 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Bytes that stand for one token where no tokenizer is at hand.
+/// Assumed number of bytes per token, used where no tokenizer is available.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
-const CONTEXT: &str = "sesamegap 2026 prompt block chain v1";
+const KEY_CONTEXT: &str = "sesamegap 2026 prompt block chain v1";
 
-/// The key of one block and of all that comes before it.
+/// The hash of a block and all blocks before it in the prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BlockKey(pub u128);
 
@@ -33,33 +34,33 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || {
+        let invalid = || {
             let shown: String = text.chars().take(40).collect();
             ParseError::new("block key", shown, "32 hexadecimal digits")
         };
         if text.len() != 32 {
-            return Err(wrong());
+            return Err(invalid());
         }
         u128::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| wrong())
+            .map_err(|_| invalid())
     }
 }
 
 impl Serialize for BlockKey {
-    /// Sixteen bytes in binary formats, hexadecimal text in readable ones.
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        if to.is_human_readable() {
-            to.collect_str(self)
+    /// Serializes as 16 bytes in binary formats and as hexadecimal text in human-readable ones.
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        if serializer.is_human_readable() {
+            serializer.collect_str(self)
         } else {
-            to.serialize_bytes(&self.0.to_be_bytes())
+            serializer.serialize_bytes(&self.0.to_be_bytes())
         }
     }
 }
 
-struct KeyVisitor;
+struct BlockKeyVisitor;
 
-impl Visitor<'_> for KeyVisitor {
+impl Visitor<'_> for BlockKeyVisitor {
     type Value = BlockKey;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -79,117 +80,118 @@
 }
 
 impl<'de> Deserialize<'de> for BlockKey {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        if from.is_human_readable() {
-            from.deserialize_str(KeyVisitor)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        if deserializer.is_human_readable() {
+            deserializer.deserialize_str(BlockKeyVisitor)
         } else {
-            from.deserialize_bytes(KeyVisitor)
+            deserializer.deserialize_bytes(BlockKeyVisitor)
         }
     }
 }
 
-/// The block keys of one prompt, outermost prefix first.
+/// The block keys of a prompt, shortest prefix first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chain {
-    /// One key for each whole block.
+    /// One key per full block.
     pub keys: Arc<[BlockKey]>,
-    /// Number of blocks at the end of each nested level, rising.
+    /// Cumulative number of full blocks at the end of each prompt part, strictly increasing; a part
+    /// that completes no block has no entry.
     pub levels: Arc<[u16]>,
-    /// Length of the whole prompt, the part after the last whole block included.
+    /// Estimated length of the prompt, including the bytes after the last full block.
     pub tokens: Tokens,
 }
 
-/// What a chain is seeded with.
+/// The values that seed a chain.
 #[derive(Debug, Clone, Copy)]
 pub struct Seed<'a> {
-    /// Team that asks.
+    /// Team that sends the request.
     pub team: &'a TeamId,
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a ModelId,
-    /// Weights the answer must come from.
+    /// Weights version that must produce the answer.
     pub version: WeightsVersion,
 }
 
 impl Chain {
-    /// Hashes the parts of a prompt, one part a nested level.
+    /// Hashes the concatenated parts of a prompt; each part is one level of the chain.
     ///
-    /// `block` is the block size in tokens and must not be zero.
-    pub fn of_parts(seed: Seed<'_>, parts: &[&str], block: Tokens) -> Self {
-        let size = usize::try_from(block.0 * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
-        let mut hasher = Cutter::new(seed, size);
+    /// `block_size` is in tokens and must not be zero.
+    pub fn from_parts(seed: Seed<'_>, parts: &[&str], block_size: Tokens) -> Self {
+        let block_bytes = usize::try_from(block_size.0 * BYTES_PER_TOKEN).unwrap_or(usize::MAX);
+        let mut blocks = BlockHasher::new(seed, block_bytes);
         let mut levels = Vec::with_capacity(parts.len());
         for part in parts {
-            hasher.add(part.as_bytes());
-            let count = u16::try_from(hasher.keys.len()).unwrap_or(u16::MAX);
+            blocks.update(part.as_bytes());
+            let count = u16::try_from(blocks.keys.len()).unwrap_or(u16::MAX);
             if count > levels.last().copied().unwrap_or(0) {
                 levels.push(count);
             }
         }
         let bytes: usize = parts.iter().map(|part| part.len()).sum();
         Self {
-            keys: hasher.keys.into(),
+            keys: blocks.keys.into(),
             levels: levels.into(),
             tokens: Tokens((bytes as u64).div_ceil(BYTES_PER_TOKEN)),
         }
     }
 }
 
-/// Cuts a stream of bytes into blocks and hashes each onto the last key.
-struct Cutter {
-    size: usize,
-    root: [u8; 32],
-    prior: BlockKey,
-    filled: usize,
+/// Splits a byte stream into blocks and hashes each one together with the previous key.
+struct BlockHasher {
+    block_bytes: usize,
+    chain_key: [u8; 32],
+    previous: BlockKey,
+    filled_bytes: usize,
     hasher: blake3::Hasher,
     keys: Vec<BlockKey>,
 }
 
-impl Cutter {
-    fn new(seed: Seed<'_>, size: usize) -> Self {
-        let mut root = blake3::Hasher::new_derive_key(CONTEXT);
+impl BlockHasher {
+    fn new(seed: Seed<'_>, block_bytes: usize) -> Self {
+        let mut key_hasher = blake3::Hasher::new_derive_key(KEY_CONTEXT);
         for name in [seed.team.as_str(), seed.model.as_str()] {
-            root.update(&(name.len() as u64).to_le_bytes());
-            root.update(name.as_bytes());
+            key_hasher.update(&(name.len() as u64).to_le_bytes());
+            key_hasher.update(name.as_bytes());
         }
-        root.update(&seed.version.0.to_le_bytes());
-        let root = *root.finalize().as_bytes();
+        key_hasher.update(&seed.version.0.to_le_bytes());
+        let chain_key = *key_hasher.finalize().as_bytes();
         let mut cutter = Self {
-            size: size.max(1),
-            root,
-            prior: BlockKey(0),
-            filled: 0,
-            hasher: blake3::Hasher::new_keyed(&root),
+            block_bytes: block_bytes.max(1),
+            chain_key,
+            previous: BlockKey(0),
+            filled_bytes: 0,
+            hasher: blake3::Hasher::new_keyed(&chain_key),
             keys: Vec::new(),
         };
-        cutter.open();
+        cutter.start_block();
         cutter
     }
 
-    fn open(&mut self) {
-        self.hasher = blake3::Hasher::new_keyed(&self.root);
-        self.hasher.update(&self.prior.0.to_be_bytes());
-        self.filled = 0;
+    fn start_block(&mut self) {
+        self.hasher = blake3::Hasher::new_keyed(&self.chain_key);
+        self.hasher.update(&self.previous.0.to_be_bytes());
+        self.filled_bytes = 0;
     }
 
-    fn add(&mut self, mut bytes: &[u8]) {
+    fn update(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let room = self.size - self.filled;
-            let (now, later) = bytes.split_at(room.min(bytes.len()));
-            self.hasher.update(now);
-            self.filled += now.len();
-            bytes = later;
-            if self.filled == self.size {
-                self.close();
+            let room = self.block_bytes - self.filled_bytes;
+            let (head, tail) = bytes.split_at(room.min(bytes.len()));
+            self.hasher.update(head);
+            self.filled_bytes += head.len();
+            bytes = tail;
+            if self.filled_bytes == self.block_bytes {
+                self.finish_block();
             }
         }
     }
 
-    fn close(&mut self) {
+    fn finish_block(&mut self) {
         let digest = self.hasher.finalize();
-        let mut half = [0; 16];
-        half.copy_from_slice(&digest.as_bytes()[..16]);
-        self.prior = BlockKey(u128::from_be_bytes(half));
-        self.keys.push(self.prior);
-        self.open();
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&digest.as_bytes()[..16]);
+        self.previous = BlockKey(u128::from_be_bytes(truncated));
+        self.keys.push(self.previous);
+        self.start_block();
     }
 }
--- a/crates/sesamegap-wire/src/fingerprint.rs
+++ b/crates/sesamegap-wire/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What makes two sends the same request.
+//! Request fingerprints, which recognize a request that is sent again.
 //!
-//! Ids, deadlines and whatever else a proper request's headers carry differ between two sends of it; its
-//! target, its caller and its body do not. The hash is one for which nobody can find a second request, so that no
-//! caller can have another's taken for its own.
+//! Ids, deadlines and other headers may differ between two sends of a request; its target, caller
+//! and body do not. The hash resists second preimages, so that no caller can craft a request that
+//! is taken for another caller's.
 
 use crate::error::ParseError;
 use serde::de::{SeqAccess, Visitor};
@@ -10,28 +10,28 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Separates these hashes from all others.
-const CONTEXT: &str = "sesamegap request fingerprint v1";
+/// Domain separation string of the hash.
+const KEY_CONTEXT: &str = "sesamegap request fingerprint v1";
 
-/// Bytes of a fingerprint.
-const LENGTH: usize = 16;
+/// Size of a fingerprint in bytes.
+const FINGERPRINT_BYTES: usize = 16;
 
 /// A hash of a request's target, caller and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Fingerprint([u8; LENGTH]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request; no caller for one that shows no key.
+    /// Hashes a request; `caller` is `None` for a request without a key.
     pub fn of(target: &str, caller: Option<&str>, body: &[u8]) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
-        // Lengths keep the end of one field from counting as the begin of the next.
+        let mut hasher = blake3::Hasher::new_derive_key(KEY_CONTEXT);
+        // Length prefixes mark where each field ends, so that bytes cannot shift between fields.
         for field in [target, caller.unwrap_or_default()] {
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field.as_bytes());
         }
         hasher.update(&[u8::from(caller.is_some())]);
         hasher.update(body);
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Self(bytes)
     }
@@ -47,47 +47,50 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let error = || {
+        let invalid = || {
             ParseError::new(
                 "fingerprint",
                 text.chars().take(64).collect::<String>(),
                 "32 hexadecimal digits",
             )
         };
-        if text.len() != 2 * LENGTH || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(error());
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
+            return Err(invalid());
         }
-        let mut bytes = [0; LENGTH];
-        for (no, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * no..2 * no + 2], 16).map_err(|_| error())?;
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        for (i, byte) in bytes.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| invalid())?;
         }
         Ok(Self(bytes))
     }
 }
 
 impl Serialize for Fingerprint {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        if to.is_human_readable() {
-            return to.collect_str(self);
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        if serializer.is_human_readable() {
+            return serializer.collect_str(self);
         }
-        to.serialize_bytes(&self.0)
+        serializer.serialize_bytes(&self.0)
     }
 }
 
-struct Reader;
+struct FingerprintVisitor;
 
-impl<'de> Visitor<'de> for Reader {
+impl<'de> Visitor<'de> for FingerprintVisitor {
     type Value = Fingerprint;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{LENGTH} bytes or as many hexadecimal pairs")
+        write!(
+            f,
+            "a fingerprint of {FINGERPRINT_BYTES} bytes or twice as many hexadecimal digits"
+        )
     }
 
     fn visit_bytes<E: serde::de::Error>(self, bytes: &[u8]) -> Result<Fingerprint, E> {
         let bytes = bytes.try_into();
         bytes
             .map(Fingerprint)
-            .map_err(|_| E::custom("a fingerprint of another length"))
+            .map_err(|_| E::custom("invalid fingerprint length"))
     }
 
     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Fingerprint, E> {
@@ -95,20 +98,20 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Fingerprint, A::Error> {
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for byte in &mut bytes {
             let next = seq.next_element()?;
-            *byte = next.ok_or_else(|| serde::de::Error::custom("a fingerprint that is cut"))?;
+            *byte = next.ok_or_else(|| serde::de::Error::custom("fingerprint is too short"))?;
         }
         Ok(Fingerprint(bytes))
     }
 }
 
 impl<'de> Deserialize<'de> for Fingerprint {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        if from.is_human_readable() {
-            return from.deserialize_str(Reader);
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        if deserializer.is_human_readable() {
+            return deserializer.deserialize_str(FingerprintVisitor);
         }
-        from.deserialize_bytes(Reader)
+        deserializer.deserialize_bytes(FingerprintVisitor)
     }
 }
--- a/crates/sesamegap-wire/src/ids/mod.rs
+++ b/crates/sesamegap-wire/src/ids/mod.rs
@@ -1,7 +1,7 @@
-//! Names of the things that sesamegap deals with.
+//! Identifier types.
 //!
-//! A name is short text of letters, digits, `-`, `_`, `.` and `:`; anything else is refused when
-//! it is read, so that a name can stand in a path, a header or a log line without escaping.
+//! A name is a short string of ASCII letters, digits, `-`, `_`, `.` and `:`; anything else is
+//! rejected when parsed, so that a name needs no escaping in a path, a header or a log line.
 
 mod request;
 
@@ -13,13 +13,13 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest name in bytes; a longer one is a mistake or an attack on memory.
-pub const MAX_NAME: usize = 64;
+/// Maximum length of a name in bytes. A longer one is a mistake or an attempt to exhaust memory.
+pub const MAX_NAME_BYTES: usize = 64;
 
 const ALLOWED: &str = "1 to 64 letters, digits, `-`, `_`, `.` or `:`";
 
-fn is_name(text: &str) -> bool {
-    let fits = (1..=MAX_NAME).contains(&text.len());
+fn is_valid_name(text: &str) -> bool {
+    let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
     fits && text
         .bytes()
         .all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b))
@@ -48,23 +48,23 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     Ok(Self(SmolStr::new(text)))
                 } else {
-                    Err(ParseError::new($kind, text.chars().take(MAX_NAME).collect::<String>(), ALLOWED))
+                    Err(ParseError::new($kind, text.chars().take(MAX_NAME_BYTES).collect::<String>(), ALLOWED))
                 }
             }
         }
 
         impl Serialize for $type {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                to.serialize_str(&self.0)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.serialize_str(&self.0)
             }
         }
 
         impl<'de> Deserialize<'de> for $type {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                let text = SmolStr::deserialize(from)?;
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let text = SmolStr::deserialize(deserializer)?;
                 text.parse().map_err(serde::de::Error::custom)
             }
         }
@@ -77,12 +77,12 @@
     "team"
 );
 name!(
-    /// A traffic class, which sets priority and deadline.
+    /// A traffic class, which determines priority and deadline.
     ClassId,
     "class"
 );
 name!(
-    /// A model as callers name it.
+    /// A model, by the name that callers use.
     ModelId,
     "model"
 );
@@ -97,7 +97,7 @@
     "service"
 );
 name!(
-    /// An entry VM, on which the system's own processes run.
+    /// An entry VM, which runs the system's own processes.
     VmId,
     "VM"
 );
--- a/crates/sesamegap-wire/src/ids/request.rs
+++ b/crates/sesamegap-wire/src/ids/request.rs
@@ -1,4 +1,4 @@
-//! The identifier of one request, which names the router that minted it.
+//! Request ids, which contain the router that issued them.
 
 use super::VmId;
 use crate::error::ParseError;
@@ -9,17 +9,17 @@
 
 const ALLOWED: &str = "`VM~INCARNATION~SEQUENCE`, the numbers in hexadecimal";
 
-/// One request, named by the incarnation of the router that took it in.
+/// The id of a request, which includes the incarnation of the router that accepted it.
 ///
-/// A restarted router has a new incarnation, so it can never mint an id twice, and any router can
-/// tell from the id alone where the request ran.
+/// A restarted router has a new incarnation, so it never issues the same id twice, and any router
+/// can tell from the id alone which router handled the request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
-    /// VM of the router that minted the id.
+    /// VM of the router that issued the id.
     pub vm: VmId,
     /// That router's incarnation.
     pub incarnation: Incarnation,
-    /// Counts the requests of this incarnation.
+    /// Sequence number of the request within this incarnation.
     pub seq: u64,
 }
 
@@ -33,33 +33,33 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wrong = || {
+        let invalid = || {
             let shown: String = text.chars().take(128).collect();
             ParseError::new("request id", shown, ALLOWED)
         };
         let mut parts = text.split('~');
-        let (Some(vm), Some(inc), Some(seq), None) =
+        let (Some(vm), Some(incarnation), Some(seq), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(wrong());
+            return Err(invalid());
         };
         Ok(Self {
-            vm: vm.parse().map_err(|_| wrong())?,
-            incarnation: Incarnation(u64::from_str_radix(inc, 16).map_err(|_| wrong())?),
-            seq: u64::from_str_radix(seq, 16).map_err(|_| wrong())?,
+            vm: vm.parse().map_err(|_| invalid())?,
+            incarnation: Incarnation(u64::from_str_radix(incarnation, 16).map_err(|_| invalid())?),
+            seq: u64::from_str_radix(seq, 16).map_err(|_| invalid())?,
         })
     }
 }
 
 impl Serialize for RequestId {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for RequestId {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
     }
 }
