--- a/crates/sesamegap/src/router/deciding/mod.rs
+++ b/crates/sesamegap/src/router/deciding/mod.rs
@@ -1,10 +1,10 @@
-//! The thread that owns the decider.
+//! The thread that owns the decider, and the handle for talking to it.
 //!
-//! Everything that bears on a decision reaches this thread as a [`Message`] through a bounded
-//! ring; no lock guards the decider. The ring is never waited on: a submission that finds it full
-//! is overload and is refused as such. Ends of requests have a ring of their own, read first and
-//! sized so that it cannot fill up, because a lost end would leave an engine's window booked for
-//! good.
+//! Every input to a decision is sent to this thread as a [`Message`] over a bounded queue, so the
+//! decider needs no lock. Senders never block on the queue: a submission that finds it full is
+//! rejected with [`Overload`]. The ends of requests go through a separate queue, which is read
+//! first and sized so that it does not fill up, because losing one would leave capacity of an
+//! engine's window booked forever.
 
 mod thread;
 
@@ -18,82 +18,82 @@
 
 use super::clock::Clock;
 
-/// What was decided on one submission.
+/// The decision on one submission.
 #[derive(Debug)]
 pub enum Verdict {
-    /// Send it there, with this priority.
+    /// Send the request to this placement with this priority.
     Send(Placement, u8),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// A second attempt that may start beside a late first one.
+/// A second, concurrent attempt that may start when the first token of the first one is late.
 #[derive(Debug)]
 pub struct Hedge {
-    /// Its id at the engine and in the decider.
+    /// Id of the second attempt at the engine and in the decider.
     pub twin: RequestId,
-    /// Where to.
+    /// Where to send the second attempt.
     pub at: Placement,
-    /// Priority in the engine's own batch.
+    /// Priority in the engine's batch.
     pub priority: u8,
 }
 
-/// What comes back on one submission.
+/// Receivers for the results of one submission.
 #[derive(Debug)]
 pub struct Submitted {
     /// The decision.
     pub verdict: oneshot::Receiver<Verdict>,
-    /// A second attempt, if the first one is late.
+    /// The hedge, if the first attempt is late.
     pub hedge: oneshot::Receiver<Hedge>,
 }
 
-/// To whom a submission's decisions go.
+/// Senders for the results of one submission.
 #[derive(Debug)]
-pub(super) struct Owed {
+pub(super) struct ReplyChannels {
     pub verdict: oneshot::Sender<Verdict>,
     pub hedge: oneshot::Sender<Hedge>,
 }
 
-/// What the decider thread is told or asked.
+/// A message to the decider thread that may be rejected under overload.
 #[derive(Debug)]
 pub(super) enum Message {
     /// Decide on a request.
-    Submit(Box<Work>, Owed),
-    /// Take in news.
+    Submit(Box<Work>, ReplyChannels),
+    /// Update the decider's state.
     Observe(Box<Observation>),
-    /// Tell what peers should know.
+    /// Return the digest to send to peers.
     Digest(oneshot::Sender<Digest>),
-    /// Tell what a starting peer should take over.
+    /// Return the state that a starting peer takes over.
     Warmth(oneshot::Sender<Warmth>),
-    /// Describe the state.
+    /// Return a JSON description of the state.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// The end of a request's stay in the decider.
+/// A message to the decider thread that must not be lost, mostly the end of a request.
 #[derive(Debug)]
-pub(super) enum Ended {
-    /// It left its engine, with a whole answer or not.
+pub(super) enum ControlMessage {
+    /// The request left its engine; the flag says whether its answer is complete.
     Finished(RequestId, bool),
-    /// Its caller left while it was queued.
+    /// The request's caller disconnected while it was queued.
     Cancelled(RequestId),
-    /// News that must not be lost, whatever the load.
-    News(Box<Observation>),
-    /// No request at all: the thread is to stop.
+    /// An observation that must be delivered even under overload.
+    Observe(Box<Observation>),
+    /// Stop the thread.
     Stop,
 }
 
-/// The ring before the decider is full.
+/// The decider's message queue is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Overload;
 
 /// Sends messages to the decider thread.
 #[derive(Debug, Clone)]
 pub struct DeciderHandle {
-    ring: Sender<Message>,
-    ends: Sender<Ended>,
+    queue: Sender<Message>,
+    controls: Sender<ControlMessage>,
 }
 
-/// The decider thread itself, for its owner.
+/// Join handle of the decider thread.
 #[derive(Debug)]
 pub struct DeciderThread {
     join: JoinHandle<()>,
@@ -105,125 +105,132 @@
         if self.join.join().is_err() {
             tracing::error!(
                 event = crate::events::DECIDER_PANICKED.number,
-                "decider panicked"
+                "decider thread panicked"
             );
         }
     }
 }
 
-/// How many ends may wait for each flight: its present one and that of a former attempt.
-const ENDS_PER_FLIGHT: usize = 2;
+/// Control messages that may be queued per request in flight: one for its current attempt and one
+/// for an earlier attempt.
+const CONTROLS_PER_REQUEST: usize = 2;
 
-/// Room for news that must not be lost; settings and fleet change at most some times a second.
-const NEWS: usize = 64;
+/// Extra queue capacity for observations that must not be lost. Settings and fleet change at most a
+/// few times a second.
+const EXTRA_CONTROLS: usize = 64;
 
-/// Starts the thread; engines whose cache must be listed are named on `lists`.
+/// Starts the decider thread. The ids of engines whose cache must be listed are sent on
+/// `list_requests`.
 ///
 /// # Errors
-/// If the operating system gives no thread.
+/// If the operating system cannot create the thread.
 pub fn start(
     decider: Decider,
     clock: Clock,
     bounds: &crate::config::Bounds,
-    lists: mpsc::Sender<UpstreamId>,
+    list_requests: mpsc::Sender<UpstreamId>,
 ) -> io::Result<(DeciderHandle, DeciderThread)> {
-    let (ring, messages) = bounded(bounds.ring);
-    let (ends, ended) = bounded(bounds.flights * ENDS_PER_FLIGHT + NEWS);
-    let mut owner = thread::Owner::new(decider, clock, lists);
-    let rings = thread::Rings { messages, ended };
+    let (queue, messages) = bounded(bounds.ring);
+    let (controls, control_receiver) =
+        bounded(bounds.flights * CONTROLS_PER_REQUEST + EXTRA_CONTROLS);
+    let mut decider_loop = thread::DeciderLoop::new(decider, clock, list_requests);
+    let queues = thread::Queues {
+        messages,
+        controls: control_receiver,
+    };
     let join = std::thread::Builder::new()
         .name("decider".into())
-        .spawn(move || owner.run(&rings))?;
-    Ok((DeciderHandle { ring, ends }, DeciderThread { join }))
+        .spawn(move || decider_loop.run(&queues))?;
+    Ok((DeciderHandle { queue, controls }, DeciderThread { join }))
 }
 
 impl DeciderHandle {
-    /// Submits a request; what is decided comes back.
+    /// Submits a request and returns the receivers for its decisions.
     ///
     /// # Errors
-    /// If the ring is full: nothing of the request was taken in.
+    /// If the queue is full; the decider then keeps nothing of the request.
     pub fn submit(&self, work: Work) -> Result<Submitted, Overload> {
         let (to_verdict, verdict) = oneshot::channel();
         let (to_hedge, hedge) = oneshot::channel();
-        let owed = Owed {
+        let replies = ReplyChannels {
             verdict: to_verdict,
             hedge: to_hedge,
         };
-        let message = Message::Submit(Box::new(work), owed);
-        self.ring.try_send(message).map_err(|_| Overload)?;
+        let message = Message::Submit(Box::new(work), replies);
+        self.queue.try_send(message).map_err(|_| Overload)?;
         Ok(Submitted { verdict, hedge })
     }
 
-    /// Passes on news; under overload it is dropped, for newer news follows.
-    pub fn observe(&self, news: Observation) {
+    /// Sends an observation. It is dropped when the queue is full, because a newer one will follow.
+    pub fn observe(&self, observation: Observation) {
         if self
-            .ring
-            .try_send(Message::Observe(Box::new(news)))
+            .queue
+            .try_send(Message::Observe(Box::new(observation)))
             .is_err()
         {
             tracing::debug!(
                 event = crate::events::RING_FULL.number,
-                "observation dropped"
+                "decider queue is full; observation dropped"
             );
         }
     }
 
-    /// Passes on news that no later news makes up for.
-    pub fn tell(&self, news: Observation) {
-        self.end(Ended::News(Box::new(news)));
+    /// Sends an observation that must not be dropped because no later one supersedes it.
+    pub fn tell(&self, observation: Observation) {
+        self.send_control(ControlMessage::Observe(Box::new(observation)));
     }
 
-    /// Ends a booking.
+    /// Releases the request's booking; `whole` says whether its answer is complete.
     pub fn finished(&self, request: RequestId, whole: bool) {
-        self.end(Ended::Finished(request, whole));
+        self.send_control(ControlMessage::Finished(request, whole));
     }
 
-    /// Withdraws a queued request.
+    /// Removes a queued request.
     pub fn cancelled(&self, request: RequestId) {
-        self.end(Ended::Cancelled(request));
+        self.send_control(ControlMessage::Cancelled(request));
     }
 
-    /// Tells the thread to stop.
+    /// Stops the decider thread.
     pub fn stop(&self) {
-        self.end(Ended::Stop);
+        self.send_control(ControlMessage::Stop);
     }
 
-    /// Asks for the digest for peers.
+    /// Returns the digest to send to peers, or `None` if the thread is overloaded or stopped.
     pub async fn digest(&self) -> Option<Digest> {
         self.ask(Message::Digest).await
     }
 
-    /// Asks for what a starting peer should take over.
+    /// Returns the state that a starting peer takes over, or `None` as for [`Self::digest`].
     pub async fn warmth(&self) -> Option<Warmth> {
         self.ask(Message::Warmth).await
     }
 
-    /// Asks for a description of the state.
+    /// Returns a JSON description of the state, or `None` as for [`Self::digest`].
     pub async fn dump(&self) -> Option<serde_json::Value> {
         self.ask(Message::Dump).await
     }
 
-    /// Messages waiting in the ring.
+    /// Number of messages in the queue.
     pub fn waiting(&self) -> usize {
-        self.ring.len()
+        self.queue.len()
     }
 
     async fn ask<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> Message) -> Option<T> {
         let (to, from) = oneshot::channel();
-        self.ring.try_send(make(to)).ok()?;
+        self.queue.try_send(make(to)).ok()?;
         from.await.ok()
     }
 
-    fn end(&self, ended: Ended) {
-        // A thread that has stopped needs to hear of no end.
-        if let Err(TrySendError::Full(_)) = self.ends.try_send(ended) {
+    fn send_control(&self, message: ControlMessage) {
+        // A stopped thread no longer needs the message, so only a full queue is an error.
+        if let Err(TrySendError::Full(_)) = self.controls.try_send(message) {
             tracing::error!(
                 event = crate::events::END_LOST.number,
-                "end of a request lost"
+                "decider control queue is full; message lost"
             );
         }
     }
 }
 
 pub(super) type Messages = Receiver<Message>;
-pub(super) type Ends = Receiver<Ended>;
+pub(super) type Controls = Receiver<ControlMessage>;
--- a/crates/sesamegap/src/router/deciding/thread.rs
+++ b/crates/sesamegap/src/router/deciding/thread.rs
@@ -1,6 +1,6 @@
-//! The decider thread's loop.
+//! Main loop of the decider thread.
 
-use super::{Ended, Ends, Hedge, Message, Messages, Owed, Verdict};
+use super::{ControlMessage, Controls, Hedge, Message, Messages, ReplyChannels, Verdict};
 use crate::router::clock::Clock;
 use crossbeam_channel::select;
 use rustc_hash::FxHashMap;
@@ -10,71 +10,78 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages handled between two polls, so that a burst is decided on together but soon.
+/// Maximum messages handled between two polls of the decider. Batching lets a burst be decided
+/// together; the limit bounds the delay.
 const BATCH: usize = 64;
 
-/// Longest sleep; queued work is looked at again at least so often.
+/// Maximum sleep between polls, so that queued work is reconsidered at least this often.
 const LONGEST_SLEEP: Duration = Duration::from_millis(100);
 
-/// Shortest sleep while something is due, so that a decider that keeps it due cannot spin.
+/// Minimum sleep, so that a decider whose wake time is always in the past does not busy-loop.
 const SHORTEST_SLEEP: Duration = Duration::from_micros(200);
 
-/// The rings that the thread reads.
+/// Queues read by the decider thread.
 #[derive(Debug)]
-pub(super) struct Rings {
+pub(super) struct Queues {
     pub messages: Messages,
-    pub ended: Ends,
+    pub controls: Controls,
 }
 
-/// Owns the decider and the answers still owed.
+/// State of the decider thread: the decider and the channels of pending submissions.
 #[derive(Debug)]
-pub(super) struct Owner {
+pub(super) struct DeciderLoop {
     decider: Decider,
     clock: Clock,
-    lists: mpsc::Sender<UpstreamId>,
-    owed: FxHashMap<RequestId, Owed>,
+    list_requests: mpsc::Sender<UpstreamId>,
+    pending: FxHashMap<RequestId, ReplyChannels>,
     hedges: FxHashMap<RequestId, oneshot::Sender<Hedge>>,
 }
 
-impl Owner {
-    pub(super) fn new(decider: Decider, clock: Clock, lists: mpsc::Sender<UpstreamId>) -> Self {
+impl DeciderLoop {
+    pub(super) fn new(
+        decider: Decider,
+        clock: Clock,
+        list_requests: mpsc::Sender<UpstreamId>,
+    ) -> Self {
         Self {
             decider,
             clock,
-            lists,
-            owed: FxHashMap::default(),
+            list_requests,
+            pending: FxHashMap::default(),
             hedges: FxHashMap::default(),
         }
     }
 
-    pub(super) fn run(&mut self, rings: &Rings) {
-        while self.round(rings).is_continue() {
-            self.carry_out();
+    pub(super) fn run(&mut self, queues: &Queues) {
+        while self.run_once(queues).is_continue() {
+            self.deliver_decisions();
         }
     }
 
-    fn round(&mut self, rings: &Rings) -> ControlFlow<()> {
+    fn run_once(&mut self, queues: &Queues) -> ControlFlow<()> {
         select! {
-            recv(rings.ended) -> ended => self.end(ended.unwrap_or(Ended::Stop))?,
-            recv(rings.messages) -> message => match message {
-                Ok(message) => self.take(message),
+            recv(queues.controls) -> control => {
+                self.handle_control(control.unwrap_or(ControlMessage::Stop))?;
+            }
+            recv(queues.messages) -> message => match message {
+                Ok(message) => self.handle_message(message),
                 Err(_) => return ControlFlow::Break(()),
             },
-            default(self.sleep()) => {}
+            default(self.sleep_time()) => {}
         }
         for _ in 0..BATCH {
-            while let Ok(ended) = rings.ended.try_recv() {
-                self.end(ended)?;
+            while let Ok(control) = queues.controls.try_recv() {
+                self.handle_control(control)?;
             }
-            let Ok(message) = rings.messages.try_recv() else {
+            let Ok(message) = queues.messages.try_recv() else {
                 break;
             };
-            self.take(message);
+            self.handle_message(message);
         }
         ControlFlow::Continue(())
     }
 
-    fn sleep(&self) -> Duration {
+    fn sleep_time(&self) -> Duration {
         let Some(wake) = self.decider.wake() else {
             return LONGEST_SLEEP;
         };
@@ -82,52 +89,52 @@
         until.clamp(SHORTEST_SLEEP, LONGEST_SLEEP)
     }
 
-    fn end(&mut self, ended: Ended) -> ControlFlow<()> {
+    fn handle_control(&mut self, control: ControlMessage) -> ControlFlow<()> {
         let now = self.clock.now();
-        match ended {
-            Ended::Finished(request, whole) => {
+        match control {
+            ControlMessage::Finished(request, whole) => {
                 self.hedges.remove(&request);
-                let news = Observation::Finished(request, whole);
-                self.decider.observe(news, now);
+                let observation = Observation::Finished(request, whole);
+                self.decider.observe(observation, now);
             }
-            Ended::Cancelled(request) => {
-                self.owed.remove(&request);
+            ControlMessage::Cancelled(request) => {
+                self.pending.remove(&request);
                 self.decider.observe(Observation::Cancelled(request), now);
             }
-            Ended::News(news) => self.decider.observe(*news, now),
-            Ended::Stop => return ControlFlow::Break(()),
+            ControlMessage::Observe(observation) => self.decider.observe(*observation, now),
+            ControlMessage::Stop => return ControlFlow::Break(()),
         }
         ControlFlow::Continue(())
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
         match message {
-            Message::Submit(work, owed) => {
-                // A caller that left before its submission was read must not be decided on.
-                if !owed.verdict.is_closed() {
-                    self.owed.insert(work.request.clone(), owed);
+            Message::Submit(work, replies) => {
+                // Skip the submission if its caller disconnected while it was in the queue.
+                if !replies.verdict.is_closed() {
+                    self.pending.insert(work.request.clone(), replies);
                     self.decider.submit(*work, now);
                 }
             }
-            Message::Observe(news) => self.decider.observe(*news, now),
+            Message::Observe(observation) => self.decider.observe(*observation, now),
             Message::Digest(to) => drop(to.send(self.decider.digest(now))),
             Message::Warmth(to) => drop(to.send(self.decider.warmth(now))),
             Message::Dump(to) => drop(to.send(self.decider.dump(now))),
         }
     }
 
-    fn carry_out(&mut self) {
+    fn deliver_decisions(&mut self) {
         for decision in self.decider.poll(self.clock.now()) {
             match decision {
                 Decision::Send {
                     request,
                     at,
                     priority,
-                } => self.send(request, Verdict::Send(at, priority)),
+                } => self.deliver_placement(request, Verdict::Send(at, priority)),
                 Decision::Refuse { request, refusal } => {
-                    if let Some(owed) = self.owed.remove(&request) {
-                        drop(owed.verdict.send(Verdict::Refuse(refusal)));
+                    if let Some(replies) = self.pending.remove(&request) {
+                        drop(replies.verdict.send(Verdict::Refuse(refusal)));
                     }
                 }
                 Decision::Hedge {
@@ -135,33 +142,34 @@
                     hedge_id: twin,
                     at,
                     priority,
-                } => self.hedge(&request, Hedge { twin, at, priority }),
-                Decision::List { engine } => drop(self.lists.try_send(engine)),
+                } => self.deliver_hedge(&request, Hedge { twin, at, priority }),
+                Decision::List { engine } => drop(self.list_requests.try_send(engine)),
             }
         }
     }
 
-    /// Hands out a booking, or ends it at once when nobody waits for it any longer.
-    fn send(&mut self, request: RequestId, verdict: Verdict) {
-        let owed = self.owed.remove(&request);
-        let taken = owed.is_some_and(|owed| {
-            self.hedges.insert(request.clone(), owed.hedge);
-            owed.verdict.send(verdict).is_ok()
+    /// Delivers a placement, or releases its booking at once if the receiver is gone.
+    fn deliver_placement(&mut self, request: RequestId, verdict: Verdict) {
+        let replies = self.pending.remove(&request);
+        let delivered = replies.is_some_and(|replies| {
+            self.hedges.insert(request.clone(), replies.hedge);
+            replies.verdict.send(verdict).is_ok()
         });
-        if !taken {
+        if !delivered {
             self.hedges.remove(&request);
-            let news = Observation::Finished(request, false);
-            self.decider.observe(news, self.clock.now());
+            let observation = Observation::Finished(request, false);
+            self.decider.observe(observation, self.clock.now());
         }
     }
 
-    /// Hands out a second attempt, or ends it at once when the first one has its token.
-    fn hedge(&mut self, request: &RequestId, hedge: Hedge) {
+    /// Delivers a hedge, or releases its booking at once if the receiver is gone, for example because
+    /// the first attempt already has a token.
+    fn deliver_hedge(&mut self, request: &RequestId, hedge: Hedge) {
         let twin = hedge.twin.clone();
         let to = self.hedges.remove(request);
         if to.is_none_or(|to| to.send(hedge).is_err()) {
-            let news = Observation::Finished(twin, false);
-            self.decider.observe(news, self.clock.now());
+            let observation = Observation::Finished(twin, false);
+            self.decider.observe(observation, self.clock.now());
         }
     }
 }
