--- a/crates/sesamegap/src/router/deciding/mod.rs
+++ b/crates/sesamegap/src/router/deciding/mod.rs
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Hedge {
     /// Id of the second attempt at the engine and in the decider.
-    pub twin: RequestId,
+    pub id: RequestId,
     /// Where to send the second attempt.
     pub at: Placement,
     /// Priority in the engine's batch.
--- a/crates/sesamegap/src/router/deciding/thread.rs
+++ b/crates/sesamegap/src/router/deciding/thread.rs
@@ -139,10 +139,17 @@
                 }
                 Decision::Hedge {
                     request,
-                    hedge_id: twin,
+                    hedge_id,
                     at,
                     priority,
-                } => self.deliver_hedge(&request, Hedge { twin, at, priority }),
+                } => self.deliver_hedge(
+                    &request,
+                    Hedge {
+                        id: hedge_id,
+                        at,
+                        priority,
+                    },
+                ),
                 Decision::List { engine } => drop(self.list_requests.try_send(engine)),
             }
         }
@@ -165,10 +172,10 @@
     /// Delivers a hedge, or releases its booking at once if the receiver is gone, for example because
     /// the first attempt already has a token.
     fn deliver_hedge(&mut self, request: &RequestId, hedge: Hedge) {
-        let twin = hedge.twin.clone();
+        let hedge_id = hedge.id.clone();
         let to = self.hedges.remove(request);
         if to.is_none_or(|to| to.send(hedge).is_err()) {
-            let observation = Observation::Finished(twin, false);
+            let observation = Observation::Finished(hedge_id, false);
             self.decider.observe(observation, self.clock.now());
         }
     }
--- a/crates/sesamegap/src/router/streams/model/race.rs
+++ b/crates/sesamegap/src/router/streams/model/race.rs
@@ -57,12 +57,12 @@
     }
 
     pub(super) fn twin(&self, hedge: Hedge) -> Option<Twin> {
-        let mut booking = Booking::new(&self.core, &hedge.twin, self.attempt);
+        let mut booking = Booking::new(&self.core, &hedge.id, self.attempt);
         let engine = self.core.fleet.engine(&hedge.at.engine)?;
         booking.sent(&engine);
         self.core.telemetry.hedged();
         Some(Twin {
-            id: hedge.twin,
+            id: hedge.id,
             at: hedge.at,
             priority: hedge.priority,
             engine,
