--- a/crates/sesamegap/src/router/deciding/mod.rs
+++ b/crates/sesamegap/src/router/deciding/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Sends an observation that must not be dropped because no later one supersedes it.
-    pub fn tell(&self, observation: Observation) {
+    pub fn observe_reliably(&self, observation: Observation) {
         self.send_control(ControlMessage::Observe(Box::new(observation)));
     }
 
--- a/crates/sesamegap/src/router/fleet/follow.rs
+++ b/crates/sesamegap/src/router/fleet/follow.rs
@@ -70,8 +70,10 @@
     };
     if core.fleet.update(&list) {
         tracing::info!(event = events::LIST_CHANGED.number, "VM list changed");
-        core.decider.tell(Observation::Fleet(core.fleet.engines()));
-        core.decider.tell(Observation::Store(core.fleet.store()));
+        core.decider
+            .observe_reliably(Observation::Fleet(core.fleet.engines()));
+        core.decider
+            .observe_reliably(Observation::Store(core.fleet.store()));
     }
     Ok(())
 }
@@ -180,7 +182,8 @@
     if report.leaving {
         core.fleet.leaving(id, &core.decider);
     } else if core.fleet.staying(id) {
-        core.decider.tell(Observation::Fleet(core.fleet.engines()));
+        core.decider
+            .observe_reliably(Observation::Fleet(core.fleet.engines()));
     }
     core.fleet.reported(id, Some(&report));
     core.decider
--- a/crates/sesamegap/src/router/fleet/mod.rs
+++ b/crates/sesamegap/src/router/fleet/mod.rs
@@ -286,7 +286,7 @@
             %engine,
             "engine is leaving"
         );
-        decider.tell(Observation::Fleet(self.engines()));
+        decider.observe_reliably(Observation::Fleet(self.engines()));
     }
 
     /// Notes that an engine serves again; `true` if it had said that it was leaving.
--- a/crates/sesamegap/src/router/tree/mod.rs
+++ b/crates/sesamegap/src/router/tree/mod.rs
@@ -138,7 +138,7 @@
         let revision = catalogue.revision;
         if revision != self.in_force.load().revision {
             self.decider
-                .tell(Observation::Settings(Arc::clone(&catalogue)));
+                .observe_reliably(Observation::Settings(Arc::clone(&catalogue)));
             self.in_force.store(catalogue);
             tracing::info!(event = events::SETTINGS_IN_FORCE.number, %revision, "settings in force");
         }
