--- a/crates/sesamegap/src/router/deciding/mod.rs
+++ b/crates/sesamegap/src/router/deciding/mod.rs
@@ -211,7 +211,7 @@
     }
 
     /// Number of messages in the queue.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
--- a/crates/sesamegap/src/router/operators.rs
+++ b/crates/sesamegap/src/router/operators.rs
@@ -103,7 +103,7 @@
         "incarnation": core.incarnation,
         "phase": core.phases.now().to_string(),
         "flights": core.flights.len(),
-        "ring": core.decider.waiting(),
+        "ring": core.decider.queue_len(),
         "kept": { "answers": answers, "bytes": bytes },
         "settings": {
             "revision": core.settings().revision,
@@ -138,7 +138,7 @@
     let gauges = Gauges {
         flights: core.flights.len(),
         queued: core.queued.load(Ordering::Relaxed),
-        ring: core.decider.waiting(),
+        ring: core.decider.queue_len(),
         answers,
         bytes,
         peers: core.peers.live(&core.fleet.entries()).len(),
