--- a/crates/sesamegap/src/router/streams/answer.rs
+++ b/crates/sesamegap/src/router/streams/answer.rs
@@ -1,8 +1,8 @@
-//! The answer to one request, as far as it has come.
+//! The answer to one request, as far as it has been received.
 //!
-//! The task that works on the request writes, and any number of callers' connections read, each at
-//! its own pace: the first one, and later those that resume. A reader that is slow or silent costs
-//! no more than the answer itself, which is bounded, and holds up nobody.
+//! The task that works on the request writes it. Any number of caller connections read it, each at
+//! its own pace: the first one and later ones that resume. A slow or idle reader costs no more
+//! memory than the answer itself, which is bounded, and blocks nobody.
 
 use crate::router::callers::ApiError;
 use crate::router::lock;
@@ -14,49 +14,49 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How an answer is laid out for its caller.
+/// Format of an answer for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
-    /// As chat messages.
+    /// Chat messages.
     Chat,
-    /// As plain text.
+    /// Plain text.
     Text,
-    /// As a plain service's whole reply.
+    /// A plain service's complete reply.
     Service,
 }
 
 /// How an answer ended.
 #[derive(Debug, Clone)]
 pub enum End {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
     /// A plain service's reply.
     Reply(Reply),
-    /// No whole answer will come.
+    /// The answer failed and will not be completed.
     Failed(ApiError),
 }
 
-/// What stays the same over an answer's life.
+/// The immutable properties of an answer.
 #[derive(Debug, Clone)]
 pub struct Head {
     /// The request.
     pub request: RequestId,
-    /// The team that asked, which alone may read it.
+    /// The requesting team, the only one that may read the answer.
     pub team: TeamId,
-    /// Layout for the caller.
+    /// Format for the caller.
     pub shape: Shape,
-    /// Model that answers, for model requests.
+    /// The model, for model requests.
     pub model: Option<ModelId>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: Tokens,
-    /// When the request came, in seconds since the Unix epoch.
+    /// Arrival time of the request, in seconds since the Unix epoch.
     pub created: u64,
 }
 
-/// An answer in the making or finished.
+/// A running or finished answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// What stays the same.
+    /// Immutable properties.
     pub head: Head,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
@@ -73,19 +73,19 @@
     readers: usize,
 }
 
-/// The next thing a reader gets.
+/// An item returned to a reader.
 #[derive(Debug)]
 pub enum Item {
-    /// An engine took the request.
+    /// An engine accepted the request.
     Started,
-    /// Tokens that follow on those already read, and the place of the last one.
+    /// The text of the next tokens, and the sequence number of the last one.
     Text(String, u64),
     /// The end.
     End(End),
 }
 
 impl Answer {
-    /// Opens an answer of which nothing has come.
+    /// Creates an empty answer.
     pub fn open(head: Head) -> Arc<Self> {
         Arc::new(Self {
             head,
@@ -94,7 +94,8 @@
         })
     }
 
-    /// Notes that an engine took the request; `true` for the first, whose count counts.
+    /// Records that an engine accepted the request. Returns `true` for the first one, whose count of
+    /// cached tokens is the one kept.
     pub fn started(&self, cached: Tokens) -> bool {
         let first = {
             let mut state = lock(&self.state);
@@ -106,7 +107,7 @@
         first
     }
 
-    /// Adds a token and gives the bytes held so far.
+    /// Appends a token and returns the bytes held so far.
     pub fn push(&self, text: SmolStr) -> usize {
         let bytes = {
             let mut state = lock(&self.state);
@@ -118,7 +119,7 @@
         bytes
     }
 
-    /// Ends the answer; only the first end counts.
+    /// Ends the answer. Calls after the first have no effect.
     pub fn finish(&self, end: End) {
         {
             let mut state = lock(&self.state);
@@ -134,13 +135,13 @@
         self.notify();
     }
 
-    /// Asks the working task to stop, on the caller's wish.
+    /// Tells the task that works on the request to stop because the caller cancelled it.
     pub fn cancel(&self) {
         lock(&self.state).cancelled = true;
         self.notify();
     }
 
-    /// Text so far, with which another engine can go on.
+    /// Text received so far, from which another engine can continue.
     pub fn text(&self) -> String {
         lock(&self.state).tokens.concat()
     }
@@ -160,13 +161,13 @@
         lock(&self.state).ended
     }
 
-    /// Prompt tokens found cached, and tokens answered.
+    /// Returns the numbers of cached prompt tokens and of answer tokens.
     pub fn usage(&self) -> (Tokens, u64) {
         let state = lock(&self.state);
         (state.cached.unwrap_or_default(), state.tokens.len() as u64)
     }
 
-    /// Opens a reader at a place in the answer.
+    /// Opens a reader that starts at token `from`.
     pub fn read(self: &Arc<Self>, from: u64) -> Reader {
         lock(&self.state).readers += 1;
         Reader {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Resolves when the caller cancelled, or nobody has read for `linger`.
+    /// Resolves when the caller has cancelled, or when there has been no reader for `linger`.
     pub async fn abandoned(&self, linger: Duration) {
         let mut rx = self.changed.subscribe();
         loop {
@@ -189,10 +190,10 @@
             if cancelled {
                 return;
             }
-            let alone = tokio::time::sleep(linger);
+            let unread_timeout = tokio::time::sleep(linger);
             tokio::select! {
                 changed = rx.changed() => if changed.is_err() { return },
-                () = alone, if readers == 0 => if lock(&self.state).readers == 0 { return },
+                () = unread_timeout, if readers == 0 => if lock(&self.state).readers == 0 { return },
             }
         }
     }
@@ -202,7 +203,7 @@
     }
 }
 
-/// One connection's place in an answer; dropping it tells that nobody reads there any longer.
+/// One connection's read position in an answer. Dropping it deregisters the reader.
 #[derive(Debug)]
 pub struct Reader {
     answer: Arc<Answer>,
@@ -212,19 +213,19 @@
 }
 
 impl Reader {
-    /// The answer that is read.
+    /// The answer being read.
     pub fn answer(&self) -> &Arc<Answer> {
         &self.answer
     }
 
-    /// Waits for what comes next.
+    /// Waits for the next item.
     pub async fn next(&mut self) -> Item {
         loop {
             self.rx.mark_unchanged();
             if let Some(item) = self.poll() {
                 return item;
             }
-            // The sender lives in the answer, which this reader holds.
+            // This cannot fail: the reader holds the answer, which owns the sender.
             drop(self.rx.changed().await);
         }
     }
--- a/crates/sesamegap/src/router/streams/assembly.rs
+++ b/crates/sesamegap/src/router/streams/assembly.rs
@@ -1,8 +1,8 @@
-//! Puts an answer together from the chunks that an engine sends.
+//! Assembles an answer from the chunks that an engine sends.
 //!
-//! This is a state machine without I/O. Chunks may be doubled, dropped or reordered on the way, and
-//! a stream may be taken up again on another connection or another engine; whatever comes, the
-//! text is passed on once and in order, or the machine says what to ask for again.
+//! This is a state machine without I/O. Chunks may be duplicated, dropped or reordered in transit,
+//! and a stream may be resumed on another connection or another engine. In every case the text is
+//! passed on once and in order, or the state machine reports a gap to resume from.
 
 use sesamegap_wire::engine::Chunk;
 use sesamegap_wire::{Seq, Tokens};
@@ -13,17 +13,17 @@
 pub enum Step {
     /// Nothing new.
     Nothing,
-    /// The engine took the request and found so many tokens cached.
+    /// The engine accepted the request and found this many prompt tokens cached.
     Started(Tokens),
     /// The next token of the answer.
     Text(SmolStr),
-    /// Chunks are missing: the stream must be taken up again from [`Assembly::next`].
+    /// Chunks are missing: the stream must be resumed from [`Assembly::next`].
     Gap,
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
 }
 
-/// How far an answer has come.
+/// Progress of an answer.
 #[derive(Debug, Default)]
 pub struct Assembly {
     next: u64,
@@ -31,17 +31,17 @@
 }
 
 impl Assembly {
-    /// Place of the first token not yet received.
+    /// Sequence number of the first token not yet received.
     pub fn next(&self) -> Seq {
         Seq(self.next)
     }
 
-    /// Whether every token came.
+    /// Whether every token was received.
     pub fn is_whole(&self) -> bool {
         self.whole
     }
 
-    /// Takes in one chunk.
+    /// Processes one chunk.
     pub fn feed(&mut self, chunk: Chunk) -> Step {
         if self.whole {
             return Step::Nothing;
@@ -65,7 +65,8 @@
         Step::Text(text)
     }
 
-    /// Believes an end only if it counts what was received, so that a lost tail is no clean end.
+    /// Accepts an end only if its count matches the tokens received, so that a lost tail is not taken
+    /// for a complete answer.
     fn end(&mut self, count: Seq) -> Step {
         if count.0 != self.next {
             return Step::Gap;
--- a/crates/sesamegap/src/router/streams/booking.rs
+++ b/crates/sesamegap/src/router/streams/booking.rs
@@ -1,8 +1,9 @@
-//! Guards that give back what a request holds.
+//! Drop guards that release what a request holds.
 //!
-//! A task that works on a request can end at any await: its caller leaves, a time limit passes, the
-//! router stops. Whatever it holds in the decider or on an engine is given back by these guards, or
-//! the engine's window would stay booked and the engine would go on computing for nobody.
+//! A task that works on a request can end at any await: its caller disconnects, a time limit
+//! expires or the router stops. These guards then release what the task holds in the decider and
+//! on an engine; otherwise the engine's window would stay booked and the engine would keep
+//! computing an answer that nobody reads.
 
 use crate::router::core::Core;
 use sesamegap_upstream::Engine;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Notes that the decision came.
+    /// Marks the request as decided, so that dropping the guard does not cancel it.
     pub(super) fn decided(mut self) {
         self.decided = true;
     }
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Notes that the engine may be at work from now on.
+    /// Records that the engine may be running the request from now on.
     pub(super) fn sent(&mut self, engine: &Arc<dyn Engine>) {
         self.sent = Some(Arc::clone(engine));
     }
 
-    /// Notes that the engine certainly does not work on it.
+    /// Records that the engine is certainly not running the request.
     pub(super) fn not_run(&mut self) {
         self.sent = None;
     }
 
-    /// Notes that the whole answer came.
+    /// Records that the complete answer was received.
     pub(super) fn whole(&mut self) {
         self.whole = true;
         self.sent = None;
@@ -88,7 +89,7 @@
             return;
         };
         let (request, attempt) = (self.request.clone(), self.attempt);
-        // Without a runtime the process is ending, and the engine notices that by itself.
+        // Without a runtime the process is exiting, which the engine notices by itself.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move { drop(engine.cancel(&request, attempt).await) });
         }
--- a/crates/sesamegap/src/router/streams/kept.rs
+++ b/crates/sesamegap/src/router/streams/kept.rs
@@ -1,8 +1,8 @@
-//! Answers in the making and finished ones, kept for callers whose connection broke.
+//! Running and finished answers, kept for callers whose connection broke.
 //!
-//! A reply can be lost after the work is done; the caller then asks again and must get the answer
-//! rather than a second execution. Kept answers are bounded by time and by bytes: beyond that the
-//! oldest finished one goes first, and asking for it is answered with the truth.
+//! A reply can be lost after the work is done. The caller then asks again and must get the same
+//! answer rather than a second execution. Finished answers are bounded in age and total bytes; the
+//! oldest finished one is evicted first, and is then no longer found.
 
 use super::answer::Answer;
 use crate::router::lock;
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Bytes counted for an answer besides its text, so that empty ones are bounded too.
-const OVERHEAD: usize = 512;
+/// Bytes counted for each answer in addition to its text, so that empty answers are bounded too.
+const ENTRY_OVERHEAD: usize = 512;
 
-/// Answers by request.
+/// Answers by request id.
 #[derive(Debug)]
 pub struct Kept {
-    span: Duration,
-    limit: usize,
+    max_age: Duration,
+    max_bytes: usize,
     inner: Mutex<Inner>,
 }
 
@@ -31,59 +31,59 @@
 }
 
 impl Kept {
-    /// Keeps finished answers for a span of time and up to a number of bytes.
-    pub fn new(span: Duration, limit: usize) -> Self {
+    /// Creates a store that keeps finished answers up to a maximum age and total size in bytes.
+    pub fn new(max_age: Duration, max_bytes: usize) -> Self {
         Self {
-            span,
-            limit,
+            max_age,
+            max_bytes,
             inner: Mutex::default(),
         }
     }
 
-    /// Takes in an answer in the making.
+    /// Adds a running answer.
     pub fn open(&self, answer: Arc<Answer>) {
         let request = answer.head.request.clone();
         lock(&self.inner).answers.insert(request, answer);
     }
 
-    /// Counts an answer as finished, and lets go of what is too old or too much.
+    /// Marks an answer as finished, then evicts answers beyond the limits.
     pub fn close(&self, request: &RequestId) {
         let mut inner = lock(&self.inner);
         if let Some(answer) = inner.answers.get(request) {
-            inner.bytes += answer.bytes() + OVERHEAD;
+            inner.bytes += answer.bytes() + ENTRY_OVERHEAD;
             inner.finished.push_back(request.clone());
         }
-        self.trim(&mut inner);
+        self.evict(&mut inner);
     }
 
-    /// Finds an answer.
+    /// Returns the answer to a request, if it is kept.
     pub fn get(&self, request: &RequestId) -> Option<Arc<Answer>> {
         lock(&self.inner).answers.get(request).cloned()
     }
 
-    /// Lets go of what is too old.
+    /// Evicts answers beyond the limits.
     pub fn sweep(&self) {
-        self.trim(&mut lock(&self.inner));
+        self.evict(&mut lock(&self.inner));
     }
 
-    /// Number of answers, and bytes of the finished ones.
+    /// Returns the number of answers and the bytes of the finished ones.
     pub fn size(&self) -> (usize, usize) {
         let inner = lock(&self.inner);
         (inner.answers.len(), inner.bytes)
     }
 
-    fn trim(&self, inner: &mut Inner) {
+    fn evict(&self, inner: &mut Inner) {
         while let Some(oldest) = inner.finished.front() {
             let answer = inner.answers.get(oldest).cloned();
             let ended = answer.as_ref().and_then(|answer| answer.ended());
-            let old = ended.is_none_or(|at| at.elapsed() > self.span);
-            if !old && inner.bytes <= self.limit {
+            let expired = ended.is_none_or(|at| at.elapsed() > self.max_age);
+            if !expired && inner.bytes <= self.max_bytes {
                 break;
             }
             if let Some(request) = inner.finished.pop_front() {
                 inner.answers.remove(&request);
             }
-            let freed = answer.map_or(0, |answer| answer.bytes() + OVERHEAD);
+            let freed = answer.map_or(0, |answer| answer.bytes() + ENTRY_OVERHEAD);
             inner.bytes = inner.bytes.saturating_sub(freed);
         }
     }
--- a/crates/sesamegap/src/router/streams/mod.rs
+++ b/crates/sesamegap/src/router/streams/mod.rs
@@ -1,10 +1,10 @@
-//! Answers on their way from upstreams to callers.
+//! Answers streamed from upstreams to callers.
 //!
-//! A request that is let in gets an [`Answer`], which is kept under its id, and a task that works
-//! on it: [`model`] asks the decider for an engine, sends the request and puts the stream together
-//! with an [`Assembly`]; [`service`] calls a worker of a plain service. Callers' connections read
-//! the answer at their own pace. The task goes on when a connection breaks, so that the caller can
-//! resume, and stops when nobody has come back for a while.
+//! Each admitted request gets an [`Answer`], which is kept under the request's id, and a task that
+//! fills it. For models, [`model`] asks the decider for an engine, sends the request and assembles
+//! the stream with an [`Assembly`]; for plain services, [`service`] calls a worker. Callers'
+//! connections read the answer at their own pace. The task continues when a connection breaks, so
+//! that the caller can resume, and stops when nobody has reconnected for a while.
 
 pub mod answer;
 pub mod assembly;
--- a/crates/sesamegap/src/router/streams/model/flight.rs
+++ b/crates/sesamegap/src/router/streams/model/driver.rs
@@ -1,6 +1,6 @@
-//! One request's way through its attempts.
+//! Drives one request through its attempts.
 
-use super::opening::{self, Limits, Opened, Unopened};
+use super::opening::{self, OpenError, Opened, Timeouts};
 use super::{ModelJob, lost};
 use crate::events;
 use crate::router::callers::ApiError;
@@ -18,52 +18,52 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Attempts that an upstream refused without running; each costs one round trip only.
-const REFUSED_ATTEMPTS: u32 = 4;
+/// Maximum retries after attempts that an upstream did not run. Each costs only one round trip.
+const MAX_NOT_RUN_RETRIES: u32 = 4;
 
-/// How much longer than the client the stream's reader waits.
-const SILENCE_MARGIN: f64 = 1.25;
+/// Factor by which the stream reader's silence timeout exceeds the client's.
+const SILENCE_FACTOR: f64 = 1.25;
 
-/// How one attempt went.
+/// Outcome of one attempt.
 pub(super) enum Attempt {
     Whole,
     /// The engine certainly did not run it.
     NotRun,
-    /// It may have run; the stream cannot be had any longer.
+    /// The engine may have run it, but the stream can no longer be read.
     Lost,
 }
 
-pub(super) struct Flight {
+pub(super) struct RequestDriver {
     pub(super) core: Arc<Core>,
     pub(super) job: ModelJob,
     pub(super) answer: Arc<Answer>,
     pub(super) assembly: Assembly,
     pub(super) attempt: u32,
     pub(super) barred: Vec<UpstreamId>,
-    /// Id under which the present attempt is known to its engine and the decider.
-    pub(super) on: RequestId,
-    /// Whether any engine may have run it.
-    pub(super) written: bool,
-    /// Whether a second attempt was started beside a first one.
+    /// Id of the current attempt at its engine and in the decider.
+    pub(super) attempt_id: RequestId,
+    /// Whether any engine may have run the request.
+    pub(super) may_have_run: bool,
+    /// Whether a hedge was started.
     pub(super) hedged: bool,
 }
 
-impl Flight {
+impl RequestDriver {
     pub(super) fn new(core: Arc<Core>, job: ModelJob, answer: Arc<Answer>) -> Self {
         Self {
-            on: answer.head.request.clone(),
+            attempt_id: answer.head.request.clone(),
             core,
             job,
             answer,
             assembly: Assembly::default(),
             attempt: 0,
             barred: Vec::new(),
-            written: false,
+            may_have_run: false,
             hedged: false,
         }
     }
 
-    pub(super) async fn drive(&mut self) -> Result<(), ApiError> {
+    pub(super) async fn run(&mut self) -> Result<(), ApiError> {
         let (mut lost_count, mut refused) = (0, 0);
         loop {
             let (mut at, priority, hedge) = self.decide().await?;
@@ -72,9 +72,9 @@
                 Attempt::NotRun => refused += 1,
                 Attempt::Lost => lost_count += 1,
             }
-            let spent = lost_count > self.job.retries || refused > REFUSED_ATTEMPTS;
+            let spent = lost_count > self.job.retries || refused > MAX_NOT_RUN_RETRIES;
             // Once an engine may have run it, a request that is not repeatable is never sent again.
-            if spent || (self.written && !self.job.repeatable) {
+            if spent || (self.may_have_run && !self.job.repeatable) {
                 return Err(lost());
             }
             tracing::debug!(
@@ -107,18 +107,18 @@
             }
             Ok(Verdict::Refuse(refusal)) => {
                 self.core.telemetry.refused(refusal.code);
-                self.note_refused(refusal.code);
+                self.log_refusal(refusal.code);
                 Err(ApiError::refusal(&refusal))
             }
             Err(_) => Err(ApiError::overload("the router is stopping")),
         }
     }
 
-    /// Logs a refusal that ends an answer under way, or that finds no engine at all.
+    /// Logs a refusal that ends a running answer, or whose reason is that there is no engine at all.
     ///
-    /// Refusals of first attempts for lack of room come by the thousand under overload, and are
-    /// counted and not logged.
-    fn note_refused(&self, code: RefusalCode) {
+    /// Refusals of first attempts for lack of capacity occur by the thousand under overload, so they
+    /// are only counted.
+    fn log_refusal(&self, code: RefusalCode) {
         if self.attempt == 0 && code != RefusalCode::NoEngine {
             return;
         }
@@ -139,8 +139,8 @@
     }
 
     pub(super) fn submission(&self) -> Work {
-        // The deadline is for the first token; once that was sent, going on has a fresh one.
-        let fresh = self.assembly.next() > Seq(0);
+        // The deadline is for the first token. Once that was received, a continuation gets a new one.
+        let continuation = self.assembly.next() > Seq(0);
         Work {
             request: self.answer.head.request.clone(),
             team: self.answer.head.team.clone(),
@@ -149,7 +149,7 @@
             version: self.job.version,
             chain: self.job.chain.clone(),
             answer: self.job.answer,
-            arrived: if fresh {
+            arrived: if continuation {
                 self.core.clock.now()
             } else {
                 self.job.arrived
@@ -180,38 +180,42 @@
 
     /// Sends the request to one engine, and to a second one if the first token is late.
     ///
-    /// `at` becomes the engine whose answer is gone on with.
+    /// Sets `at` to the engine whose answer is continued.
     pub(super) async fn attempt(
         &mut self,
         at: &mut Placement,
         priority: u8,
         hedge: oneshot::Receiver<Hedge>,
     ) -> Result<Attempt, ApiError> {
-        self.on = self.answer.head.request.clone();
-        let mut booking = Booking::new(&self.core, &self.on, self.attempt);
+        self.attempt_id = self.answer.head.request.clone();
+        let mut booking = Booking::new(&self.core, &self.attempt_id, self.attempt);
         let Some(mut engine) = self.core.fleet.engine(&at.engine) else {
             return Ok(Attempt::NotRun);
         };
         booking.sent(&engine);
-        let before = std::mem::replace(&mut self.written, true);
-        let dispatch = self.dispatch(&self.on, at, priority);
+        let before = std::mem::replace(&mut self.may_have_run, true);
+        let dispatch = self.dispatch(&self.attempt_id, at, priority);
         let decider = self.core.decider.clone();
-        let first = opening::open(Arc::clone(&engine), dispatch, self.limits(), decider);
-        let (opened, twin) = self.race(first, hedge).await;
-        if let Some(twin) = twin {
+        let first = opening::open(Arc::clone(&engine), dispatch, self.timeouts(), decider);
+        let (opened, hedge_attempt) = self.race(first, hedge).await;
+        if let Some(hedge_attempt) = hedge_attempt {
             // Dropping the late attempt's booking cancels it at its engine.
-            (booking, engine, *at) = (twin.booking, twin.engine, twin.at);
-            self.on = twin.id;
+            (booking, engine, *at) = (
+                hedge_attempt.booking,
+                hedge_attempt.engine,
+                hedge_attempt.at,
+            );
+            self.attempt_id = hedge_attempt.id;
         }
         let (chunks, rest) = match opened {
             Ok(Opened { chunks, rest }) => (chunks, Some(rest)),
-            Err(Unopened::NotRun(error)) => {
-                self.written = before || self.hedged;
+            Err(OpenError::NotRun(error)) => {
+                self.may_have_run = before || self.hedged;
                 booking.not_run();
-                return self.not_run(at, &error);
+                return self.handle_not_run(at, &error);
             }
-            // The engine may have it: a resumption asks without running it again.
-            Err(Unopened::Broken) => (Vec::new(), None),
+            // The engine may have the request; resuming asks for the stream without running it again.
+            Err(OpenError::Broken) => (Vec::new(), None),
         };
         let done = self.follow(&engine, at, chunks, rest).await?;
         if matches!(done, Attempt::Whole) {
@@ -220,21 +224,21 @@
         Ok(done)
     }
 
-    pub(super) fn limits(&self) -> Limits {
-        Limits {
-            taking: self.patience(),
-            silence: self.silence(),
+    pub(super) fn timeouts(&self) -> Timeouts {
+        Timeouts {
+            accept: self.accept_timeout(),
+            silence: self.silence_timeout(),
         }
     }
 
-    /// The client notices silence itself and gives up its pooled connections then; this limit is
-    /// behind it, for clients that do not.
-    pub(super) fn silence(&self) -> Duration {
-        self.core.config.timing.silence.mul_f64(SILENCE_MARGIN)
+    /// The client detects silence itself and then closes its pooled connections. This longer timeout
+    /// is a fallback for clients that do not.
+    pub(super) fn silence_timeout(&self) -> Duration {
+        self.core.config.timing.silence.mul_f64(SILENCE_FACTOR)
     }
 
-    /// Learns from a refusal that says the request was not run.
-    pub(super) fn not_run(
+    /// Handles an error which says that the request was not run.
+    pub(super) fn handle_not_run(
         &self,
         at: &Placement,
         error: &UpstreamError,
@@ -246,12 +250,12 @@
             }
             Fault::Leaving => self.core.fleet.leaving(&at.engine, &self.core.decider),
             Fault::Busy => {}
-            _ => self.failed(&at.engine),
+            _ => self.report_engine_failed(&at.engine),
         }
         Ok(Attempt::NotRun)
     }
 
-    pub(super) fn failed(&self, engine: &UpstreamId) {
+    pub(super) fn report_engine_failed(&self, engine: &UpstreamId) {
         tracing::info!(
             event = events::ENGINE_FAILED.number,
             request = %self.answer.head.request,
@@ -264,8 +268,8 @@
             .observe(Observation::EngineFailed(engine.clone()));
     }
 
-    /// Time for an upstream to take a request or a resumption.
-    pub(super) fn patience(&self) -> Duration {
+    /// Timeout for an upstream to accept a request or a resumption.
+    pub(super) fn accept_timeout(&self) -> Duration {
         self.core.config.timing.connect + self.core.config.timing.silence
     }
 }
--- a/crates/sesamegap/src/router/streams/model/follow.rs
+++ b/crates/sesamegap/src/router/streams/model/follow.rs
@@ -1,6 +1,6 @@
-//! Reads an engine's stream into the answer, on as many connections as it takes.
+//! Reads an engine's stream into the answer, reconnecting as needed.
 
-use super::flight::{Attempt, Flight};
+use super::driver::{Attempt, RequestDriver};
 use crate::events;
 use crate::router::callers::ApiError;
 use crate::router::streams::assembly::Step;
@@ -15,18 +15,18 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// New connections tried in a row without a new token before an attempt is given up.
-const RESUMES: u32 = 2;
+/// Maximum consecutive reconnections without a new token before an attempt is given up.
+const MAX_RESUMES: u32 = 2;
 
-/// What a chunk means for the connection it came on.
-pub(super) enum Taken {
-    On,
+/// Whether to continue reading a connection after a chunk.
+pub(super) enum ReadStatus {
+    Continue,
     Gap,
     Whole,
 }
 
-impl Flight {
-    /// Reads the stream to its end, on as many connections as it takes.
+impl RequestDriver {
+    /// Reads the stream to its end, reconnecting as needed.
     pub(super) async fn follow(
         &mut self,
         engine: &Arc<dyn Engine>,
@@ -35,10 +35,10 @@
         mut stream: Option<ChunkStream>,
     ) -> Result<Attempt, ApiError> {
         for chunk in chunks {
-            match self.take(chunk)? {
-                Taken::On => {}
-                Taken::Gap => stream = None,
-                Taken::Whole => return Ok(Attempt::Whole),
+            match self.process_chunk(chunk)? {
+                ReadStatus::Continue => {}
+                ReadStatus::Gap => stream = None,
+                ReadStatus::Whole => return Ok(Attempt::Whole),
             }
         }
         let mut tries = 0;
@@ -53,7 +53,7 @@
                 tries = 0;
             }
             tries += 1;
-            if tries > RESUMES {
+            if tries > MAX_RESUMES {
                 break;
             }
             match self.resume(engine).await {
@@ -62,7 +62,7 @@
                 Err(_) => {}
             }
         }
-        self.failed(&at.engine);
+        self.report_engine_failed(&at.engine);
         Ok(Attempt::Lost)
     }
 
@@ -70,51 +70,56 @@
         &self,
         engine: &Arc<dyn Engine>,
     ) -> Result<ChunkStream, Option<Fault>> {
-        let resumed = engine.resume(&self.on, self.attempt, self.assembly.next());
-        match timeout(self.patience(), resumed).await {
+        let resumed = engine.resume(&self.attempt_id, self.attempt, self.assembly.next());
+        match timeout(self.accept_timeout(), resumed).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) => Err(Some(error.fault())),
             Err(_) => Err(None),
         }
     }
 
-    /// Reads one connection; `true` if the answer is whole, else the connection is of no more use.
+    /// Reads one connection. Returns `true` if the answer is complete and `false` if the connection
+    /// is no longer usable.
     pub(super) async fn read(&mut self, mut stream: ChunkStream) -> Result<bool, ApiError> {
-        let silence = self.silence();
+        let silence = self.silence_timeout();
         loop {
             let chunk = match timeout(silence, stream.next()).await {
                 Ok(Some(Ok(chunk))) => chunk,
                 Ok(Some(Err(error))) => {
-                    self.note_broken(&error);
+                    self.log_misdirected(&error);
                     return Ok(false);
                 }
                 Ok(None) => return Ok(false),
-                // Something between the two ends lost the connection: nothing would ever come.
+                // An intermediary may have dropped the connection without closing it, so that no further
+                // data would ever arrive.
                 Err(_) => {
-                    self.note(events::ENGINE_MUTE, "stream silent");
+                    self.log_stream_event(
+                        events::ENGINE_MUTE,
+                        "no data on the engine stream within the silence timeout",
+                    );
                     return Ok(false);
                 }
             };
-            match self.take(chunk)? {
-                Taken::On => {}
-                Taken::Gap => return Ok(false),
-                Taken::Whole => return Ok(true),
+            match self.process_chunk(chunk)? {
+                ReadStatus::Continue => {}
+                ReadStatus::Gap => return Ok(false),
+                ReadStatus::Whole => return Ok(true),
             }
         }
     }
 
-    pub(super) fn take(&mut self, chunk: Chunk) -> Result<Taken, ApiError> {
+    pub(super) fn process_chunk(&mut self, chunk: Chunk) -> Result<ReadStatus, ApiError> {
         match self.assembly.feed(chunk) {
             Step::Nothing => {}
             Step::Started(cached) => self.started(cached),
             Step::Text(text) => self.text(text)?,
             Step::Gap => {
-                self.note(events::STREAM_GAP, "chunks missing");
-                return Ok(Taken::Gap);
+                self.log_stream_event(events::STREAM_GAP, "engine stream is missing chunks");
+                return Ok(ReadStatus::Gap);
             }
-            Step::Whole => return Ok(Taken::Whole),
+            Step::Whole => return Ok(ReadStatus::Whole),
         }
-        Ok(Taken::On)
+        Ok(ReadStatus::Continue)
     }
 
     pub(super) fn started(&self, cached: Tokens) {
@@ -125,7 +130,7 @@
 
     pub(super) fn text(&self, text: SmolStr) -> Result<(), ApiError> {
         if self.assembly.next() == Seq(1) {
-            let request = self.on.clone();
+            let request = self.attempt_id.clone();
             self.core.decider.observe(Observation::FirstToken(request));
             let took = self.core.clock.now().since(self.job.arrived);
             self.core.telemetry.first(&self.job.class, took);
@@ -139,13 +144,16 @@
         Ok(())
     }
 
-    pub(super) fn note_broken(&self, error: &UpstreamError) {
+    pub(super) fn log_misdirected(&self, error: &UpstreamError) {
         if error.fault() == Fault::Crossed {
-            self.note(events::STREAM_CROSSED, "answer to another request");
+            self.log_stream_event(
+                events::STREAM_CROSSED,
+                "engine stream carries the answer to another request",
+            );
         }
     }
 
-    pub(super) fn note(&self, event: events::Event, what: &str) {
+    pub(super) fn log_stream_event(&self, event: events::Event, what: &str) {
         let request = &self.answer.head.request;
         tracing::info!(event = event.number, %request, next = %self.assembly.next(), "{what}");
     }
--- a/crates/sesamegap/src/router/streams/model/race.rs
+++ b/crates/sesamegap/src/router/streams/model/hedge.rs
@@ -1,7 +1,7 @@
-//! Two attempts at one request beside each other.
+//! Hedging: a second attempt at a request, concurrent with a late first one.
 
-use super::flight::Flight;
-use super::opening::{self, Opened, Unopened};
+use super::driver::RequestDriver;
+use super::opening::{self, OpenError, Opened};
 use crate::router::deciding::Hedge;
 use crate::router::streams::booking::Booking;
 use sesamegap_policy::Placement;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// A second attempt beside a late first one.
-pub(super) struct Twin {
+/// A second attempt, concurrent with a late first one.
+pub(super) struct HedgeAttempt {
     pub(super) id: RequestId,
     pub(super) at: Placement,
     pub(super) priority: u8,
@@ -19,49 +19,55 @@
     pub(super) booking: Booking,
 }
 
-impl Flight {
-    /// Waits for the first token of the first attempt, or of a second one that starts meanwhile.
+impl RequestDriver {
+    /// Waits for the first token of the first attempt or of a hedge that starts meanwhile.
     ///
-    /// A second attempt may have run, also if it gave nothing and the first one certainly did not.
+    /// `hedged` records that a hedge was started: it may have run even if it produced nothing and the
+    /// first attempt certainly did not run.
     pub(super) async fn race(
         &mut self,
-        first: impl Future<Output = Result<Opened, Unopened>>,
+        first: impl Future<Output = Result<Opened, OpenError>>,
         hedge: oneshot::Receiver<Hedge>,
-    ) -> (Result<Opened, Unopened>, Option<Twin>) {
+    ) -> (Result<Opened, OpenError>, Option<HedgeAttempt>) {
         tokio::pin!(first);
         let hedge = tokio::select! {
             opened = &mut first => return (opened, None),
             Ok(hedge) = hedge => hedge,
         };
-        let Some(twin) = self.twin(hedge) else {
+        let Some(hedge_attempt) = self.start_hedge(hedge) else {
             return (first.await, None);
         };
-        let dispatch = self.dispatch(&twin.id, &twin.at, twin.priority);
+        let dispatch = self.dispatch(&hedge_attempt.id, &hedge_attempt.at, hedge_attempt.priority);
         self.hedged = true;
         let decider = self.core.decider.clone();
-        let second = opening::open(Arc::clone(&twin.engine), dispatch, self.limits(), decider);
+        let second = opening::open(
+            Arc::clone(&hedge_attempt.engine),
+            dispatch,
+            self.timeouts(),
+            decider,
+        );
         tokio::pin!(second);
         tokio::select! {
             opened = &mut first => match opened {
                 Ok(opened) => (Ok(opened), None),
                 Err(failed) => match second.await {
-                    Ok(opened) => (Ok(opened), Some(twin)),
+                    Ok(opened) => (Ok(opened), Some(hedge_attempt)),
                     Err(_) => (Err(failed), None),
                 },
             },
             opened = &mut second => match opened {
-                Ok(opened) => (Ok(opened), Some(twin)),
+                Ok(opened) => (Ok(opened), Some(hedge_attempt)),
                 Err(_) => (first.await, None),
             },
         }
     }
 
-    pub(super) fn twin(&self, hedge: Hedge) -> Option<Twin> {
+    pub(super) fn start_hedge(&self, hedge: Hedge) -> Option<HedgeAttempt> {
         let mut booking = Booking::new(&self.core, &hedge.id, self.attempt);
         let engine = self.core.fleet.engine(&hedge.at.engine)?;
         booking.sent(&engine);
         self.core.telemetry.hedged();
-        Some(Twin {
+        Some(HedgeAttempt {
             id: hedge.id,
             at: hedge.at,
             priority: hedge.priority,
--- a/crates/sesamegap/src/router/streams/model/mod.rs
+++ b/crates/sesamegap/src/router/streams/model/mod.rs
@@ -1,23 +1,23 @@
-//! Works on one model request until its answer has an end.
+//! Runs one model request until its answer ends.
 //!
-//! Each attempt asks the decider for an engine and sends the request ([`flight`]); if its first
-//! token is late, a second attempt may start beside it ([`race`]). Then the stream is read
-//! ([`follow`]). One that breaks, goes silent or misses chunks is taken up again on a new
-//! connection to the same engine, which runs nothing twice. Only if that fails does a repeatable
-//! request go to another engine, with the text already sent as prefix; one that is not repeatable
-//! ends with an error that says nobody can tell whether it ran, unless the engine itself said that
-//! it did not.
+//! Each attempt asks the decider for an engine and sends the request ([`driver`]). If the first
+//! token is late, a second attempt may start concurrently ([`hedge`]). Then the stream is read
+//! ([`follow`]). A stream that breaks, goes silent or misses chunks is resumed on a new connection
+//! to the same engine, which does not run the request again. Only if that fails is a repeatable
+//! request sent to another engine, with the text already received as prefix. A request that is not
+//! repeatable ends with an error saying that it is unknown whether it ran, unless the engine
+//! itself said that it did not.
 
-mod flight;
+mod driver;
 mod follow;
+mod hedge;
 mod opening;
-mod race;
 
 use super::answer::{Answer, End};
 use crate::events;
 use crate::router::callers::ApiError;
 use crate::router::core::Core;
-use flight::Flight;
+use driver::RequestDriver;
 use poem::http::StatusCode;
 use sesamegap_upstream::Ran;
 use sesamegap_wire::{Chain, ClassId, ModelId, Moment, Tokens, WeightsVersion};
@@ -25,53 +25,53 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A model request that was let in.
+/// An admitted model request.
 #[derive(Debug, Clone)]
 pub struct ModelJob {
     /// Traffic class.
     pub class: ClassId,
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelId,
-    /// Weights to answer with.
+    /// Version of the weights to answer with.
     pub version: WeightsVersion,
-    /// The prompt's blocks.
+    /// The prompt's chain of blocks.
     pub chain: Chain,
     /// The prompt.
     pub prompt: String,
-    /// Tokens to answer at most.
+    /// Maximum tokens in the answer.
     pub answer: Tokens,
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeatable: bool,
     /// Idempotency key, passed on to the engine.
     pub key: Option<SmolStr>,
-    /// When it came.
+    /// Arrival time.
     pub arrived: Moment,
-    /// Attempts after the first that may have run.
+    /// Maximum further attempts after one that may have run.
     pub retries: u32,
-    /// Time from arrival to the end of the answer.
+    /// Time limit from arrival to the end of the answer.
     pub total: Duration,
 }
 
-/// Works on a request and ends its answer in every case.
+/// Runs a request and always ends its answer.
 pub async fn work(core: Arc<Core>, job: ModelJob, answer: Arc<Answer>) {
-    let left = core.clock.until(job.arrived + job.total);
+    let remaining = core.clock.until(job.arrived + job.total);
     let linger = if job.repeatable {
         core.linger()
     } else {
         job.total
     };
-    let mut flight = Flight::new(Arc::clone(&core), job, Arc::clone(&answer));
+    let mut driver = RequestDriver::new(Arc::clone(&core), job, Arc::clone(&answer));
     let end = tokio::select! {
-        end = flight.drive() => end,
-        () = tokio::time::sleep(left) => Err(flight_late()),
+        end = driver.run() => end,
+        () = tokio::time::sleep(remaining) => Err(total_time_exceeded()),
         () = answer.abandoned(linger) => Err(cancelled()),
     };
-    let written = flight.written;
-    drop(flight);
+    let may_have_run = driver.may_have_run;
+    drop(driver);
     match end {
         Ok(()) => answer.finish(End::Whole),
         Err(error) => {
-            let ran = if written { Ran::Unknown } else { Ran::No };
+            let ran = if may_have_run { Ran::Unknown } else { Ran::No };
             tracing::info!(
                 event = events::STREAM_FAILED.number,
                 request = %answer.head.request,
@@ -84,11 +84,11 @@
     core.telemetry.ended(&answer);
 }
 
-fn flight_late() -> ApiError {
+fn total_time_exceeded() -> ApiError {
     ApiError::unknown(
         StatusCode::GATEWAY_TIMEOUT,
         "too_late",
-        "the answer was not whole within the class's total time",
+        "the answer was not complete within the class's total time",
     )
 }
 
@@ -105,6 +105,6 @@
     ApiError::unknown(
         StatusCode::BAD_GATEWAY,
         "upstream_lost",
-        "the engine was lost and the request must not run twice, or its retries are spent",
+        "the engine was lost, and the request must not run twice or has no retries remaining",
     )
 }
--- a/crates/sesamegap/src/router/streams/model/opening.rs
+++ b/crates/sesamegap/src/router/streams/model/opening.rs
@@ -1,7 +1,7 @@
 //! Reads an engine's stream up to its first token.
 //!
-//! Until then nothing has reached the caller, so two attempts at one request may run beside each
-//! other, and the one that gives a token first is gone on with.
+//! Nothing has been sent to the caller before then, so two attempts at one request may run
+//! concurrently, and the one that produces a token first is continued.
 
 use crate::router::deciding::DeciderHandle;
 use futures_util::StreamExt;
@@ -12,52 +12,52 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A stream that has begun.
+/// A stream that has produced its first token or its end.
 pub(super) struct Opened {
-    /// What came before and with the first token.
+    /// Chunks up to and including that one.
     pub chunks: Vec<Chunk>,
-    /// What is still to come.
+    /// The rest of the stream.
     pub rest: ChunkStream,
 }
 
-/// Why no stream has begun.
+/// Why a stream could not be opened.
 #[derive(Debug)]
-pub(super) enum Unopened {
+pub(super) enum OpenError {
     /// The engine certainly did not run the request.
     NotRun(UpstreamError),
-    /// It may have: the stream can be asked for again.
+    /// The engine may have run it; the stream can be resumed.
     Broken,
 }
 
-/// Limits on waiting.
+/// Timeouts for reading a stream.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Limits {
-    /// For the engine to take the request.
-    pub taking: Duration,
+pub(super) struct Timeouts {
+    /// Until the engine accepts the request.
+    pub accept: Duration,
     /// Between two chunks.
     pub silence: Duration,
 }
 
 /// Sends a request and reads up to the first token.
 ///
-/// The decider hears of the start as it comes, not with the first token: it learns the engine's
-/// speed from the time between the two.
+/// The decider is told of the start when it arrives rather than with the first token, because it
+/// estimates the engine's speed from the time between the two.
 pub(super) async fn open(
     engine: Arc<dyn Engine>,
     dispatch: Dispatch,
-    limits: Limits,
+    timeouts: Timeouts,
     decider: DeciderHandle,
-) -> Result<Opened, Unopened> {
+) -> Result<Opened, OpenError> {
     let request = dispatch.request.clone();
-    let mut rest = match timeout(limits.taking, engine.generate(dispatch)).await {
+    let mut rest = match timeout(timeouts.accept, engine.generate(dispatch)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) if error.ran() == Ran::No => return Err(Unopened::NotRun(error)),
-        Ok(Err(_)) | Err(_) => return Err(Unopened::Broken),
+        Ok(Err(error)) if error.ran() == Ran::No => return Err(OpenError::NotRun(error)),
+        Ok(Err(_)) | Err(_) => return Err(OpenError::Broken),
     };
     let mut chunks = Vec::new();
     loop {
-        let Ok(Some(Ok(chunk))) = timeout(limits.silence, rest.next()).await else {
-            return Err(Unopened::Broken);
+        let Ok(Some(Ok(chunk))) = timeout(timeouts.silence, rest.next()).await else {
+            return Err(OpenError::Broken);
         };
         if let Chunk::Start { cached } = &chunk {
             decider.observe(Observation::Started(request.clone(), *cached));
--- a/crates/sesamegap/src/router/streams/service.rs
+++ b/crates/sesamegap/src/router/streams/service.rs
@@ -1,8 +1,8 @@
-//! Works on one call to a plain service.
+//! Runs one call to a plain service.
 //!
-//! Workers are told apart by the calls this router has in flight to each; the least busy one is
-//! asked. A call that certainly did not run is tried at another worker; one that may have run only
-//! if it is repeatable.
+//! The call goes to the worker with the fewest calls in flight from this router. A call that
+//! certainly did not run is retried at another worker; one that may have run is retried only if it
+//! is repeatable.
 
 use super::answer::{Answer, End};
 use crate::router::callers::ApiError;
@@ -16,31 +16,31 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Workers tried for one call, so that a failing service is not asked without bound.
-const TRIES: usize = 3;
+/// Maximum workers tried for one call, so that retries to a failing service are bounded.
+const MAX_WORKERS_TRIED: usize = 3;
 
-/// A call that was let in.
+/// An admitted call.
 #[derive(Debug)]
 pub struct ServiceJob {
     /// The service.
     pub service: ServiceId,
-    /// Calls in flight to one worker.
+    /// Maximum calls in flight to one worker.
     pub window: u32,
-    /// Whether it may run twice.
+    /// Whether the call may run twice.
     pub repeatable: bool,
     /// The call itself.
     pub call: Call,
 }
 
-/// Works on a call and ends its answer in every case.
+/// Runs a call and always ends its answer.
 pub async fn work(core: Arc<Core>, job: ServiceJob, answer: Arc<Answer>) {
     let mut attempts = Attempts::new(&core, &job);
     let limit = job.call.timeout;
-    let end = match timeout(limit, attempts.drive()).await {
+    let end = match timeout(limit, attempts.run()).await {
         Ok(end) => end,
-        Err(_) => Err(late()),
+        Err(_) => Err(timed_out()),
     };
-    let ran = if attempts.written {
+    let ran = if attempts.may_have_run {
         Ran::Unknown
     } else {
         Ran::No
@@ -53,11 +53,11 @@
     answer.finish(end);
 }
 
-fn late() -> ApiError {
+fn timed_out() -> ApiError {
     ApiError::unknown(
         StatusCode::GATEWAY_TIMEOUT,
         "too_late",
-        "the service did not reply within its time",
+        "the service did not reply within its time limit",
     )
 }
 
@@ -65,7 +65,7 @@
     core: &'a Arc<Core>,
     job: &'a ServiceJob,
     tried: Vec<UpstreamId>,
-    written: bool,
+    may_have_run: bool,
 }
 
 impl<'a> Attempts<'a> {
@@ -74,25 +74,25 @@
             core,
             job,
             tried: Vec::new(),
-            written: false,
+            may_have_run: false,
         }
     }
 
-    async fn drive(&mut self) -> Result<Reply, ApiError> {
+    async fn run(&mut self) -> Result<Reply, ApiError> {
         loop {
             let Some(slot) = self.pick() else {
-                return Err(self.none());
+                return Err(self.no_worker());
             };
             self.tried.push(slot.id().clone());
             match self.call(&slot).await {
                 Ok(reply) => return Ok(reply),
-                Err(error) => self.judge(&error)?,
+                Err(error) => self.check_retryable(&error)?,
             }
         }
     }
 
     fn pick(&self) -> Option<WorkerSlot> {
-        if self.tried.len() >= TRIES {
+        if self.tried.len() >= MAX_WORKERS_TRIED {
             return None;
         }
         let service = &self.job.service;
@@ -102,22 +102,22 @@
     }
 
     async fn call(&mut self, slot: &WorkerSlot) -> Result<Reply, UpstreamError> {
-        let before = std::mem::replace(&mut self.written, true);
+        let before = std::mem::replace(&mut self.may_have_run, true);
         let called = slot.client().call(self.job.call.clone()).await;
         if let Err(error) = &called
             && error.ran() == Ran::No
         {
-            self.written = before;
+            self.may_have_run = before;
         }
         called
     }
 
-    /// Says whether another worker may be asked.
-    fn judge(&self, error: &UpstreamError) -> Result<(), ApiError> {
+    /// Returns an error if the call must not be retried at another worker.
+    fn check_retryable(&self, error: &UpstreamError) -> Result<(), ApiError> {
         if error.fault() == Fault::Refused {
             return Err(ApiError::bad("upstream_refused", error.to_string()));
         }
-        if self.written && !self.job.repeatable {
+        if self.may_have_run && !self.job.repeatable {
             let status = StatusCode::BAD_GATEWAY;
             return Err(ApiError::unknown(
                 status,
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    fn none(&self) -> ApiError {
+    fn no_worker(&self) -> ApiError {
         let message = format!("no worker of `{}` could take the call", self.job.service);
         ApiError::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_worker", message)
             .after(Duration::from_secs(1))
