--- a/crates/sesamegap/src/router/deciding/thread.rs
+++ b/crates/sesamegap/src/router/deciding/thread.rs
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Delivers a hedge, or releases its booking at once if the receiver is gone, for example because
-    /// the first attempt already has a token.
+    /// Delivers a hedge, or releases its booking at once if the receiver is gone, for example
+    /// because the first attempt already has a token.
     fn deliver_hedge(&mut self, request: &RequestId, hedge: Hedge) {
         let hedge_id = hedge.id.clone();
         let to = self.hedges.remove(request);
--- a/crates/sesamegap/src/router/streams/answer.rs
+++ b/crates/sesamegap/src/router/streams/answer.rs
@@ -94,8 +94,8 @@
         })
     }
 
-    /// Records that an engine accepted the request. Returns `true` for the first one, whose count of
-    /// cached tokens is the one kept.
+    /// Records that an engine accepted the request. Returns `true` for the first one, whose count
+    /// of cached tokens is the one kept.
     pub fn started(&self, cached: Tokens) -> bool {
         let first = {
             let mut state = lock(&self.state);
--- a/crates/sesamegap/src/router/streams/assembly.rs
+++ b/crates/sesamegap/src/router/streams/assembly.rs
@@ -65,8 +65,8 @@
         Step::Text(text)
     }
 
-    /// Accepts an end only if its count matches the tokens received, so that a lost tail is not taken
-    /// for a complete answer.
+    /// Accepts an end only if its count matches the tokens received, so that a lost tail is not
+    /// taken for a complete answer.
     fn end(&mut self, count: Seq) -> Step {
         if count.0 != self.next {
             return Step::Gap;
--- a/crates/sesamegap/src/router/streams/model/driver.rs
+++ b/crates/sesamegap/src/router/streams/model/driver.rs
@@ -114,10 +114,11 @@
         }
     }
 
-    /// Logs a refusal that ends a running answer, or whose reason is that there is no engine at all.
+    /// Logs a refusal that ends a running answer, or whose reason is that there is no engine at
+    /// all.
     ///
-    /// Refusals of first attempts for lack of capacity occur by the thousand under overload, so they
-    /// are only counted.
+    /// Refusals of first attempts for lack of capacity occur by the thousand under overload, so
+    /// they are only counted.
     fn log_refusal(&self, code: RefusalCode) {
         if self.attempt == 0 && code != RefusalCode::NoEngine {
             return;
@@ -139,7 +140,8 @@
     }
 
     pub(super) fn submission(&self) -> Work {
-        // The deadline is for the first token. Once that was received, a continuation gets a new one.
+        // The deadline is for the first token. Once that was received, a continuation gets a new
+        // one.
         let continuation = self.assembly.next() > Seq(0);
         Work {
             request: self.answer.head.request.clone(),
@@ -214,7 +216,8 @@
                 booking.not_run();
                 return self.handle_not_run(at, &error);
             }
-            // The engine may have the request; resuming asks for the stream without running it again.
+            // The engine may have the request; resuming asks for the stream without running it
+            // again.
             Err(OpenError::Broken) => (Vec::new(), None),
         };
         let done = self.follow(&engine, at, chunks, rest).await?;
@@ -231,8 +234,8 @@
         }
     }
 
-    /// The client detects silence itself and then closes its pooled connections. This longer timeout
-    /// is a fallback for clients that do not.
+    /// The client detects silence itself and then closes its pooled connections. This longer
+    /// timeout is a fallback for clients that do not.
     pub(super) fn silence_timeout(&self) -> Duration {
         self.core.config.timing.silence.mul_f64(SILENCE_FACTOR)
     }
--- a/crates/sesamegap/src/router/streams/model/follow.rs
+++ b/crates/sesamegap/src/router/streams/model/follow.rs
@@ -90,8 +90,8 @@
                     return Ok(false);
                 }
                 Ok(None) => return Ok(false),
-                // An intermediary may have dropped the connection without closing it, so that no further
-                // data would ever arrive.
+                // An intermediary may have dropped the connection without closing it, so that no
+                // further data would ever arrive.
                 Err(_) => {
                     self.log_stream_event(
                         events::ENGINE_MUTE,
--- a/crates/sesamegap/src/router/streams/model/hedge.rs
+++ b/crates/sesamegap/src/router/streams/model/hedge.rs
@@ -22,8 +22,8 @@
 impl RequestDriver {
     /// Waits for the first token of the first attempt or of a hedge that starts meanwhile.
     ///
-    /// `hedged` records that a hedge was started: it may have run even if it produced nothing and the
-    /// first attempt certainly did not run.
+    /// `hedged` records that a hedge was started: it may have run even if it produced nothing and
+    /// the first attempt certainly did not run.
     pub(super) async fn race(
         &mut self,
         first: impl Future<Output = Result<Opened, OpenError>>,
