--- a/crates/sesamegap/src/router/streams/answer.rs
+++ b/crates/sesamegap/src/router/streams/answer.rs
@@ -190,10 +190,10 @@
             if cancelled {
                 return;
             }
-            let unread_timeout = tokio::time::sleep(linger);
+            let idle = tokio::time::sleep(linger);
             tokio::select! {
                 changed = rx.changed() => if changed.is_err() { return },
-                () = unread_timeout, if readers == 0 => if lock(&self.state).readers == 0 { return },
+                () = idle, if readers == 0 => if lock(&self.state).readers == 0 { return },
             }
         }
     }
--- a/crates/sesamegap/src/router/streams/model/follow.rs
+++ b/crates/sesamegap/src/router/streams/model/follow.rs
@@ -1,6 +1,6 @@
 //! Reads an engine's stream into the answer, reconnecting as needed.
 
-use super::driver::{Attempt, RequestDriver};
+use super::flight::{Attempt, RequestDriver};
 use crate::events;
 use crate::router::callers::ApiError;
 use crate::router::streams::assembly::Step;
--- a/crates/sesamegap/src/router/streams/model/hedge.rs
+++ b/crates/sesamegap/src/router/streams/model/hedge.rs
@@ -1,6 +1,6 @@
 //! Hedging: a second attempt at a request, concurrent with a late first one.
 
-use super::driver::RequestDriver;
+use super::flight::RequestDriver;
 use super::opening::{self, OpenError, Opened};
 use crate::router::deciding::Hedge;
 use crate::router::streams::booking::Booking;
--- a/crates/sesamegap/src/router/streams/model/mod.rs
+++ b/crates/sesamegap/src/router/streams/model/mod.rs
@@ -1,6 +1,6 @@
 //! Runs one model request until its answer ends.
 //!
-//! Each attempt asks the decider for an engine and sends the request ([`driver`]). If the first
+//! Each attempt asks the decider for an engine and sends the request ([`flight`]). If the first
 //! token is late, a second attempt may start concurrently ([`hedge`]). Then the stream is read
 //! ([`follow`]). A stream that breaks, goes silent or misses chunks is resumed on a new connection
 //! to the same engine, which does not run the request again. Only if that fails is a repeatable
@@ -8,7 +8,7 @@
 //! repeatable ends with an error saying that it is unknown whether it ran, unless the engine
 //! itself said that it did not.
 
-mod driver;
+mod flight;
 mod follow;
 mod hedge;
 mod opening;
@@ -17,7 +17,7 @@
 use crate::events;
 use crate::router::callers::ApiError;
 use crate::router::core::Core;
-use driver::RequestDriver;
+use flight::RequestDriver;
 use poem::http::StatusCode;
 use sesamegap_upstream::Ran;
 use sesamegap_wire::{Chain, ClassId, ModelId, Moment, Tokens, WeightsVersion};
