--- a/crates/sesamegap/src/router/core.rs
+++ b/crates/sesamegap/src/router/core.rs
@@ -7,7 +7,7 @@
 use super::once::Once;
 use super::peers::{PeerClient, Peers, ProbedPeers};
 use super::phase::Phases;
-use super::streams::Kept;
+use super::streams::AnswerStore;
 use super::tree::SettingsTree;
 use crate::config::{Bounds, ProcessConfig};
 use crate::telemetry::Telemetry;
@@ -47,7 +47,7 @@
     /// Upstreams and entry VMs.
     pub fleet: Fleet,
     /// Answers by request.
-    pub kept: Kept,
+    pub kept: AnswerStore,
     /// The settings tree.
     pub tree: SettingsTree,
     /// Idempotency keys.
--- a/crates/sesamegap/src/router/start.rs
+++ b/crates/sesamegap/src/router/start.rs
@@ -15,7 +15,7 @@
 use super::peers::{PeerClient, Peers, ProbedPeers, endpoints, gossip, probing};
 use super::phase::Phases;
 use super::running::Running;
-use super::streams::Kept;
+use super::streams::AnswerStore;
 use super::tree::{SettingsTree, TreeReader, snapshots};
 use crate::config::ProcessConfig;
 use crate::events;
@@ -157,7 +157,7 @@
             clock,
             decider: handle.clone(),
             fleet: Fleet::new(Arc::clone(&links.connect)),
-            kept: Kept::new(config.timing.keep, config.bounds.kept),
+            kept: AnswerStore::new(config.timing.keep, config.bounds.kept),
             once: Once::new(me, claims.clone(), appender, &config.timing),
             peers: links.peers.clone().unwrap_or_else(probed),
             members,
--- a/crates/sesamegap/src/router/streams/kept.rs
+++ b/crates/sesamegap/src/router/streams/kept.rs
@@ -17,7 +17,7 @@
 
 /// Answers by request id.
 #[derive(Debug)]
-pub struct Kept {
+pub struct AnswerStore {
     max_age: Duration,
     max_bytes: usize,
     inner: Mutex<Inner>,
@@ -30,7 +30,7 @@
     bytes: usize,
 }
 
-impl Kept {
+impl AnswerStore {
     /// Creates a store that keeps finished answers up to a maximum age and total size in bytes.
     pub fn new(max_age: Duration, max_bytes: usize) -> Self {
         Self {
--- a/crates/sesamegap/src/router/streams/mod.rs
+++ b/crates/sesamegap/src/router/streams/mod.rs
@@ -15,4 +15,4 @@
 
 pub use answer::{Answer, End, Head, Item, Reader, Shape};
 pub use assembly::{Assembly, Step};
-pub use kept::Kept;
+pub use kept::AnswerStore;
