--- a/crates/sesamegap/src/router/deciding/mod.rs
+++ b/crates/sesamegap/src/router/deciding/mod.rs
@@ -170,7 +170,7 @@
         {
             tracing::debug!(
                 event = crate::events::RING_FULL.number,
-                "decider queue is full; observation dropped"
+                "decider queue is full or closed; observation dropped"
             );
         }
     }
