--- a/crates/sesamegap-entry/src/core/mod.rs
+++ b/crates/sesamegap-entry/src/core/mod.rs
@@ -78,11 +78,11 @@
     pub fn new(settings: Settings, ports: Ports, logging: Logging) -> anyhow::Result<Self> {
         let rules = Rules {
             belief: belief::Rules::new(
-                settings.durations.lapse,
-                settings.durations.heartbeat,
-                settings.durations.drain,
+                settings.spans.lapse,
+                settings.spans.heartbeat,
+                settings.spans.drain,
             ),
-            weights: settings.durations.weights_deadline,
+            weights: settings.spans.weights,
         };
         Ok(Self {
             metrics: Metrics::new()?,
@@ -126,15 +126,15 @@
         info!(
             event = events::RELOADED,
             seeds = settings.seeds.len(),
-            repeats = settings.retry_budget.ratio,
-            slack = settings.retry_budget.slack,
+            repeats = settings.repeats.ratio,
+            slack = settings.repeats.slack,
             "process settings reloaded"
         );
         self.budgets
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .values_mut()
-            .for_each(|budget| budget.set(settings.retry_budget));
+            .for_each(|budget| budget.set(settings.repeats));
         self.settings.store(Arc::new(settings));
     }
 
@@ -177,7 +177,7 @@
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(self.settings().retry_budget));
+            .or_insert_with(|| Budget::new(self.settings().repeats));
         budget.record_request(clock::now());
     }
 
--- a/crates/sesamegap-entry/src/follow/mod.rs
+++ b/crates/sesamegap-entry/src/follow/mod.rs
@@ -119,7 +119,7 @@
     match table {
         Table::Settings => SETTINGS_WAIT,
         Table::Fleet | Table::Vms | Table::Quarantine => {
-            core.settings().durations.drain * FLEET_INTERVAL_PERCENT / 100
+            core.settings().spans.drain * FLEET_INTERVAL_PERCENT / 100
         }
     }
 }
--- a/crates/sesamegap-entry/src/locator.rs
+++ b/crates/sesamegap-entry/src/locator.rs
@@ -34,5 +34,5 @@
         addrs.insert(0, core.settings().listen.callers);
     }
     addrs.truncate(MAX_ADDRS);
-    (addrs, TTL.min(core.settings().durations.answer_ttl))
+    (addrs, TTL.min(core.settings().spans.answer_ttl))
 }
--- a/crates/sesamegap-entry/src/peers/datagrams.rs
+++ b/crates/sesamegap-entry/src/peers/datagrams.rs
@@ -93,7 +93,7 @@
 
 /// Sends and receives datagrams until the process ends.
 pub async fn run_datagrams(core: Arc<Core>) {
-    let addr = core.settings().listen.datagrams;
+    let addr = core.settings().listen.loads;
     let socket = match UdpSocket::bind(addr).await {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
@@ -209,7 +209,7 @@
     let Some(bytes) = datagram.encode() else {
         return;
     };
-    let port = core.settings().listen.datagrams.port();
+    let port = core.settings().listen.loads.port();
     for peer in peers {
         // A saturated link drops datagrams; important content is sent again.
         drop(
--- a/crates/sesamegap-entry/src/peers/mod.rs
+++ b/crates/sesamegap-entry/src/peers/mod.rs
@@ -91,7 +91,7 @@
             outbox: Outbox::default(),
             client: client::build(),
             peer_state_applied: watch::channel(false).0,
-            datagram_port: settings.listen.datagrams.port(),
+            datagram_port: settings.listen.loads.port(),
             roster: Mutex::default(),
         }
     }
--- a/crates/sesamegap-entry/src/process/mod.rs
+++ b/crates/sesamegap-entry/src/process/mod.rs
@@ -134,7 +134,7 @@
 /// Lets requests complete for as long as the grace period lasts.
 async fn stop(core: &Core) {
     let stop_requested = Instant::now();
-    let grace = core.settings().durations.grace;
+    let grace = core.settings().spans.grace;
     let deadlines = StopDeadlines::new(grace);
     info!(
         event = events::STOPPING,
--- a/crates/sesamegap-entry/src/roll/engine.rs
+++ b/crates/sesamegap-entry/src/roll/engine.rs
@@ -154,7 +154,7 @@
     began: Moment,
     now: Moment,
 ) -> Option<DrainStatus> {
-    let bound = core.settings().durations.weights_deadline;
+    let bound = core.settings().spans.weights;
     let catalogue = core.catalogue();
     let fleet = core.fleet.lock();
     let engine = fleet.get(&target.engine)?;
--- a/crates/sesamegap-entry/src/roll/lease.rs
+++ b/crates/sesamegap-entry/src/roll/lease.rs
@@ -37,7 +37,7 @@
     pub fn new(core: &Core) -> Self {
         let timing = LeaseTiming {
             term: LEASE_TERM,
-            handover_delay: core.settings().durations.lease_handover,
+            handover_delay: core.settings().spans.lease,
         };
         let lease = CasLease::new(core.peers.local_process().clone(), timing);
         Self {
--- a/crates/sesamegap-entry/src/settings.rs
+++ b/crates/sesamegap-entry/src/settings.rs
@@ -15,7 +15,7 @@
     /// Messages of peers.
     pub peers: SocketAddr,
     /// Datagrams of peers; the port is the same on all VMs.
-    pub datagrams: SocketAddr,
+    pub loads: SocketAddr,
     /// Operators' requests for metrics or a dump.
     pub operators: SocketAddr,
     /// Locator requests of callers that ask which address to use.
@@ -24,7 +24,7 @@
 
 /// Durations that the operators guarantee or require.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Durations {
+pub struct Spans {
     /// From SIGTERM to SIGKILL.
     pub grace: Duration,
     /// Longest time for which callers may cache a locator's answer.
@@ -34,9 +34,9 @@
     /// Time after which an upstream that announced it is leaving must get no more work.
     pub drain: Duration,
     /// Time after weights were named from which no request may start on older weights.
-    pub weights_deadline: Duration,
+    pub weights: Duration,
     /// Shortest time between the orders of two successive lease holders.
-    pub lease_handover: Duration,
+    pub lease: Duration,
     /// How long a lapsed entry may take to reappear after the store is available again.
     pub lapse: Duration,
 }
@@ -53,9 +53,9 @@
     /// Peers to contact at startup; the list may be stale.
     pub seeds: Vec<SocketAddr>,
     /// Durations guaranteed or required by the operators.
-    pub durations: Durations,
+    pub spans: Spans,
     /// The fleet-wide bound on retries.
-    pub retry_budget: Bound,
+    pub repeats: Bound,
     /// Memory for request bodies held at once, in bytes.
     pub body_memory: usize,
 }
--- a/crates/sesamegap-entry/tests/testsuite/placing.rs
+++ b/crates/sesamegap-entry/tests/testsuite/placing.rs
@@ -24,8 +24,8 @@
 /// An entry VM with engines at its own address; of its servers only the datagram exchange runs.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
-    settings.listen.datagrams = SocketAddr::new(ip.parse().unwrap(), port);
-    settings.listen.peers = settings.listen.datagrams;
+    settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
+    settings.listen.peers = settings.listen.loads;
     let platform = Arc::new(Platform::default());
     let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
@@ -114,7 +114,7 @@
 /// A prompt placed by `owner`: unreachable owners that are queried first get no further queries for
 /// a while.
 async fn placed_by(asker: &Core, owner: &Core) -> Flight {
-    let addr = owner.settings().listen.datagrams;
+    let addr = owner.settings().listen.loads;
     for part in 0..200 {
         let flight = place(asker, part).await.unwrap();
         if flight.owner() == Some(addr) {
--- a/crates/sesamegap-entry/tests/testsuite/quarantine.rs
+++ b/crates/sesamegap-entry/tests/testsuite/quarantine.rs
@@ -42,9 +42,9 @@
 
 async fn vm(no: usize, net: u8, port: u16, platform: &Arc<Platform>) -> Vm {
     let mut settings = settings(&format!("vm-{no}"), Vec::new());
-    settings.listen.datagrams =
+    settings.listen.loads =
         SocketAddr::new(format!("127.0.{net}.{}", no + 1).parse().unwrap(), port);
-    settings.listen.peers = settings.listen.datagrams;
+    settings.listen.peers = settings.listen.loads;
     let core = Arc::new(Core::new(settings, platform.ports(), Logging::disabled()).unwrap());
     core.adopt(&Arc::new(document(1)), "test");
     tokio::spawn(peers::run_datagrams(Arc::clone(&core)));
--- a/crates/sesamegap-entry/tests/testsuite/readings.rs
+++ b/crates/sesamegap-entry/tests/testsuite/readings.rs
@@ -14,8 +14,8 @@
 /// An entry VM that runs only the exchange of datagrams.
 fn vm(name: &str, ip: &str, port: u16) -> Arc<Core> {
     let mut settings = settings(name, Vec::new());
-    settings.listen.datagrams = SocketAddr::new(ip.parse().unwrap(), port);
-    settings.listen.peers = settings.listen.datagrams;
+    settings.listen.loads = SocketAddr::new(ip.parse().unwrap(), port);
+    settings.listen.peers = settings.listen.loads;
     let platform = Arc::new(Platform::default());
     let core = Core::new(settings, platform.ports(), Logging::disabled()).unwrap();
     let core = Arc::new(core);
--- a/crates/sesamegap-entry/tests/testsuite/restored.rs
+++ b/crates/sesamegap-entry/tests/testsuite/restored.rs
@@ -76,7 +76,7 @@
     })
     .await;
     platform.records.lock().unwrap().push(worker(2, 5));
-    let bound = core.settings().durations.lapse + Duration::from_millis(1_500);
+    let bound = core.settings().spans.lapse + Duration::from_millis(1_500);
     let deadline = clock::now() + bound;
     while clock::now() < deadline {
         assert_eq!(known(&core).len(), 2);
--- a/crates/sesamegap-entry/tests/testsuite/support/mod.rs
+++ b/crates/sesamegap-entry/tests/testsuite/support/mod.rs
@@ -19,7 +19,7 @@
 use sesamegap_entry::fleet::Entry;
 use sesamegap_entry::intake;
 use sesamegap_entry::ports::Weights;
-use sesamegap_entry::settings::{Durations, Listen, Settings};
+use sesamegap_entry::settings::{Listen, Settings, Spans};
 use sesamegap_entry::telemetry::Logging;
 use sesamegap_policy::routing::budget::Bound;
 use sesamegap_wire::{DomainId, LogPosition, Moment, Offset, ServiceId, Timeline, WeightsVersion};
@@ -55,21 +55,21 @@
             callers: unused_addr(),
             ready: unused_addr(),
             peers: unused_addr(),
-            datagrams: unused_addr(),
+            loads: unused_addr(),
             operators: unused_addr(),
             locator: unused_addr(),
         },
         seeds,
-        durations: Durations {
+        spans: Spans {
             grace: Duration::from_secs(8),
             answer_ttl: Duration::from_secs(5),
             heartbeat: Duration::from_millis(1_200),
             drain: Duration::from_secs(2),
-            weights_deadline: Duration::from_secs(8),
-            lease_handover: Duration::from_secs(3),
+            weights: Duration::from_secs(8),
+            lease: Duration::from_secs(3),
             lapse: Duration::from_secs(2),
         },
-        retry_budget: Bound {
+        repeats: Bound {
             ratio: 0.2,
             slack: 54.0,
             window: Duration::from_secs(10),
